--- a/crates/door/src/lib.rs
+++ b/crates/adapter-common/src/lib.rs
@@ -2,6 +2,8 @@
 //! complaints, laying settings flat, and numbering engines. Nothing here decides.
 
 use pebblevane::interface::*;
+use pebblevane::settings::*;
+use pebblevane::time::*;
 use serde_json::Value as Json;
 use std::collections::HashMap;
 
@@ -53,8 +55,8 @@
             Some(_) => Err(self.wrong(field, "true or false")),
         }
     }
-    pub fn span(&self, field: &str) -> Told<Span> {
-        self.number(field).map(Span::from_ms)
+    pub fn span(&self, field: &str) -> Told<TimeDelta> {
+        self.number(field).map(TimeDelta::from_millis_f64)
     }
 }
 
--- a/crates/server/src/job.rs
+++ b/crates/server/src/job.rs
@@ -11,6 +11,7 @@
 use crate::wire::engine::Word;
 use crossbeam_channel::{Receiver, never, select};
 use pebblevane::interface::*;
+use pebblevane::time::*;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -19,9 +20,9 @@
 /// So much of a result is set aside beforehand; what comes past it is counted as it comes.
 pub const USUAL_RESULT: usize = 4_096;
 /// Within this time an engine reads that a dispatch is given up, or that its connection has ended.
-const READ: Span = Span(5_000);
+const READ: TimeDelta = TimeDelta(5_000);
 /// A job waits so long for its dispatch to be given up.
-const GIVEN_UP: Span = Span(500_000);
+const GIVEN_UP: TimeDelta = TimeDelta(500_000);
 const MOST_PAGES: u32 = 4096;
 const AHEAD: u32 = 8;
 
@@ -54,10 +55,10 @@
     copy: u32,
     /// Its engine has said that it works on it.
     begun: bool,
-    sent: Moment,
-    ends: Moment,
+    sent: Timestamp,
+    ends: Timestamp,
     /// Until when it may leave, if it had not when that was last looked at.
-    begin_by: Option<Moment>,
+    begin_by: Option<Timestamp>,
     result: Option<Pages>,
 }
 
@@ -65,11 +66,11 @@
 pub struct Ending {
     /// Ends once that is written there.
     given_up: Receiver<()>,
-    until: Moment,
+    until: Timestamp,
     out: DispatchHandle,
-    sent: Moment,
+    sent: Timestamp,
     copy: u32,
-    outcome: Outcome,
+    outcome: DispatchResult,
 }
 
 /// The result as far as its pages have come.
@@ -80,8 +81,8 @@
     next: u32,
     asked: u32,
     all: u32,
-    bill: Option<(Span, f64)>,
-    report: Report,
+    bill: Option<ActualCost>,
+    report: Option<LoadReport>,
 }
 
 impl Running {
@@ -91,7 +92,7 @@
     }
 
     /// When something is due, whatever comes.
-    fn due(&self) -> Moment {
+    fn due(&self) -> Timestamp {
         self.begin_by.map_or(self.ends, |begin_by| begin_by.min(self.ends))
     }
 
@@ -134,9 +135,9 @@
                     Ok(Step::Recall { copy }) => {
                         if let Some(recalled) = running.take_if(|running| running.copy == copy) {
                             let never_left = recalled.out.withhold();
-                            let verdict = if never_left { Verdict::Unreachable } else { Verdict::Withdrawn };
+                            let verdict = if never_left { DispatchStatus::Unreachable } else { DispatchStatus::Cancelled };
                             // What was kept back says nothing of its engine.
-                            self.end(recalled, verdict, never_left, None, Report::new());
+                            self.end(recalled, verdict, never_left, None, None);
                         }
                     }
                     Ok(Step::Released) | Err(_) => return,
@@ -145,12 +146,11 @@
                     let Some(mut at) = running.take() else { continue };
                     match heard {
                         Ok(DispatchEvent::Word(Word::Info(note))) => {
-                            at.begun |= matches!(note, Some(Note::Share(_) | Note::Spills(_)));
+                            at.begun |= matches!(note, Some(ProgressUpdate::CompletedFraction(_) | ProgressUpdate::SpillingToDisk(_)));
                             note.into_iter().for_each(|note| self.module.progress(self.id, at.copy, note));
                             running = Some(at);
                         }
                         Ok(DispatchEvent::Word(Word::Hit { page, sheets, bill, report })) => {
-                            let bill = bill.map(|(work, memory)| (Span::from_ms(work), memory));
                             at.result = Some(Pages::begin(page, sheets, bill, report));
                             running = self.collect(at);
                         }
@@ -162,25 +162,25 @@
                         }
                         // Neither proves that nothing ran where the engine has said otherwise before.
                         Ok(DispatchEvent::Word(Word::Shed(report) | Word::Late(report))) if at.has_begun() => {
-                            self.settle(at, Verdict::Error, None, report);
+                            self.settle(at, DispatchStatus::Failed, None, report);
                         }
-                        Ok(DispatchEvent::Word(Word::Shed(report))) => self.settle(at, Verdict::Full, None, report),
-                        Ok(DispatchEvent::Word(Word::Late(report))) => self.settle(at, Verdict::Void, None, report),
-                        Ok(DispatchEvent::Word(Word::Fault(report))) => self.settle(at, Verdict::Error, None, report),
-                        Ok(DispatchEvent::Lost(verdict, lively)) => self.end(at, verdict, lively, None, Report::new()),
+                        Ok(DispatchEvent::Word(Word::Shed(report))) => self.settle(at, DispatchStatus::Overloaded, None, report),
+                        Ok(DispatchEvent::Word(Word::Late(report))) => self.settle(at, DispatchStatus::Expired, None, report),
+                        Ok(DispatchEvent::Word(Word::Fault(report))) => self.settle(at, DispatchStatus::Failed, None, report),
+                        Ok(DispatchEvent::Lost(verdict, lively)) => self.end(at, verdict, lively, None, None),
                         Ok(DispatchEvent::Word(Word::Pong(_) | Word::Sick(_))) => running = Some(at),
-                        Err(_) => self.settle(at, Verdict::Broken, None, Report::new()),
+                        Err(_) => self.settle(at, DispatchStatus::ConnectionLost, None, None),
                     }
                 },
                 default(wait) => {
                     if let Some(ending) = self.ending.take_if(|ending| ending.until <= clock::now()) {
                         self.told(ending);
                     } else if let Some(waits) = running.take_if(|running| running.waits_too_long()) {
-                        self.end(waits, Verdict::Unreachable, true, None, Report::new());
+                        self.end(waits, DispatchStatus::Unreachable, true, None, None);
                     } else if let Some(late) = running.take_if(|running| running.ends <= clock::now()) {
                         let never_left = late.out.withhold();
-                        let verdict = if never_left { Verdict::Unreachable } else { Verdict::TimedOut };
-                        self.settle(late, verdict, None, Report::new());
+                        let verdict = if never_left { DispatchStatus::Unreachable } else { DispatchStatus::TimedOut };
+                        self.settle(late, verdict, None, None);
                     }
                 }
             }
@@ -193,7 +193,7 @@
         let Some(pages) = &mut at.result else { return Some(at) };
         let room = self.job.bytes.grow_to(self.job.statement.len() + pages.held());
         if !room || pages.held() > LONGEST_RESULT || pages.all > MOST_PAGES || pages.next > pages.all {
-            self.settle(at, Verdict::Error, None, Report::new());
+            self.settle(at, DispatchStatus::Failed, None, None);
             return None;
         }
         if pages.next < pages.all {
@@ -207,34 +207,52 @@
         if self.job.responder.answer(&Reply::Done(&pages.rows)) {
             counts::DONE.add();
         }
-        let (bill, report) = (pages.bill, std::mem::take(&mut pages.report));
-        self.settle(at, Verdict::Done, bill, report);
+        let (bill, report) = (pages.bill, pages.report);
+        self.settle(at, DispatchStatus::Completed, bill, report);
         None
     }
 
     /// Tells the module how the dispatch ended. What the engine still holds of it is given back first.
-    fn settle(&mut self, at: Running, verdict: Verdict, bill: Option<(Span, f64)>, report: Report) {
+    fn settle(
+        &mut self,
+        at: Running,
+        verdict: DispatchStatus,
+        bill: Option<ActualCost>,
+        report: Option<LoadReport>,
+    ) {
         self.end(at, verdict, false, bill, report);
     }
 
     fn end(
         &mut self,
         at: Running,
-        verdict: Verdict,
+        verdict: DispatchStatus,
         lively: bool,
-        bill: Option<(Span, f64)>,
-        report: Report,
+        bill: Option<ActualCost>,
+        report: Option<LoadReport>,
     ) {
         let (copy, sent) = (at.copy, at.sent);
         let took = clock::now() - sent;
         tracing::debug!("job {}: dispatch {copy} ended: {verdict:?}", self.job.name);
-        let outcome = Outcome { verdict, took, over: false, lively, bill, report };
-        let open =
-            matches!(verdict, Verdict::Withdrawn | Verdict::TimedOut | Verdict::Error | Verdict::Broken);
+        let outcome = DispatchResult {
+            status: verdict,
+            elapsed: took,
+            job_finished: false,
+            engine_reachable: lively,
+            actual_cost: bill,
+            load_report: report,
+        };
+        let open = matches!(
+            verdict,
+            DispatchStatus::Cancelled
+                | DispatchStatus::TimedOut
+                | DispatchStatus::Failed
+                | DispatchStatus::ConnectionLost
+        );
         // Nothing orders what is written to two engines: this one is to read it before another has the job. The job
         // hears its answer meanwhile.
         let given_up = if open { at.out.give_up() } else { never() };
-        let until = clock::now() + if open { GIVEN_UP } else { Span::default() };
+        let until = clock::now() + if open { GIVEN_UP } else { TimeDelta::default() };
         let ending = Ending { given_up, until, out: at.out, sent, copy, outcome };
         if open { self.ending = Some(ending) } else { self.told(ending) }
     }
@@ -242,7 +260,10 @@
     fn told(&self, ending: Ending) {
         let Ending { out, sent, copy, outcome, .. } = ending;
         if out.left() {
-            let never_ran = matches!(outcome.verdict, Verdict::Full | Verdict::Unreachable | Verdict::Void);
+            let never_ran = matches!(
+                outcome.status,
+                DispatchStatus::Overloaded | DispatchStatus::Unreachable | DispatchStatus::Expired
+            );
             self.job.ledger.ended(sent, !never_ran);
         }
         drop(out);
@@ -251,7 +272,7 @@
 }
 
 impl Pages {
-    fn begin(rows: Vec<u8>, all: u32, bill: Option<(Span, f64)>, report: Report) -> Pages {
+    fn begin(rows: Vec<u8>, all: u32, bill: Option<ActualCost>, report: Option<LoadReport>) -> Pages {
         Pages { rows, early: Vec::new(), next: 1, asked: 1, all: all.max(1), bill, report }
     }
 
--- a/crates/server/src/memory/dispatch_ledger.rs
+++ b/crates/server/src/memory/dispatch_ledger.rs
@@ -2,11 +2,12 @@
 //! from the module's own books.
 
 use super::invariants::{self, Invariant};
-use pebblevane::interface::{Moment, Settings, Span};
+use pebblevane::settings::Settings;
+use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// An engine may be told so much more time than the client has left.
-const DEADLINE_SLACK: Span = Span(150_000);
+const DEADLINE_SLACK: TimeDelta = TimeDelta(150_000);
 
 /// What the settings say of repeating a reservation type's jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -14,7 +15,7 @@
     /// A repeat is harmless.
     Restartable,
     /// A repeat is harmless within this time of the first run: on every engine, or on some only.
-    Keyed { window: Span, anywhere: bool },
+    Keyed { window: TimeDelta, anywhere: bool },
     /// A repeat does harm.
     RunOnce,
 }
@@ -26,7 +27,7 @@
         match settings.text(&field("Semantics")) {
             "read_like" => RepeatRules::Restartable,
             "idempotency_key" => RepeatRules::Keyed {
-                window: Span::from_ms(settings.number(&field("DedupWindow")).unwrap_or(0.0)),
+                window: TimeDelta::from_millis_f64(settings.number(&field("DedupWindow")).unwrap_or(0.0)),
                 anywhere: settings.text(&field("Group")) == "all",
             },
             _ => RepeatRules::RunOnce,
@@ -38,7 +39,7 @@
     id: Box<str>,
     rules: RepeatRules,
     /// When the client stops waiting.
-    deadline: Moment,
+    deadline: Timestamp,
     entries: Mutex<Entries>,
 }
 
@@ -47,11 +48,11 @@
     /// Dispatches that have left and have not ended.
     out: u32,
     /// When the first dispatch left that may have run.
-    may_have_run: Option<Moment>,
+    may_have_run: Option<Timestamp>,
 }
 
 impl DispatchLedger {
-    pub fn new(id: &str, rules: RepeatRules, deadline: Moment) -> DispatchLedger {
+    pub fn new(id: &str, rules: RepeatRules, deadline: Timestamp) -> DispatchLedger {
         DispatchLedger { id: id.into(), rules, deadline, entries: Mutex::default() }
     }
 
@@ -61,7 +62,7 @@
     }
 
     /// A dispatch is about to leave that tells its engine this deadline. Says whether it may, and enters it if so.
-    pub fn leaves(&self, now: Moment, deadline: Moment) -> bool {
+    pub fn leaves(&self, now: Timestamp, deadline: Timestamp) -> bool {
         let mut entries = self.entries();
         let first = entries.may_have_run;
         let broken = match self.rules {
@@ -87,7 +88,7 @@
     }
 
     /// A dispatch that had left has ended.
-    pub fn ended(&self, sent: Moment, may_have_run: bool) {
+    pub fn ended(&self, sent: Timestamp, may_have_run: bool) {
         let mut entries = self.entries();
         entries.out = entries.out.saturating_sub(1);
         if may_have_run {
--- a/crates/server/src/memory/engine_connection.rs
+++ b/crates/server/src/memory/engine_connection.rs
@@ -1,7 +1,7 @@
 //! One connection to an engine: what is out on it, and whether it may be used again.
 
 use super::budget::Lease;
-use pebblevane::interface::Moment;
+use pebblevane::time::Timestamp;
 use std::collections::{HashMap, HashSet};
 use std::io::ErrorKind;
 use std::net::TcpStream;
@@ -26,7 +26,7 @@
     pub used: bool,
     /// When something last came from it.
     pub heard: Instant,
-    pub opened: Moment,
+    pub opened: Timestamp,
     pub _lease: Lease,
 }
 
--- a/crates/server/src/memory/engines.rs
+++ b/crates/server/src/memory/engines.rs
@@ -10,6 +10,7 @@
 use crate::wire::engine::Word;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use pebblevane::interface::*;
+use pebblevane::time::*;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU8, AtomicU64, Ordering::SeqCst};
@@ -20,7 +21,7 @@
 
 /// What the settings say of connections.
 #[derive(Clone, Copy)]
-pub struct Terms {
+pub struct ConnectionSettings {
     pub streams: usize,
     pub dial: Duration,
     pub idle: Duration,
@@ -57,7 +58,7 @@
     Word(Word),
     /// The dispatch ended with its connection, or never had one; and whether the engine has taken a new
     /// connection since.
-    Lost(Verdict, bool),
+    Lost(DispatchStatus, bool),
 }
 
 /// A dispatch as the engine is to read it.
@@ -65,9 +66,9 @@
     pub id: Box<str>,
     pub class: Arc<str>,
     /// When the dispatch times out.
-    pub ends: Moment,
+    pub ends: Timestamp,
     /// Its first byte leaves before this or never.
-    pub begin_by: Moment,
+    pub begin_by: Timestamp,
     pub wanted: Arc<dyn StillWanted>,
     pub ledger: Arc<DispatchLedger>,
     pub rank: Option<u8>,
@@ -75,7 +76,7 @@
 }
 
 /// Takes how a probe came out, and its time from the first byte written to the last one read.
-pub type Probed = Box<dyn FnOnce(Verdict, Report, Span) + Send>;
+pub type Probed = Box<dyn FnOnce(DispatchStatus, Option<LoadReport>, TimeDelta) + Send>;
 
 /// What an engine's owner is to do.
 pub enum Order {
@@ -112,7 +113,7 @@
 pub struct News {
     pub new: Option<Box<Owner>>,
     /// The engine has started anew: connections from before are dead.
-    pub restarted: Option<Moment>,
+    pub restarted: Option<Timestamp>,
     /// Dispatches may not leave any more.
     pub closed: bool,
     pub gone: bool,
@@ -163,7 +164,7 @@
         self.owners.try_order(self.key, Order::Probe { number, told })
     }
 
-    pub fn restarted(&self, at: Moment) {
+    pub fn restarted(&self, at: Timestamp) {
         self.owners.tell(self.key, |news| news.restarted = Some(at));
     }
 
--- a/crates/server/src/memory/owner.rs
+++ b/crates/server/src/memory/owner.rs
@@ -8,11 +8,14 @@
 use super::budget::{Budget, Lease};
 use super::counts;
 use super::engine_connection::{Connection, SPENT};
-use super::engines::{DROPPED, DispatchEvent, Gate, News, Order, Probed, QUEUED, Request, SENT, Terms};
+use super::engines::{
+    ConnectionSettings, DROPPED, DispatchEvent, Gate, News, Order, Probed, QUEUED, Request, SENT,
+};
 use super::readers::{ConnectionEvent, ReadHalf, Readers};
 use crate::wire::engine::{self as wire, Word};
 use crossbeam_channel::Sender;
 use pebblevane::interface::*;
+use pebblevane::time::*;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::io::{ErrorKind, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -28,10 +31,10 @@
 
 /// What all owners share.
 pub struct OwnerContext {
-    pub terms: Terms,
+    pub terms: ConnectionSettings,
     pub sockets: Arc<Budget>,
     pub readers: Arc<Readers>,
-    pub now: fn() -> Moment,
+    pub now: fn() -> Timestamp,
     pub orders: Sender<(u64, Order)>,
 }
 
@@ -231,7 +234,7 @@
     /// A connection on which no late answer can be taken for that of this id: one with nothing out, best one
     /// that has just proved to work; where no more may be opened, the one with the least out.
     fn connection_for(&self, id: &str, share: bool, context: &OwnerContext) -> Option<u64> {
-        let Terms { streams, idle, .. } = context.terms;
+        let ConnectionSettings { streams, idle, .. } = context.terms;
         let usable = self.connections.iter().filter(|(_, connection)| {
             connection.spent.len() < SPENT
                 && !connection.spent.contains(id)
@@ -272,7 +275,7 @@
                 }
                 gate.left.store(true, SeqCst);
                 tracing::debug!("job {}: leaves for engine {} on connection {key}", request.id, self.name);
-                let limit_ms = ((request.ends - now).ms().floor() as i64).max(1);
+                let limit_ms = ((request.ends - now).as_millis_f64().floor() as i64).max(1);
                 wire::request(&request.id, &request.class, limit_ms, request.rank, &request.statement)
             }
             What::Probe(_) => wire::probe(&entry.id, context.terms.reports),
@@ -367,7 +370,7 @@
         self.dialing -= 1;
         let taken = dialed.is_ok();
         for words in std::mem::take(&mut self.doubtful) {
-            let _ = words.try_send(DispatchEvent::Lost(Verdict::Broken, taken));
+            let _ = words.try_send(DispatchEvent::Lost(DispatchStatus::ConnectionLost, taken));
         }
         let connected = dialed.and_then(|(stream, lease)| {
             self.connect(stream, lease, context).map_err(|e| format!("it can't be read: {e}"))
@@ -420,13 +423,17 @@
         match &mut entry.what {
             What::Probe(told) => {
                 let (verdict, report) = match word {
-                    Word::Pong(report) => (Verdict::Done, report),
-                    Word::Sick(report) | Word::Fault(report) => (Verdict::Error, report),
-                    Word::Shed(report) => (Verdict::Full, report),
+                    Word::Pong(report) => (DispatchStatus::Completed, report),
+                    Word::Sick(report) | Word::Fault(report) => (DispatchStatus::Failed, report),
+                    Word::Shed(report) => (DispatchStatus::Overloaded, report),
                     _ => return,
                 };
                 if let Some(told) = told.take() {
-                    told(verdict, report, Span(at.saturating_duration_since(entry.sent).as_micros() as i64));
+                    told(
+                        verdict,
+                        report,
+                        TimeDelta(at.saturating_duration_since(entry.sent).as_micros() as i64),
+                    );
                 }
                 self.leave(number, false);
             }
@@ -508,14 +515,18 @@
                 if entry.connection.is_none() {
                     // What was kept back says nothing of its engine.
                     let kept = gate.state.load(SeqCst) == DROPPED;
-                    let _ = words.try_send(DispatchEvent::Lost(Verdict::Unreachable, kept));
+                    let _ = words.try_send(DispatchEvent::Lost(DispatchStatus::Unreachable, kept));
                 } else {
                     self.doubtful.push(words);
                 }
             }
             What::Probe(told) => {
-                let verdict = if entry.connection.is_some() { Verdict::Broken } else { Verdict::Unreachable };
-                told.into_iter().for_each(|told| told(verdict, Report::new(), Span::default()));
+                let verdict = if entry.connection.is_some() {
+                    DispatchStatus::ConnectionLost
+                } else {
+                    DispatchStatus::Unreachable
+                };
+                told.into_iter().for_each(|told| told(verdict, None, TimeDelta::default()));
             }
         }
     }
@@ -540,7 +551,7 @@
         // A process that has died takes no new connection: that tells its end from a connection's.
         if !self.doubtful.is_empty() && self.dialing == 0 && !self.dial_once(context) {
             for words in std::mem::take(&mut self.doubtful) {
-                let _ = words.try_send(DispatchEvent::Lost(Verdict::Broken, false));
+                let _ = words.try_send(DispatchEvent::Lost(DispatchStatus::ConnectionLost, false));
             }
         }
     }
@@ -578,7 +589,7 @@
                 What::Probe(told) if entry.connection.is_some() => {
                     told.take()
                         .into_iter()
-                        .for_each(|told| told(Verdict::TimedOut, Report::new(), Span::default()));
+                        .for_each(|told| told(DispatchStatus::TimedOut, None, TimeDelta::default()));
                     self.leave(number, true);
                 }
                 _ => self.lose(number),
--- a/crates/server/src/memory/owners.rs
+++ b/crates/server/src/memory/owners.rs
@@ -3,11 +3,12 @@
 
 use super::budget::Budget;
 use super::counts;
-use super::engines::{DispatchEvent, News, Order, Terms};
+use super::engines::{ConnectionSettings, DispatchEvent, News, Order};
 use super::owner::{Owner, OwnerContext};
 use super::readers::Readers;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 use pebblevane::interface::*;
+use pebblevane::time::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -28,7 +29,11 @@
 }
 
 impl Owners {
-    pub fn start(terms: Terms, sockets: Arc<Budget>, now: fn() -> Moment) -> std::io::Result<Arc<Owners>> {
+    pub fn start(
+        terms: ConnectionSettings,
+        sockets: Arc<Budget>,
+        now: fn() -> Timestamp,
+    ) -> std::io::Result<Arc<Owners>> {
         let (orders, inbox) = bounded(ORDERS);
         let owners = Arc::new(Owners {
             orders: orders.clone(),
@@ -131,9 +136,9 @@
         // The engine has gone: what is ordered now never leaves.
         match order {
             Order::Send { words, .. } => {
-                drop(words.try_send(DispatchEvent::Lost(Verdict::Unreachable, false)))
+                drop(words.try_send(DispatchEvent::Lost(DispatchStatus::Unreachable, false)))
             }
-            Order::Probe { told, .. } => told(Verdict::Unreachable, Report::new(), Span::default()),
+            Order::Probe { told, .. } => told(DispatchStatus::Unreachable, None, TimeDelta::default()),
             _ => {}
         }
     }
--- a/crates/server/src/memory/responder.rs
+++ b/crates/server/src/memory/responder.rs
@@ -5,11 +5,12 @@
 use super::invariants::{self, Invariant};
 use crate::service::clock;
 use crate::wire::client::Reply;
-use pebblevane::interface::{JobId, Moment, Span};
+use pebblevane::interface::JobId;
+use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 
 /// An answer later than this after its client's wait counts as a lost request.
-const LOST_AFTER: Span = Span(500_000);
+const LOST_AFTER: TimeDelta = TimeDelta(500_000);
 
 pub struct Responder {
     client: Arc<Client>,
@@ -19,13 +20,13 @@
     /// The client's hold on that id until the answer.
     name: Mutex<Option<Name>>,
     /// When the client stops waiting.
-    deadline: Moment,
+    deadline: Timestamp,
     job: OnceLock<JobId>,
     wanted: Arc<CancelToken>,
 }
 
 impl Responder {
-    pub fn new(client: Arc<Client>, message: u32, id: &str, name: Name, deadline: Moment) -> Responder {
+    pub fn new(client: Arc<Client>, message: u32, id: &str, name: Name, deadline: Timestamp) -> Responder {
         let (name, wanted) = (Mutex::new(Some(name)), Arc::default());
         Responder { client, message, id: id.into(), name, deadline, job: OnceLock::new(), wanted }
     }
@@ -48,8 +49,13 @@
         let answered = self.client.answer(self.message, reply);
         if answered {
             let late = clock::now() - self.deadline;
-            tracing::debug!("job {}: answered {}, {:.1} ms past its time", self.id, reply.kind(), late.ms());
-            if late > Span(0) {
+            tracing::debug!(
+                "job {}: answered {}, {:.1} ms past its time",
+                self.id,
+                reply.kind(),
+                late.as_millis_f64()
+            );
+            if late > TimeDelta(0) {
                 counts::LATE_ANSWERS.add();
             }
             if late > LOST_AFTER {
--- a/crates/server/src/module.rs
+++ b/crates/server/src/module.rs
@@ -1,5 +1,5 @@
 //! The thread that owns the module. Calls reach it through one bounded channel, in order of arrival, and
-//! each `Decided` is carried out in its order before the next call. What the engine list tells, a planned stop and
+//! each `Actions` is carried out in its order before the next call. What the engine list tells, a planned stop and
 //! clients that leave don't wait behind those. It decides nothing.
 
 use crate::job::{AdmittedJob, JobTask};
@@ -15,9 +15,11 @@
 use crate::wire::client::Reply;
 use crate::workers::Workers;
 use crossbeam_channel::{Receiver, Sender, bounded, select};
+use pebblevane::controller::AdmissionController;
 use pebblevane::interface::*;
-use pebblevane::logic::Logic;
-use pebblevane_door::Engines;
+use pebblevane::settings::*;
+use pebblevane::time::*;
+use pebblevane_adapter_common::Engines;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
@@ -29,38 +31,38 @@
 const MODULE_STACK: usize = 512 * 1024;
 const STEPS: usize = 32; // steps that wait for one job: more than its dispatches and recalls make
 /// Told to clients that meet one of the program's own limits: come back after this time.
-pub const BACK_IN: Span = Span(1_000_000);
+pub const BACK_IN: TimeDelta = TimeDelta(1_000_000);
 
 /// What the module's thread is asked to do.
 enum Call {
     Take {
         id: JobId,
         job: Job,
-        arrived: Moment,
+        arrived: Timestamp,
         admitted: Box<AdmittedJob>,
     },
     Settle {
         id: JobId,
         copy: u32,
-        outcome: Outcome,
+        outcome: DispatchResult,
     },
     Progress {
         id: JobId,
         copy: u32,
-        note: Note,
+        note: ProgressUpdate,
     },
     Probed {
         engine: EngineId,
-        outcome: Outcome,
+        outcome: DispatchResult,
     },
     /// The list has changed; when it was last known to be complete before that.
     Listed {
         event: Event,
-        complete: Option<Moment>,
+        complete: Option<Timestamp>,
     },
     ListLost,
     Stopping {
-        by: Moment,
+        by: Timestamp,
     },
     /// Clients have left.
     Look,
@@ -72,8 +74,8 @@
         engine: Arc<Engine>,
         copy: u32,
         /// When it times out.
-        ends: Moment,
-        begin_by: Moment,
+        ends: Timestamp,
+        begin_by: Timestamp,
         rank: Option<u8>,
     },
     Recall {
@@ -114,7 +116,7 @@
             };
             let (zones, machines) = (names("Zones"), names("Flavors"));
             let mut owner = ModuleThread {
-                logic: Logic::new(clock::now(), seed, settings),
+                logic: AdmissionController::new(clock::now(), seed, settings),
                 handle: own,
                 wake: None,
                 jobs: BTreeMap::new(),
@@ -136,7 +138,7 @@
 
     /// Hands a job over, unless too many calls wait; its answer is owed from then on. Jobs are numbered in the order
     /// in which the module hears of them. Whoever reads all clients calls this, and is never held up by the module.
-    pub fn take(&self, job: Job, arrived: Moment, admitted: AdmittedJob) -> bool {
+    pub fn take(&self, job: Job, arrived: Timestamp, admitted: AdmittedJob) -> bool {
         let responder = admitted.responder.clone();
         let mut next = locked(&self.next);
         let id = JobId(*next);
@@ -151,10 +153,10 @@
         *next += 1;
         true
     }
-    pub fn settle(&self, id: JobId, copy: u32, outcome: Outcome) {
+    pub fn settle(&self, id: JobId, copy: u32, outcome: DispatchResult) {
         self.call(Call::Settle { id, copy, outcome });
     }
-    pub fn progress(&self, id: JobId, copy: u32, note: Note) {
+    pub fn progress(&self, id: JobId, copy: u32, note: ProgressUpdate) {
         self.call(Call::Progress { id, copy, note });
     }
     /// The client has left; the job's token says so already.
@@ -163,13 +165,13 @@
         // Where too many calls wait, the thread is awake and looks before the next of them.
         let _ = self.calls.try_send(Call::Look);
     }
-    pub fn listed(&self, event: Event, complete: Option<Moment>) {
+    pub fn listed(&self, event: Event, complete: Option<Timestamp>) {
         let _ = self.urgent.send(Call::Listed { event, complete });
     }
     pub fn list_lost(&self) {
         let _ = self.urgent.send(Call::ListLost);
     }
-    pub fn stopping(&self, by: Moment) {
+    pub fn stopping(&self, by: Timestamp) {
         let _ = self.urgent.send(Call::Stopping { by });
     }
 
@@ -203,9 +205,9 @@
 }
 
 struct ModuleThread {
-    logic: Logic,
+    logic: AdmissionController,
     handle: Arc<Module>,
-    wake: Option<Moment>,
+    wake: Option<Timestamp>,
     jobs: BTreeMap<JobId, OpenJob>,
     numbers: Engines,
     engines: BTreeMap<EngineId, Known>,
@@ -220,14 +222,14 @@
     engine: Arc<Engine>,
     address: SocketAddr,
     started: Option<Start>,
-    stage: Stage,
+    stage: LifecycleState,
 }
 
 /// A start of an engine: as the list stamps it, and when that was.
 #[derive(Clone, Copy)]
 struct Start {
     stamp: UnixTime,
-    at: Moment,
+    at: Timestamp,
 }
 
 impl ModuleThread {
@@ -247,7 +249,7 @@
             for id in left {
                 if let Some(open) = self.jobs.get_mut(&id) {
                     open.answered = true;
-                    let decided = self.logic.gone(now, id);
+                    let decided = self.logic.client_disconnected(now, id);
                     self.carry_out(now, decided);
                 }
             }
@@ -256,13 +258,13 @@
             }
             // A wake is due however many calls wait, and is caught up once.
             if self.wake.is_some_and(|wake| wake <= now) {
-                let decided = self.logic.wake(now);
+                let decided = self.logic.timer_fired(now);
                 self.carry_out(now, decided);
             }
         }
     }
 
-    fn answer(&mut self, now: Moment, call: Call) {
+    fn answer(&mut self, now: Timestamp, call: Call) {
         let decided = match call {
             Call::Take { id, mut job, arrived, admitted } => {
                 let (responder, ledger) = (admitted.responder.clone(), admitted.ledger.clone());
@@ -273,36 +275,36 @@
                     self.handle.open.fetch_sub(1, SeqCst);
                     return;
                 }
-                job.left = job.left + (arrived - now);
+                job.time_left = job.time_left + (arrived - now);
                 self.jobs.insert(id, open);
-                self.logic.take(now, id, job)
+                self.logic.submit(now, id, job)
             }
             Call::Settle { id, copy, mut outcome } => {
                 let Some(open) = self.jobs.get_mut(&id) else { return };
                 // A client that has left is not waited for, whether or not that was told yet.
                 open.answered |= open.responder.is_over();
-                open.answered |= outcome.verdict == Verdict::Done;
-                outcome.over = open.answered;
-                self.logic.settle(now, id, copy, outcome)
+                open.answered |= outcome.status == DispatchStatus::Completed;
+                outcome.job_finished = open.answered;
+                self.logic.dispatch_finished(now, id, copy, outcome)
             }
-            Call::Progress { id, copy, note } => self.logic.progress(now, id, copy, note),
-            Call::Probed { engine, outcome } => self.logic.probed(now, engine, outcome),
+            Call::Progress { id, copy, note } => self.logic.dispatch_progress(now, id, copy, note),
+            Call::Probed { engine, outcome } => self.logic.health_check_finished(now, engine, outcome),
             Call::Listed { event, complete } => return self.listed(now, event, complete),
-            Call::ListLost => self.logic.list_refused(now),
-            Call::Stopping { by } => self.logic.stopping(now, by),
+            Call::ListLost => self.logic.endpoint_list_unavailable(now),
+            Call::Stopping { by } => self.logic.begin_shutdown(now, by),
             Call::Look => return,
         };
         self.carry_out(now, decided);
     }
 
     /// Carries out what was decided at this time.
-    fn carry_out(&mut self, now: Moment, decided: Decided) {
-        if decided != (Decided { next_wake: decided.next_wake, ..Decided::default() }) {
+    fn carry_out(&mut self, now: Timestamp, decided: Actions) {
+        if decided != (Actions { next_timer: decided.next_timer, ..Actions::default() }) {
             tracing::trace!("{decided:?}");
         }
-        for (id, copy) in decided.recalls {
-            if let Some(open) = self.jobs.get(&id) {
-                open.tell(Step::Recall { copy });
+        for DispatchId { job, attempt } in decided.cancellations {
+            if let Some(open) = self.jobs.get(&job) {
+                open.tell(Step::Recall { copy: attempt });
             }
         }
         for (id, answer) in decided.answers {
@@ -317,9 +319,9 @@
             if let Some((open, known)) = self.jobs.get_mut(&dispatch.job).zip(known) {
                 let copy = open.copies;
                 open.copies += 1;
-                let (engine, rank) = (known.engine.clone(), dispatch.terms.map(|terms| terms.rank));
+                let (engine, rank) = (known.engine.clone(), dispatch.options.map(|terms| terms.priority));
                 // However late its thread takes this up, the client's wait ends when it ends.
-                let (ends, begin_by) = (now + dispatch.limit, dispatch.begin_by);
+                let (ends, begin_by) = (now + dispatch.timeout, dispatch.begin_by);
                 let step = Step::Dispatch { engine, copy, ends, begin_by, rank };
                 if !open.start(dispatch.job, &self.workers, &self.handle) {
                     refused.push((dispatch.job, copy));
@@ -328,54 +330,54 @@
                 open.tell(step);
             }
         }
-        for engine in decided.probes {
+        for engine in decided.health_checks {
             self.probe(engine);
         }
         for line in decided.log {
             tracing::info!("module: {line}");
         }
-        for id in decided.released {
+        for id in decided.released_jobs {
             if let Some(open) = self.jobs.remove(&id) {
                 open.tell(Step::Released);
                 self.handle.open.fetch_sub(1, SeqCst);
             }
         }
-        decided.forgotten.into_iter().for_each(|engine| self.numbers.forget(engine));
-        self.wake = decided.next_wake;
+        decided.forgotten_engines.into_iter().for_each(|engine| self.numbers.forget(engine));
+        self.wake = decided.next_timer;
         // Nothing of these has left, and they are answered: the module only hears that they are over.
         for (id, copy) in refused {
-            let outcome = Outcome {
-                verdict: Verdict::Unreachable,
-                took: Span::default(),
-                over: true,
-                lively: true,
-                bill: None,
-                report: Report::new(),
+            let outcome = DispatchResult {
+                status: DispatchStatus::Unreachable,
+                elapsed: TimeDelta::default(),
+                job_finished: true,
+                engine_reachable: true,
+                actual_cost: None,
+                load_report: None,
             };
             let now = clock::now();
-            let decided = self.logic.settle(now, id, copy, outcome);
+            let decided = self.logic.dispatch_finished(now, id, copy, outcome);
             self.carry_out(now, decided);
         }
     }
 
     fn probe(&mut self, id: EngineId) {
-        let outcome = |verdict: Verdict, report: Report, took: Span| Outcome {
-            verdict,
-            took,
-            over: false,
-            lively: false,
-            bill: None,
-            report,
+        let outcome = |verdict: DispatchStatus, report: Option<LoadReport>, took: TimeDelta| DispatchResult {
+            status: verdict,
+            elapsed: took,
+            job_finished: false,
+            engine_reachable: false,
+            actual_cost: None,
+            load_report: report,
         };
         let handle = self.handle.clone();
-        let told = move |verdict: Verdict, report: Report, took: Span| {
+        let told = move |verdict: DispatchStatus, report: Option<LoadReport>, took: TimeDelta| {
             handle.call(Call::Probed { engine: id, outcome: outcome(verdict, report, took) });
         };
         let taken = self.engines.get(&id).is_some_and(|known| known.engine.probe(Box::new(told)));
         if !taken {
-            let outcome = outcome(Verdict::TimedOut, Report::new(), Span::default());
+            let outcome = outcome(DispatchStatus::TimedOut, None, TimeDelta::default());
             let now = clock::now();
-            let decided = self.logic.probed(now, id, outcome);
+            let decided = self.logic.health_check_finished(now, id, outcome);
             self.carry_out(now, decided);
         }
     }
@@ -393,7 +395,7 @@
         self.listed(clock::now(), Event { offset: 0, complete: true, engines, odd: vec![] }, None);
     }
 
-    fn listed(&mut self, now: Moment, event: Event, complete: Option<Moment>) {
+    fn listed(&mut self, now: Timestamp, event: Event, complete: Option<Timestamp>) {
         self.start_clock.observe(now, StartClock::wall());
         let position = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let mut listings = Vec::with_capacity(event.engines.len());
@@ -407,13 +409,13 @@
             named.push(id);
             let started = entry.started.map(|stamp| self.start_of(id, stamp, now, complete));
             self.know(id, address, entry.stage, started);
-            listings.push(Listing {
+            listings.push(Endpoint {
                 engine: id,
                 machine: position(&self.machines, &entry.machine).unwrap_or(usize::MAX),
                 location: position(&self.zones, &entry.zone).unwrap_or(usize::MAX),
                 cell: entry.cell,
-                stage: entry.stage,
-                ready_at: started.map(|start| start.at),
+                lifecycle: entry.stage,
+                started_at: started.map(|start| start.at),
                 capacity_hint: entry.weight,
                 name: entry.name,
             });
@@ -426,22 +428,22 @@
             "engine list: event {} with {} entries, {} engines running",
             event.offset,
             listings.len(),
-            self.engines.values().filter(|known| known.stage == Stage::Running).count()
+            self.engines.values().filter(|known| known.stage == LifecycleState::Running).count()
         );
-        let decided = self.logic.engines_changed(now, event.complete, listings);
+        let decided = self.logic.endpoints_changed(now, event.complete, listings);
         self.carry_out(now, decided);
     }
 
     /// A start that was told before stays where it was on the program's clock.
-    fn start_of(&self, id: EngineId, stamp: UnixTime, now: Moment, complete: Option<Moment>) -> Start {
+    fn start_of(&self, id: EngineId, stamp: UnixTime, now: Timestamp, complete: Option<Timestamp>) -> Start {
         let told = self.engines.get(&id).and_then(|known| known.started);
         let carried = || Start { stamp, at: self.start_clock.started(stamp, now, complete) };
         told.filter(|start| start.stamp == stamp).unwrap_or_else(carried)
     }
 
     /// Keeps the handle on an engine in step with the list.
-    fn know(&mut self, id: EngineId, address: SocketAddr, stage: Stage, started: Option<Start>) {
-        let same = |known: &&mut Known| known.address == address && known.stage != Stage::Gone;
+    fn know(&mut self, id: EngineId, address: SocketAddr, stage: LifecycleState, started: Option<Start>) {
+        let same = |known: &&mut Known| known.address == address && known.stage != LifecycleState::Gone;
         if let Some(known) = self.engines.get_mut(&id).filter(same) {
             let before = known.started.map(|start| start.stamp);
             if let Some(start) = started.filter(|start| before != Some(start.stamp)) {
@@ -451,14 +453,16 @@
         } else {
             self.forget(id);
             // Whoever had a new engine's address before has gone, whether or not that was told.
-            for old in self.engines.values().filter(|old| old.address == address && stage == Stage::Running) {
+            for old in
+                self.engines.values().filter(|old| old.address == address && stage == LifecycleState::Running)
+            {
                 old.engine.gone();
             }
             let engine = Engine::new(&self.owners, self.numbers.name(id), address);
             self.engines.insert(id, Known { engine, address, started, stage });
         }
-        self.engines[&id].engine.open(stage == Stage::Running);
-        if stage == Stage::Gone {
+        self.engines[&id].engine.open(stage == LifecycleState::Running);
+        if stage == LifecycleState::Gone {
             self.forget(id);
         }
     }
@@ -494,14 +498,14 @@
         matches!(self.stage, JobStage::Started(_))
     }
 
-    fn answer(&self, answer: Answer) {
+    fn answer(&self, answer: FinalAnswer) {
         match answer {
-            Answer::Throttled(pause) => {
+            FinalAnswer::Rejected { retry_after } => {
                 counts::THROTTLED.add();
                 self.ledger.throttled();
-                self.responder.answer(&Reply::Throttled(pause));
+                self.responder.answer(&Reply::Throttled(retry_after));
             }
-            Answer::Cancelled => {
+            FinalAnswer::Cancelled => {
                 counts::CANCELLED.add();
                 self.responder.answer(&Reply::Failed("cancelled"));
             }
--- a/crates/server/src/service/acceptor.rs
+++ b/crates/server/src/service/acceptor.rs
@@ -11,7 +11,7 @@
 use crate::startup::patiently;
 use mio::unix::SourceFd;
 use mio::{Events, Interest, Poll, Token};
-use pebblevane::interface::*;
+use pebblevane::time::*;
 use std::collections::HashMap;
 use std::io::ErrorKind;
 use std::net::{TcpListener, TcpStream};
@@ -62,7 +62,7 @@
     piece: Vec<u8>,
     arrivals: Arrivals,
     /// When what is read now came, or before that it can't have come.
-    arrived: Moment,
+    arrived: Timestamp,
     /// The last wait ended at once.
     at_once: bool,
     /// Waits so far.
@@ -104,7 +104,7 @@
             let began = clock::now();
             // An interrupted wait is one without events.
             let interrupted = self.poll.poll(&mut events, Some(wait)).is_err();
-            let (ended, longest) = (clock::now(), Span(wait.as_micros() as i64));
+            let (ended, longest) = (clock::now(), TimeDelta(wait.as_micros() as i64));
             let wait = Wait { began, ended, longest, interrupted };
             (self.arrived, self.at_once) = (self.arrivals.earliest(&wait), wait.found_at_once());
             self.pass += 1;
@@ -147,7 +147,7 @@
     }
 
     /// Takes the next steps of a stop; says whether it is over.
-    fn stop(&mut self, steps: &Steps, now: Moment) -> bool {
+    fn stop(&mut self, steps: &Steps, now: Timestamp) -> bool {
         if now < steps.coming {
             return false;
         }
--- a/crates/server/src/service/arrivals.rs
+++ b/crates/server/src/service/arrivals.rs
@@ -1,26 +1,26 @@
 //! When what is found on connections may have come. A program that is short of its core finds requests some time after
 //! they came, and their clients' waits have run on meanwhile.
 
-use pebblevane::interface::{Moment, Span};
+use pebblevane::time::{TimeDelta, Timestamp};
 
 /// A wait for events that ends within this time found them there: the call alone takes a program with a tenth of a core
 /// some tenths of a millisecond. Counting what came within it from the wait before is wrong by no more than a pass.
-const AT_ONCE: Span = Span(2_000);
+const AT_ONCE: TimeDelta = TimeDelta(2_000);
 /// A wait that ends this much later than it was to was held up.
-const HELD_UP: Span = Span(10_000);
+const HELD_UP: TimeDelta = TimeDelta(10_000);
 
 /// The waits for events of one thread.
 pub struct Arrivals {
     /// Whatever had come by then has been found.
-    seen_until: Moment,
+    seen_until: Timestamp,
 }
 
 /// One wait for events.
 pub struct Wait {
-    pub began: Moment,
-    pub ended: Moment,
+    pub began: Timestamp,
+    pub ended: Timestamp,
     /// How long it was to be at the most.
-    pub longest: Span,
+    pub longest: TimeDelta,
     pub interrupted: bool,
 }
 
@@ -32,12 +32,12 @@
 }
 
 impl Arrivals {
-    pub fn new(now: Moment) -> Arrivals {
+    pub fn new(now: Timestamp) -> Arrivals {
         Arrivals { seen_until: now }
     }
 
     /// The earliest time at which events that a wait has found can have come, as far as the wait tells.
-    pub fn earliest(&mut self, wait: &Wait) -> Moment {
+    pub fn earliest(&mut self, wait: &Wait) -> Timestamp {
         let took = wait.ended - wait.began;
         let held_up = took > wait.longest + HELD_UP;
         let earliest = match () {
--- a/crates/server/src/service/bus.rs
+++ b/crates/server/src/service/bus.rs
@@ -6,7 +6,7 @@
 use crate::service::clock;
 use crate::wire::bus::{self, Line};
 use crossbeam_channel::{Receiver, Sender, bounded};
-use pebblevane::interface::Moment;
+use pebblevane::time::Timestamp;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -96,7 +96,7 @@
         connected: std::io::Result<TcpStream>,
         last: &mut u64,
         gap: &mut Option<u64>,
-        complete: &mut Option<Moment>,
+        complete: &mut Option<Timestamp>,
     ) -> String {
         let mut stream = match connected {
             Ok(stream) => BufReader::new(stream),
--- a/crates/server/src/service/client_connection.rs
+++ b/crates/server/src/service/client_connection.rs
@@ -12,6 +12,7 @@
 use crate::wire::client::{self as wire, Ask, Frame, Message, Reply};
 use crate::wire::sql;
 use pebblevane::interface::*;
+use pebblevane::time::*;
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read};
 use std::sync::Arc;
@@ -77,7 +78,7 @@
     /// Since when a message is due: the first since it was accepted, one that has begun since its first byte.
     pub owes: Option<Instant>,
     /// The pass that accepted it, and since when it may have waited for that.
-    pub accepted: (u64, Moment),
+    pub accepted: (u64, Timestamp),
     /// No whole message has come on it: its first request may be on its way.
     pub fresh: bool,
     pub useless: u32,
@@ -127,7 +128,7 @@
 
     /// Reads what is there, then deals with it: a client that has left behind its messages, or taken them back, is
     /// heard before any of them is taken. Says whether more may be there.
-    pub fn read(&mut self, shared: &Shared, piece: &mut [u8], arrived: Moment) -> Result<bool, End> {
+    pub fn read(&mut self, shared: &Shared, piece: &mut [u8], arrived: Timestamp) -> Result<bool, End> {
         let client = self.client.clone();
         let mut position = client.reading();
         let more = self.read_and_handle(shared, piece, arrived);
@@ -135,7 +136,12 @@
         more
     }
 
-    fn read_and_handle(&mut self, shared: &Shared, piece: &mut [u8], arrived: Moment) -> Result<bool, End> {
+    fn read_and_handle(
+        &mut self,
+        shared: &Shared,
+        piece: &mut [u8],
+        arrived: Timestamp,
+    ) -> Result<bool, End> {
         let mut more = true;
         for _ in 0..TURN {
             let count = match (&self.client.stream).read(piece) {
@@ -176,7 +182,7 @@
     }
 
     /// Deals with all messages that have come whole.
-    fn handle_buffered(&mut self, shared: &Shared, arrived: Moment) -> Result<(), End> {
+    fn handle_buffered(&mut self, shared: &Shared, arrived: Timestamp) -> Result<(), End> {
         let (mut done, mut messages, mut broken) = (0, Vec::new(), None);
         loop {
             match wire::frame(&self.bytes[done..]) {
@@ -235,7 +241,7 @@
 }
 
 /// Deals with one message; says whether it was of use.
-fn handle(shared: &Shared, client: &Arc<Client>, message: Message, arrived: Moment) -> Result<bool, End> {
+fn handle(shared: &Shared, client: &Arc<Client>, message: Message, arrived: Timestamp) -> Result<bool, End> {
     // Whatever were answered under the number of an open request would be taken for that one's answer.
     let number = match &message {
         Message::Job(ask) => Some(ask.message),
@@ -265,7 +271,7 @@
 }
 
 /// Hands a job to the module and to a thread of its own; says whether it could.
-fn take(shared: &Shared, client: &Arc<Client>, ask: Ask, arrived: Moment) -> bool {
+fn take(shared: &Shared, client: &Arc<Client>, ask: Ask, arrived: Timestamp) -> bool {
     let Some(taken) = shared.names.take(&ask.id) else {
         counts::UNUSABLE.add();
         client.write(ask.message, &Reply::Failed("field i is that of an open request"));
@@ -280,16 +286,16 @@
         return false;
     };
     let job = Job {
-        reservation: ask.reservation,
-        left: ask.left,
+        class: ask.reservation,
+        time_left: ask.left,
         cost: ask.cost,
         memory_mb: ask.memory_mb,
-        group: sql::group(&ask.statement).unwrap_or(0),
-        repeat: ask.repeat,
+        table_group: sql::group(&ask.statement).unwrap_or(0),
+        is_retry: ask.repeat,
         ..Job::default()
     };
     let deadline = arrived + ask.left;
-    tracing::debug!("job {}: taken, {:.0} ms left", ask.id, (deadline - clock::now()).ms());
+    tracing::debug!("job {}: taken, {:.0} ms left", ask.id, (deadline - clock::now()).as_millis_f64());
     let admitted = AdmittedJob {
         responder: Arc::new(Responder::new(client.clone(), ask.message, &ask.id, taken, deadline)),
         ledger: Arc::new(DispatchLedger::new(&ask.id, shared.rules[ask.reservation], deadline)),
--- a/crates/server/src/service/clock.rs
+++ b/crates/server/src/service/clock.rs
@@ -1,20 +1,20 @@
 //! The program's one clock: monotonic, whatever is done to the wall clock. Its zero means nothing; it begins late enough
 //! for a moment of zero to be long ago.
 
-use pebblevane::interface::Moment;
+use pebblevane::time::Timestamp;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-const FIRST: Moment = Moment(1_000_000_000_000);
+const FIRST: Timestamp = Timestamp(1_000_000_000_000);
 
 static START: OnceLock<Instant> = OnceLock::new();
 
-pub fn now() -> Moment {
+pub fn now() -> Timestamp {
     let elapsed = START.get_or_init(Instant::now).elapsed();
-    Moment(FIRST.0 + elapsed.as_micros() as i64)
+    Timestamp(FIRST.0 + elapsed.as_micros() as i64)
 }
 
 /// The time until then.
-pub fn until(at: Moment) -> Duration {
+pub fn until(at: Timestamp) -> Duration {
     Duration::from_micros((at - now()).0.max(0) as u64)
 }
--- a/crates/server/src/service/config.rs
+++ b/crates/server/src/service/config.rs
@@ -1,10 +1,11 @@
 //! The configuration, checked before anything starts.
 
 use crate::memory::dispatch_ledger::RepeatRules;
-use crate::memory::engines::Terms;
+use crate::memory::engines::ConnectionSettings;
 use crate::wire::bus::{self, Event};
-use pebblevane::interface::{Settings, Span};
-use pebblevane_door::{Fields, Told, settings};
+use pebblevane::settings::Settings;
+use pebblevane::time::TimeDelta;
+use pebblevane_adapter_common::{Fields, Told, settings};
 use serde_json::Value as Json;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -95,20 +96,20 @@
     }
 
     /// How long a client waits at most, as far as the settings tell.
-    pub fn longest_wait(&self) -> Span {
+    pub fn longest_wait(&self) -> TimeDelta {
         let types = 0..self.settings.entries("Classes", "Name");
         let waits = types.map(|i| self.settings.number(&format!("Classes.{i}.GiveUp")).unwrap_or(f64::MAX));
-        Span::from_ms(waits.fold(0.0, f64::max))
+        TimeDelta::from_millis_f64(waits.fold(0.0, f64::max))
     }
 
     /// How connections to engines are kept. One that has been idle nearly as long as engines allow is not
     /// used again, since its end may be under way.
-    pub fn terms(&self, connections: usize) -> Terms {
+    pub fn terms(&self, connections: usize) -> ConnectionSettings {
         let span = |name: &str, absent: f64| {
             let told = self.settings.number(name).filter(|ms| *ms > 0.0).unwrap_or(absent);
             Duration::from_micros((told * 1000.0) as u64)
         };
-        Terms {
+        ConnectionSettings {
             streams: self.settings.number("Ceilings.StreamsPerConn").unwrap_or(32.0).max(1.0) as usize,
             dial: span("Ceilings.DialTimeout", 250.0),
             idle: span("Ceilings.ConnIdle", 15_000.0) * 3 / 4,
--- a/crates/server/src/service/reload.rs
+++ b/crates/server/src/service/reload.rs
@@ -3,7 +3,7 @@
 
 use super::bus::Bus;
 use super::config::Config;
-use pebblevane_door::Told;
+use pebblevane_adapter_common::Told;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
--- a/crates/server/src/service/shutdown.rs
+++ b/crates/server/src/service/shutdown.rs
@@ -3,24 +3,24 @@
 
 use crate::module::Module;
 use crate::service::clock;
-use pebblevane::interface::{Moment, Span};
+use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::OnceLock;
 use std::sync::atomic::Ordering::SeqCst;
 
-const COMING: Span = Span(1_000_000); // new jobs may still come for so long after the signal
-const AFTER: Span = Span(400_000); // so long after the longest wait every job has its answer: a kill may follow
-const LONGEST: Span = Span(3_000_000); // but a kill counts no wait as longer than this
-const LEAVING: Span = Span(200_000); // for the last answers to leave: a kill comes 0.1 s later at the soonest
+const COMING: TimeDelta = TimeDelta(1_000_000); // new jobs may still come for so long after the signal
+const AFTER: TimeDelta = TimeDelta(400_000); // so long after the longest wait every job has its answer: a kill may follow
+const LONGEST: TimeDelta = TimeDelta(3_000_000); // but a kill counts no wait as longer than this
+const LEAVING: TimeDelta = TimeDelta(200_000); // for the last answers to leave: a kill comes 0.1 s later at the soonest
 
 /// When each step of a stop ends.
 #[derive(Clone, Copy)]
 pub struct Steps {
     /// Until then new connections are accepted, and those that rest are kept.
-    pub coming: Moment,
+    pub coming: Timestamp,
     /// By then all that was taken has its answer.
-    pub answered: Moment,
+    pub answered: Timestamp,
     /// Then the program ends, whatever is still open.
-    pub over: Moment,
+    pub over: Timestamp,
 }
 
 #[derive(Default)]
@@ -37,7 +37,7 @@
 }
 
 /// Begins the stop. Told once more, it changes nothing.
-pub fn begin(module: &Module, health: &Health, longest_wait: Span) {
+pub fn begin(module: &Module, health: &Health, longest_wait: TimeDelta) {
     let told = clock::now();
     let answered = told + longest_wait.min(LONGEST) + AFTER;
     let steps = Steps { coming: (told + COMING).min(answered), answered, over: answered + LEAVING };
--- a/crates/server/src/service/start_clock.rs
+++ b/crates/server/src/service/start_clock.rs
@@ -3,24 +3,24 @@
 //! the monotonic clock where the wall clock that stamped it was.
 
 use crate::wire::bus::UnixTime;
-use pebblevane::interface::{Moment, Span};
+use pebblevane::time::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
 use std::time::SystemTime;
 
 /// A change of the wall clock against the monotonic clock by more than this is a step; less is its ordinary drift.
-const STEP: Span = Span(50_000);
+const STEP: TimeDelta = TimeDelta(50_000);
 /// Steps that are remembered: further ones push out the oldest.
 const MOST_STEPS: usize = 16;
 /// A stamp may be this far ahead: its clock is read in whole milliseconds, and elsewhere.
-const AHEAD: Span = Span(100_000);
+const AHEAD: TimeDelta = TimeDelta(100_000);
 /// The list tells a start this much later at the most: 7 s by the protocol, and the time until it is listed.
-const LATEST_TELLING: Span = Span(10_000_000);
+const LATEST_TELLING: TimeDelta = TimeDelta(10_000_000);
 
 /// What the wall clock has shown over the monotonic clock since the program's start.
 #[derive(Default)]
 pub struct StartClock {
     /// Wall-clock time less monotonic time: the present offset last, those before earlier steps in front of it.
-    offsets: VecDeque<Span>,
+    offsets: VecDeque<TimeDelta>,
 }
 
 impl StartClock {
@@ -31,13 +31,16 @@
     }
 
     /// Notes both clocks, read together.
-    pub fn observe(&mut self, now: Moment, wall: UnixTime) {
-        let offset = Span(wall.0.saturating_sub(now.0));
+    pub fn observe(&mut self, now: Timestamp, wall: UnixTime) {
+        let offset = TimeDelta(wall.0.saturating_sub(now.0));
         match self.offsets.back_mut() {
             Some(last) if (offset.0 - last.0).abs() <= STEP.0 => *last = offset,
             last => {
                 if last.is_some() {
-                    tracing::info!("the wall clock was stepped: {} ms over the monotonic clock", offset.ms());
+                    tracing::info!(
+                        "the wall clock was stepped: {} ms over the monotonic clock",
+                        offset.as_millis_f64()
+                    );
                 }
                 self.offsets.push_back(offset);
             }
@@ -51,10 +54,10 @@
     /// that is not ahead: an engine taken for younger than it is gets less than it bears, the other way it falls.
     /// Where the list was `complete` without this start some time ago, it did not happen long before that. A stamp
     /// that fits nothing is of a start just now: all that are told of it at the same time then agree on it.
-    pub fn started(&self, stamp: UnixTime, now: Moment, complete: Option<Moment>) -> Moment {
-        let readings = self.offsets.iter().map(|offset| Moment(stamp.0.saturating_sub(offset.0)));
+    pub fn started(&self, stamp: UnixTime, now: Timestamp, complete: Option<Timestamp>) -> Timestamp {
+        let readings = self.offsets.iter().map(|offset| Timestamp(stamp.0.saturating_sub(offset.0)));
         let latest = readings.filter(|reading| *reading <= now + AHEAD).max();
-        let earliest = complete.map_or(Moment(i64::MIN), |complete| complete - LATEST_TELLING);
+        let earliest = complete.map_or(Timestamp(i64::MIN), |complete| complete - LATEST_TELLING);
         latest.filter(|reading| *reading >= earliest).unwrap_or(now)
     }
 }
--- a/crates/server/src/wire/bus.rs
+++ b/crates/server/src/wire/bus.rs
@@ -1,7 +1,7 @@
 //! The lines of the event bus: numbered changes of the engine list, and a heartbeat.
 
-use pebblevane::interface::Stage;
-use pebblevane_door::{Fields, Told};
+use pebblevane::interface::LifecycleState;
+use pebblevane_adapter_common::{Fields, Told};
 use serde_json::Value as Json;
 
 /// Wall-clock time in microseconds of Unix time, as whoever stamped it read it: not a time of the program's own clock.
@@ -39,7 +39,7 @@
     pub zone: String,
     pub machine: String,
     pub cell: usize,
-    pub stage: Stage,
+    pub stage: LifecycleState,
     pub weight: f64,
     pub started: Option<UnixTime>,
 }
@@ -78,9 +78,9 @@
         machine: entry.text("machineType")?.to_string(),
         cell: entry.whole_or_zero("cell")? as usize,
         stage: match entry.text("lifecycle")? {
-            "in_service" => Stage::Running,
-            "terminating" => Stage::Draining,
-            "terminated" => Stage::Gone,
+            "in_service" => LifecycleState::Running,
+            "terminating" => LifecycleState::Draining,
+            "terminated" => LifecycleState::Gone,
             _ => return Err(entry.wrong("lifecycle", "in_service, terminating or terminated")),
         },
         weight: entry.number_or("weight", 1.0)?,
--- a/crates/server/src/wire/client.rs
+++ b/crates/server/src/wire/client.rs
@@ -1,6 +1,6 @@
 //! MessagePack-RPC as clients speak it.
 
-use pebblevane::interface::Span;
+use pebblevane::time::TimeDelta;
 use rmp::Marker;
 use rmp::{decode, encode};
 
@@ -39,9 +39,9 @@
     /// Goes on to the engines unchanged.
     pub id: Box<str>,
     pub reservation: usize,
-    pub left: Span,
+    pub left: TimeDelta,
     pub repeat: bool,
-    pub cost: Option<Span>,
+    pub cost: Option<TimeDelta>,
     pub memory_mb: Option<f64>,
     pub statement: Box<[u8]>,
 }
@@ -184,9 +184,9 @@
         message,
         id: id.ok_or_else(|| off("field i"))?,
         reservation,
-        left: Span::from_ms(left.ok_or_else(|| off("field d"))?),
+        left: TimeDelta::from_millis_f64(left.ok_or_else(|| off("field d"))?),
         repeat,
-        cost: cost.map(Span::from_ms),
+        cost: cost.map(TimeDelta::from_millis_f64),
         memory_mb: memory.filter(|memory| *memory > 0.0),
         statement: statement.into(),
     })
@@ -201,7 +201,7 @@
 /// How an answer to a job reads.
 pub enum Reply<'a> {
     Done(&'a [u8]),
-    Throttled(Span),
+    Throttled(TimeDelta),
     Failed(&'a str),
     Well(bool),
 }
@@ -243,7 +243,7 @@
         Reply::Throttled(pause) if pause.0 > 0 => {
             encode::write_map_len(to, 1)?;
             encode::write_str(to, "w")?;
-            encode::write_str(to, &format!("{:.0}", pause.ms().ceil()))?;
+            encode::write_str(to, &format!("{:.0}", pause.as_millis_f64().ceil()))?;
         }
         Reply::Failed(why) if !why.is_empty() => {
             encode::write_map_len(to, 1)?;
--- a/crates/server/src/wire/engine.rs
+++ b/crates/server/src/wire/engine.rs
@@ -1,6 +1,7 @@
 //! The line protocol of the engines.
 
-use pebblevane::interface::{Note, Report};
+use pebblevane::interface::{ActualCost, LoadReport, ProgressUpdate};
+use pebblevane::time::TimeDelta;
 
 const LONGEST_LINE: usize = 4096;
 const LONGEST_PAGE: usize = 6_000;
@@ -36,19 +37,19 @@
     Hit {
         page: Vec<u8>,
         sheets: u32,
-        bill: Option<(f64, f64)>,
-        report: Report,
+        bill: Option<ActualCost>,
+        report: Option<LoadReport>,
     },
     Part {
         page: Vec<u8>,
         sheet: u32,
     },
-    Info(Option<Note>),
-    Shed(Report),
-    Fault(Report),
-    Late(Report),
-    Pong(Report),
-    Sick(Report),
+    Info(Option<ProgressUpdate>),
+    Shed(Option<LoadReport>),
+    Fault(Option<LoadReport>),
+    Late(Option<LoadReport>),
+    Pong(Option<LoadReport>),
+    Sick(Option<LoadReport>),
 }
 
 /// The first answer with its id, and how many bytes it takes; none if it has not come whole. What can't become
@@ -73,7 +74,7 @@
         fields.into_iter().find(|(told, _)| *told == name).map(|(_, value)| value)
     };
     let number = |name: &str| get(name).and_then(|value| value.parse::<f64>().ok()).filter(|x| x.is_finite());
-    let report = || get("meter").map(report).unwrap_or_default();
+    let report = || get("meter").and_then(report);
     let word = match word {
         "HIT" => Word::Hit {
             page,
@@ -81,7 +82,10 @@
                 None => 1,
                 Some(told) => told.parse().map_err(|_| "an odd number of pages")?,
             },
-            bill: number("toil").zip(number("room")),
+            bill: number("toil").zip(number("room")).map(|(work_ms, memory_mb)| ActualCost {
+                work: TimeDelta::from_millis_f64(work_ms),
+                memory_mb,
+            }),
             report: report(),
         },
         "PART" => {
@@ -89,10 +93,10 @@
             Word::Part { page, sheet: sheet.ok_or("a page without its number")? }
         }
         "INFO" => Word::Info(match (get("tell"), number("val")) {
-            (Some("advance"), Some(share)) => Some(Note::Share(share)),
-            (Some("disk"), Some(missing)) => Some(Note::Spills(missing)),
-            (Some("stall"), Some(1.0)) => Some(Note::WaitsForMemory),
-            (Some("stall"), Some(2.0)) => Some(Note::WaitsForLoad),
+            (Some("advance"), Some(share)) => Some(ProgressUpdate::CompletedFraction(share)),
+            (Some("disk"), Some(missing)) => Some(ProgressUpdate::SpillingToDisk(missing)),
+            (Some("stall"), Some(1.0)) => Some(ProgressUpdate::WaitingForMemory),
+            (Some("stall"), Some(2.0)) => Some(ProgressUpdate::WaitingForBulkLoad),
             _ => None,
         }),
         "SHED" => Word::Shed(report()),
@@ -116,23 +120,16 @@
     std::str::from_utf8(page).is_ok_and(|text| text.split_inclusive('\n').all(row))
 }
 
-/// A load report as in `inflight:7;util:0.61`, under the names that the settings use.
-fn report(told: &str) -> Report {
-    let pairs = told.split(';').filter_map(|pair| pair.split_once(':'));
+/// A load report as in `inflight:7;util:0.61`; none if it holds no numbers.
+fn report(fields: &str) -> Option<LoadReport> {
+    let pairs = fields.split(';').filter_map(|pair| pair.split_once(':'));
     let values = pairs.filter_map(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
-    values
-        .filter(|(_, value)| value.is_finite())
-        .map(|(name, value)| {
-            let name = match name {
-                "inflight" => "concurrent",
-                "queue" => "depth",
-                "util" => "load_share",
-                "latency_ms" => "mean_ms",
-                "qps" => "tps",
-                "eps" => "err_ps",
-                other => other,
-            };
-            (name.to_string(), value)
-        })
-        .collect()
+    let values: Vec<(&str, f64)> = values.filter(|(_, value)| value.is_finite()).collect();
+    let value =
+        |names: &[&str]| values.iter().find(|(name, _)| names.contains(name)).map(|(_, value)| *value);
+    (!values.is_empty()).then(|| LoadReport {
+        jobs_in_flight: value(&["inflight", "concurrent"]),
+        processor_utilization: value(&["util", "load_share"]),
+        memory_utilization: value(&["x0"]),
+    })
 }
--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/owners.rs
@@ -23,9 +23,9 @@
 use memory::budget::Budget;
 use memory::clients::CancelToken;
 use memory::dispatch_ledger::{DispatchLedger, RepeatRules};
-use memory::engines::{DispatchHandle, Engine, Request, Terms};
+use memory::engines::{ConnectionSettings, DispatchHandle, Engine, Request};
 use memory::owners::Owners;
-use pebblevane::interface::Span;
+use pebblevane::time::TimeDelta;
 use service::clock;
 use std::io::Read;
 use std::sync::Arc;
@@ -47,7 +47,7 @@
 
 /// Owners that wait long for a connection and have a few of them.
 fn start_owners() -> Arc<Owners> {
-    let terms = Terms {
+    let terms = ConnectionSettings {
         streams: 32,
         dial: Duration::from_secs(9),
         idle: Duration::from_secs(9),
@@ -69,12 +69,12 @@
         let crowded = Crowded::start();
         let engine = Engine::new(&owners, "e0", crowded.address.parse().unwrap());
         let wanted = Arc::new(CancelToken::default());
-        let far = clock::now() + Span(60_000_000);
+        let far = clock::now() + TimeDelta(60_000_000);
         let request = Request {
             id: "0123456789abcdef".into(),
             class: "load".into(),
             ends: far,
-            begin_by: if what == "late" { clock::now() + Span(100_000) } else { far },
+            begin_by: if what == "late" { clock::now() + TimeDelta(100_000) } else { far },
             wanted: wanted.clone(),
             ledger: Arc::new(DispatchLedger::new("0123456789abcdef", rules, far)),
             rank: None,
@@ -114,7 +114,7 @@
 /// is: here a dispatch that is given up.
 #[test]
 fn owners_go_on_where_no_thread_can_be_made() {
-    let far = clock::now() + Span(60_000_000);
+    let far = clock::now() + TimeDelta(60_000_000);
     let owners = start_owners();
     let crowded = Crowded::start();
     let engine = Engine::new(&owners, "refused", crowded.address.parse().unwrap());
--- a/crates/server/tests/start_clock.rs
+++ b/crates/server/tests/start_clock.rs
@@ -10,7 +10,7 @@
 mod wire;
 
 use expect_test::expect;
-use pebblevane::interface::Moment;
+use pebblevane::time::Timestamp;
 use service::start_clock::StartClock;
 use wire::bus::UnixTime;
 
@@ -23,13 +23,13 @@
 /// its stamp was `ago` seconds before that by a wall clock `stamped` seconds ahead of the first one.
 fn age(steps: &[i64], stamped: i64, ago: i64, complete: Option<i64>) -> f64 {
     let mut clock = StartClock::default();
-    clock.observe(Moment(400 * SECOND), UnixTime(WALL + 400 * SECOND));
+    clock.observe(Timestamp(400 * SECOND), UnixTime(WALL + 400 * SECOND));
     for (at, step) in (497..).zip(steps) {
-        clock.observe(Moment(at * SECOND), UnixTime(WALL + (at + step) * SECOND));
+        clock.observe(Timestamp(at * SECOND), UnixTime(WALL + (at + step) * SECOND));
     }
     let stamp = UnixTime(WALL + NOW + (stamped - ago) * SECOND);
-    let started = clock.started(stamp, Moment(NOW), complete.map(|at| Moment(at * SECOND)));
-    (Moment(NOW) - started).ms() / 1000.0
+    let started = clock.started(stamp, Timestamp(NOW), complete.map(|at| Timestamp(at * SECOND)));
+    (Timestamp(NOW) - started).as_millis_f64() / 1000.0
 }
 
 #[test]
--- a/crates/wirehost/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -10,33 +10,33 @@
     fn engine(&self, engine: EngineId) -> &str;
 }
 
-pub fn steps(decided: &Decided, names: &impl Names, steps: &mut Vec<Json>) {
+pub fn steps(decided: &Actions, names: &impl Names, steps: &mut Vec<Json>) {
     let manager = names.manager();
-    let set_terms = |job: JobId, terms: &Terms| {
-        json!({"SetTerms": {"ManagerId": manager, "RequestId": names.request(job), "Rank": terms.rank,
-            "GrantMb": terms.grant_mb}})
+    let set_terms = |job: JobId, terms: &DispatchOptions| {
+        json!({"SetTerms": {"ManagerId": manager, "RequestId": names.request(job), "Rank": terms.priority,
+            "GrantMb": terms.memory_grant_mb}})
     };
-    for &(job, copy) in &decided.recalls {
-        let id = names.request(job);
-        steps.push(json!({"Revoke": {"ManagerId": manager, "RequestId": id, "Copy": copy}}));
+    for dispatch in &decided.cancellations {
+        let id = names.request(dispatch.job);
+        steps.push(json!({"Revoke": {"ManagerId": manager, "RequestId": id, "Copy": dispatch.attempt}}));
     }
     for &(job, answer) in &decided.answers {
         let id = names.request(job);
         steps.push(match answer {
-            Answer::Throttled(back_in) => {
-                json!({"Reject": {"ManagerId": manager, "RequestId": id, "Pause": back_in.ms()}})
+            FinalAnswer::Rejected { retry_after } => {
+                json!({"Reject": {"ManagerId": manager, "RequestId": id, "Pause": retry_after.as_millis_f64()}})
             }
-            Answer::Cancelled => json!({"EndFailed": {"ManagerId": manager, "RequestId": id}}),
+            FinalAnswer::Cancelled => json!({"EndFailed": {"ManagerId": manager, "RequestId": id}}),
         });
     }
     for dispatch in &decided.dispatches {
-        if let Some(terms) = &dispatch.terms {
+        if let Some(terms) = &dispatch.options {
             steps.push(set_terms(dispatch.job, terms));
         }
         steps.push(json!({"Attempt": {"ManagerId": manager, "RequestId": names.request(dispatch.job),
-            "Engine": names.engine(dispatch.engine), "Limit": dispatch.limit.ms()}}));
+            "Engine": names.engine(dispatch.engine), "Limit": dispatch.timeout.as_millis_f64()}}));
     }
-    for &engine in &decided.probes {
+    for &engine in &decided.health_checks {
         steps.push(json!({"Touch": {"ManagerId": manager, "Engine": names.engine(engine)}}));
     }
     if decided.subscribe {
--- a/crates/wirehost/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -2,9 +2,10 @@
 
 use crate::decode::Wire;
 use crate::encode::{self, Names};
+use pebblevane::controller::AdmissionController;
 use pebblevane::interface::*;
-use pebblevane::logic::Logic;
-use pebblevane_door::{Engines, Fields, Told, settings};
+use pebblevane::time::*;
+use pebblevane_adapter_common::{Engines, Fields, Told, settings};
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, HashMap};
 
@@ -16,14 +17,14 @@
 
 struct Instance {
     manager: String,
-    logic: Logic,
+    logic: AdmissionController,
     reservations: usize,
     engines: Engines,
     jobs: HashMap<u32, JobId>,
     requests: BTreeMap<JobId, u32>,
     taken: u32,
     /// The earliest wake for which a timer is pending.
-    timer: Option<Moment>,
+    timer: Option<Timestamp>,
 }
 
 impl Names for Instance {
@@ -45,7 +46,7 @@
         let fields = Fields { name: "batch", json: &batch };
         let turn = fields.whole("turn")?;
         let of_turn = |trouble: String| format!("batch {turn}: {trouble}");
-        let now = Moment::from_ms(fields.number("Clock").map_err(of_turn)?);
+        let now = Timestamp::from_millis_f64(fields.number("Clock").map_err(of_turn)?);
         let mut steps = Vec::new();
         for event in fields.list("arrivals").map_err(of_turn)? {
             let (name, body) = event
@@ -60,7 +61,7 @@
         Ok(json!({"turn": turn, "steps": steps}).to_string())
     }
 
-    fn event(&mut self, now: Moment, event: Fields, steps: &mut Vec<Json>) -> Told<()> {
+    fn event(&mut self, now: Timestamp, event: Fields, steps: &mut Vec<Json>) -> Told<()> {
         if event.name == "Directory" {
             event.list("Members")?;
             self.tables.insert(event.whole_or_zero("Table")?, event.json["Members"].clone());
@@ -72,7 +73,7 @@
                 let conf = event.get("Conf").ok_or("Begin: field Conf is missing, an object is wanted")?;
                 let settings = settings(conf);
                 let reservations = settings.entries("Classes", "Aim");
-                let logic = Logic::new(now, event.whole_or_zero("Seed")?, settings);
+                let logic = AdmissionController::new(now, event.whole_or_zero("Seed")?, settings);
                 self.instances.insert(manager.to_string(), Instance::new(manager, logic, reservations));
                 return Ok(());
             }
@@ -94,7 +95,7 @@
 }
 
 impl Instance {
-    fn new(manager: &str, logic: Logic, reservations: usize) -> Instance {
+    fn new(manager: &str, logic: AdmissionController, reservations: usize) -> Instance {
         Instance {
             manager: manager.to_string(),
             logic,
@@ -108,7 +109,7 @@
     }
 
     /// Decodes an event into the call that it stands for; none if there is nothing to call.
-    fn call(&mut self, now: Moment, event: Fields, tables: &HashMap<u64, Json>) -> Told<Option<Decided>> {
+    fn call(&mut self, now: Timestamp, event: Fields, tables: &HashMap<u64, Json>) -> Told<Option<Actions>> {
         let job = match event.name {
             "Reply" | "Expired" | "Progress" | "HeadReceived" => {
                 match self.jobs.get(&(event.whole("RequestId")? as u32)) {
@@ -122,36 +123,38 @@
             "Ingress" => {
                 let request = event.whole("RequestId")? as u32;
                 let taken = event.job()?;
-                if taken.reservation >= self.reservations {
-                    return Err(format!("Ingress: field Type names the unknown class {}", taken.reservation));
+                if taken.class >= self.reservations {
+                    return Err(format!("Ingress: field Type names the unknown class {}", taken.class));
                 }
                 self.taken += 1;
                 self.jobs.insert(request, job);
                 self.requests.insert(job, request);
-                self.logic.take(now, job, taken)
+                self.logic.submit(now, job, taken)
             }
             "Reply" => {
                 let outcome = event.outcome()?;
-                self.logic.settle(now, job, event.whole_or_zero("Copy")? as u32, outcome)
+                self.logic.dispatch_finished(now, job, event.whole_or_zero("Copy")? as u32, outcome)
             }
             "Progress" => match event.note()? {
-                Some(note) => self.logic.progress(now, job, event.whole_or_zero("Copy")? as u32, note),
+                Some(note) => {
+                    self.logic.dispatch_progress(now, job, event.whole_or_zero("Copy")? as u32, note)
+                }
                 None => return Ok(None),
             },
-            "HeadReceived" => self.logic.answer_begun(now, job, event.whole_or_zero("Copy")? as u32),
-            "Expired" => self.logic.gone(now, job),
+            "HeadReceived" => self.logic.response_started(now, job, event.whole_or_zero("Copy")? as u32),
+            "Expired" => self.logic.client_disconnected(now, job),
             "Checked" => match self.engines.known(event.text("Engine")?) {
-                Some(engine) => self.logic.probed(now, engine, event.outcome()?),
+                Some(engine) => self.logic.health_check_finished(now, engine, event.outcome()?),
                 None => return Ok(None),
             },
             "TimeoutFired" => {
                 if self.timer.is_some_and(|due| due <= now) {
                     self.timer = None;
                 }
-                self.logic.wake(now)
+                self.logic.timer_fired(now)
             }
             "DirectoryUpdate" => match event.text("Kind")? {
-                "refused" => self.logic.list_refused(now),
+                "refused" => self.logic.endpoint_list_unavailable(now),
                 kind => {
                     let table = event.whole_or_zero("Table")?;
                     let members = tables.get(&table).and_then(Json::as_array).ok_or_else(|| {
@@ -163,22 +166,22 @@
                             Fields { name: "Members", json }.listing(|name| self.engines.number(name))?,
                         );
                     }
-                    self.logic.engines_changed(now, kind != "changes", listings)
+                    self.logic.endpoints_changed(now, kind != "changes", listings)
                 }
             },
             _ => return Ok(None),
         }))
     }
 
-    fn carry_out(&mut self, now: Moment, decided: Decided, steps: &mut Vec<Json>) {
+    fn carry_out(&mut self, now: Timestamp, decided: Actions, steps: &mut Vec<Json>) {
         encode::steps(&decided, self, steps);
-        if let Some(wake) = decided.next_wake.filter(|wake| self.timer.is_none_or(|due| *wake < due)) {
-            let from_now = (wake - now).ms().max(0.0);
+        if let Some(wake) = decided.next_timer.filter(|wake| self.timer.is_none_or(|due| *wake < due)) {
+            let from_now = (wake - now).as_millis_f64().max(0.0);
             steps.push(json!({"SetTimer": {"ManagerId": self.manager, "FromNow": from_now, "Tag": 0}}));
             self.timer = Some(wake.max(now));
         }
-        decided.forgotten.into_iter().for_each(|engine| self.engines.forget(engine));
-        for job in decided.released {
+        decided.forgotten_engines.into_iter().for_each(|engine| self.engines.forget(engine));
+        for job in decided.released_jobs {
             if let Some(request) = self.requests.remove(&job) {
                 self.jobs.remove(&request);
             }
--- a/examples/toy.rs
+++ b/examples/demo.rs
@@ -1,8 +1,8 @@
-//! A toy engine, a toy event bus and a toy client, to try the workload manager with:
+//! A demo engine, a demo event bus and a demo client, to try the workload manager with:
 //!
-//!     cargo run --example toy engine 127.0.0.1:7101
-//!     cargo run --example toy bus 127.0.0.1:7200
-//!     cargo run --example toy ask 127.0.0.1:7300 lookup "select * from sales_17.orders"
+//!     cargo run --example demo engine 127.0.0.1:7101
+//!     cargo run --example demo bus 127.0.0.1:7200
+//!     cargo run --example demo ask 127.0.0.1:7300 lookup "select * from sales_17.orders"
 //!
 //! The engine answers each job with a few rows after a moment. The bus passes on the events that it reads from
 //! standard input, a line each, and beats once a second.
--- a/src/logic.rs
+++ b/src/controller.rs
@@ -1,36 +1,41 @@
 //! Every decision of the gateway: which job goes to which engine, when, and what is throttled.
 //!
-//! How to call it: [`Logic::new`] takes the settings and a seed; then [`Logic::engines_changed`] tells the
-//! engine list, [`Logic::take`] hands over a job, [`Logic::settle`] and [`Logic::progress`] say how a
-//! dispatch fares, [`Logic::probed`] how a probe came out, and [`Logic::wake`] is due at the time last asked
-//! for; [`Logic::stopping`] announces the end. Each returns a [`Decided`], to be carried out in its order.
+//! How to call it: [`AdmissionController::new`] takes the settings and a seed; then [`AdmissionController::engines_changed`] tells the
+//! engine list, [`AdmissionController::take`] hands over a job, [`AdmissionController::settle`] and [`AdmissionController::progress`] say how a
+//! dispatch fares, [`AdmissionController::probed`] how a probe came out, and [`AdmissionController::wake`] is due at the time last asked
+//! for; [`AdmissionController::stopping`] announces the end. Each returns a [`Actions`], to be carried out in its order.
 //! `docs/design.md` tells why.
 
 use crate::interface::*;
+use crate::settings::*;
 use crate::state::*;
+use crate::time::*;
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
+/// What a rejected job's client is told to wait before it tries again.
+const RETRY_AFTER: TimeDelta = TimeDelta(1_000_000);
+
 /// What is to be done at some time.
-type Later = Box<dyn FnOnce(&mut Logic)>;
+type Later = Box<dyn FnOnce(&mut AdmissionController)>;
 
 const ALPHA: f64 = 0.03; // step of the latency averages, as in the paper
 const LAMBDA: f64 = 0.5; // ridge of the residual's posterior, as in the paper
 const SIGMA: f64 = 0.1; // spread of its draws
 const DEVIATIONS: usize = 128; // K, deviations behind the covariance
-const GAMMA_EVERY: Span = Span(2_000_000); // S
+const GAMMA_EVERY: TimeDelta = TimeDelta(2_000_000); // S
 const GAMMA_STEP: f64 = 0.05; // c
 const RATE_SHIFT: f64 = 1.0; // b, as in the paper
-const BEAT: Span = Span(250_000); // pace of all upkeep
-const PLACE_EVERY: Span = Span(10_000); // pace of looking at held jobs while answers come back
+const BEAT: TimeDelta = TimeDelta(250_000); // pace of all upkeep
+const PLACE_EVERY: TimeDelta = TimeDelta(10_000); // pace of looking at held jobs while answers come back
 const PROBES_A_JOB: f64 = 0.25;
 const PROBE_CALM: f64 = 0.5; // below this told use a probe's time varies by itself, not by load
 const PROBE_SCATTER_OVER: f64 = 32.0; // differences behind the mean scatter of probes at a location
 const PROBE_SCATTER_KNOWN: u32 = 4; // and the fewest that tell it
 const PROBE_SCATTERS: f64 = 4.0; // a probe within so many mean scatters of the least says nothing of load
-const REPORT_FRESH: Span = Span(2_500_000); // older reports say nothing: the own figure stands in
-const RECENT: Span = Span(5_000_000); // how far back a fading sum looks
+const REPORT_FRESH: TimeDelta = TimeDelta(2_500_000); // older reports say nothing: the own figure stands in
+const RECENT: TimeDelta = TimeDelta(5_000_000); // how far back a fading sum looks
 const THREADS_A_CORE: f64 = 2.0; // the thread bound at the start, over the gateway count
 const PACE_GOOD: f64 = 1.5; // the bound grows while jobs take at most this multiple of their bare work
 const PACE_LEAST: f64 = 0.7; // and the least for what a gateway has out in all
@@ -39,30 +44,30 @@
 const PACE_BAD: f64 = 2.0; // and shrinks from here on
 const BOUND_LEAST: f64 = 0.5; // of an equal share of an engine: one thread a core jams nothing
 const BOUND_MOST: f64 = 1.0; // two threads a core or all the memory: more can do no good
-const CALM_OVER: Span = Span(15_000_000); // how far back the calm pace of a type looks
+const CALM_OVER: TimeDelta = TimeDelta(15_000_000); // how far back the calm pace of a type looks
 const CALM_MOST: [f64; 2] = [2.0, PACE_CLIP]; // told costs are off by so much at most; spilling may take any time
 const PACE_PRIOR: f64 = 500.0; // calm is presumed as firmly as this much bare work (ms) would show it
-const PACE_OVER: Span = Span(3_000_000); // how far back pace looks
+const PACE_OVER: TimeDelta = TimeDelta(3_000_000); // how far back pace looks
 const PACE_CLIP: f64 = 6.0; // a single job says no more than this of its engine's pace
 const LITTLE: f64 = 0.02; // a share of the work so small tells no time for the whole
 const GRANT_START: f64 = 1.25; // memory granted over memory told
 const GRANT_MOST: f64 = 4.0;
 const GRANT_UP: f64 = 0.2; // how far a spill moves it, and a job without a spill
 const GRANT_DOWN: f64 = 0.99;
-const ASK_AFTER: Span = Span(500_000); // a report may be so old where it stands for all gateways' load
+const ASK_AFTER: TimeDelta = TimeDelta(500_000); // a report may be so old where it stands for all gateways' load
 const ASK_SPEND: f64 = 0.025; // points that probes of pairs may cost
 const ASKS_KEPT: f64 = 12.0; // probes saved up; jobs that bill little leave half of them to others
 const REPLICAS: f64 = 1.5; // replicas of a table group in its hashed order, over its share of the pool
 const PATIENCE: f64 = 6.0; // engines further along the order while a job waits out its slack
-const FORGET: Span = Span(60_000_000); // what was not met for so long is forgotten
+const FORGET: TimeDelta = TimeDelta(60_000_000); // what was not met for so long is forgotten
 const SLOW_START_JOBS: f64 = 2.0; // small jobs, as the settings tell them, that a turn at a cold engine is to hold
 const SLOW_START_CARE: f64 = 0.6; // part of the cold budget that is used: capacity and work are guesses
 const SLOW_START_TURN: f64 = 0.4; // and in one turn, as a window meets two
 
 #[derive(Default)]
-pub struct Logic {
+pub struct AdmissionController {
     settings: Settings,
-    now: Moment,
+    now: Timestamp,
     chance: Chance,
     types: Vec<Reservation>,
     engines: BTreeMap<usize, Engine>,
@@ -72,24 +77,24 @@
     cores: f64,
     /// Running engines that started not long ago, where gateways take turns at them.
     cold: Vec<usize>,
-    started: Moment,
+    started: Timestamp,
     /// When this process ends: every job has its final answer by then.
-    stops: Moment,
+    stops: Timestamp,
     jobs: BTreeMap<JobId, Held>,
     waiting: Vec<JobId>,
     placing: bool,
     no_room: bool, // the last choice found no engine under its bound
     turns: BTreeMap<u64, VecDeque<JobId>>,
-    rests: BTreeMap<u64, Moment>,
-    later: BTreeMap<(Moment, u64), Later>,
+    rests: BTreeMap<u64, Timestamp>,
+    later: BTreeMap<(Timestamp, u64), Later>,
     laters: u64,
-    decided: Decided,
+    decided: Actions,
     gateways: f64,
     residual: Residual,
     deviations: Deviations,
     gamma: [f64; 2],
     gamma_steps: f64,
-    gamma_at: Moment,
+    gamma_at: Timestamp,
     arrivals: Fading,
     traffic: Traffic,
     /// The least time of a probe by location; rises slowly.
@@ -110,7 +115,7 @@
 
 /// The usual work of one job of a type, in milliseconds on one thread.
 fn usual_work(kind: &Reservation) -> f64 {
-    kind.true_cost.mean_or(kind.told_cost.mean_or(kind.sla.ms() * kind.threads / 2.0))
+    kind.true_cost.mean_or(kind.told_cost.mean_or(kind.sla.as_millis_f64() * kind.threads / 2.0))
 }
 
 /// Own load on an engine with so much more: threads against two a core or memory against all there is.
@@ -120,11 +125,11 @@
     threads.max(memory)
 }
 
-impl Logic {
-    pub fn new(now: Moment, seed: u64, settings: Settings) -> Logic {
+impl AdmissionController {
+    pub fn new(now: Timestamp, seed: u64, settings: Settings) -> AdmissionController {
         let read = |i| Reservation { grant: GRANT_START, ..Reservation::read(&settings, i) };
         let types = (0..settings.entries("Classes", "Aim")).map(read).collect();
-        let mut logic = Logic {
+        let mut logic = AdmissionController {
             now,
             chance: Chance(mix(seed)),
             types,
@@ -133,29 +138,30 @@
             gamma: [0.5; 2],
             gamma_at: now,
             started: now,
-            stops: Moment(i64::MAX),
+            stops: Timestamp(i64::MAX),
             concurrency_limit: f64::INFINITY,
             settings,
-            ..Logic::default()
+            ..AdmissionController::default()
         };
         logic.decided.subscribe = logic.settings.text("MembershipMode") == "ask";
         logic.after(BEAT, |logic| logic.beat());
         logic
     }
 
-    pub fn engines_changed(&mut self, now: Moment, complete: bool, listings: Vec<Listing>) -> Decided {
+    pub fn endpoints_changed(&mut self, now: Timestamp, complete: bool, listings: Vec<Endpoint>) -> Actions {
         self.now = now;
         let seen: Vec<usize> = listings.iter().map(|listing| listing.engine.0 as usize).collect();
         listings.into_iter().for_each(|listing| self.list(listing));
         if complete {
             let missing = self.engines.iter_mut().filter(|(id, _)| !seen.contains(id));
-            missing.for_each(|(_, engine)| engine.listing.stage = Stage::Gone);
+            missing.for_each(|(_, engine)| engine.listing.lifecycle = LifecycleState::Gone);
         }
         let engines = &self.engines;
-        let runs = |id: &usize| engines[id].listing.stage == Stage::Running;
+        let runs = |id: &usize| engines[id].listing.lifecycle == LifecycleState::Running;
         self.running = engines.keys().copied().filter(runs).collect();
         self.cores = self.running.iter().map(|id| engines[id].cores).sum();
-        let cold = |id: &usize| self.share_below_job(&engines[id]) && engines[id].listing.ready_at.is_some();
+        let cold =
+            |id: &usize| self.share_below_job(&engines[id]) && engines[id].listing.started_at.is_some();
         self.cold = self.running.iter().copied().filter(cold).collect();
         self.orders.clear();
         self.place_waiting();
@@ -163,29 +169,29 @@
     }
 
     /// A call to the engine list failed: the old list stands and is asked for again.
-    pub fn list_refused(&mut self, now: Moment) -> Decided {
+    pub fn endpoint_list_unavailable(&mut self, now: Timestamp) -> Actions {
         self.now = now;
         if self.settings.text("MembershipMode") == "ask" {
-            let pause = BEAT.times(1.0 + 3.0 * self.chance.next());
+            let pause = BEAT.mul_f64(1.0 + 3.0 * self.chance.next());
             self.after(pause, |logic| logic.decided.subscribe = true);
         }
         self.finish()
     }
 
-    pub fn take(&mut self, now: Moment, id: JobId, job: Job) -> Decided {
+    pub fn submit(&mut self, now: Timestamp, id: JobId, job: Job) -> Actions {
         self.now = now;
         self.taken.add(now, self.span("Contract.BudgetWindow"), 1.0);
-        let ends = (now + job.left.min(self.types[job.reservation].wait)).min(self.stops);
+        let ends = (now + job.time_left.min(self.types[job.class].wait)).min(self.stops);
         let largest = self.running.iter().map(|e| self.engines[e].memory_mb).fold(0.0, f64::max);
-        let (guard, kind) = (ends - self.guard(), &mut self.types[job.reservation]);
+        let (guard, kind) = (ends - self.guard(), &mut self.types[job.class]);
         // Estimates may be hostile: nothing is learnt of work past clients' wait or memory past any engine.
-        kind.tell(now, RECENT, &job, (ends - now).ms() * kind.threads, largest);
+        kind.tell(now, RECENT, &job, (ends - now).as_millis_f64() * kind.threads, largest);
         let bias = usual_work(kind) / kind.told_cost.mean_or(usual_work(kind)).max(1e-6);
-        let cost = job.cost.map_or(usual_work(kind), |told| told.ms() * bias);
+        let cost = job.cost.map_or(usual_work(kind), |told| told.as_millis_f64() * bias);
         let held = Held {
             taken: now,
             ends,
-            sla_ends: now + kind.sla + Span::from_ms(kind.stretch * cost / kind.threads),
+            sla_ends: now + kind.sla + TimeDelta::from_millis_f64(kind.stretch * cost / kind.threads),
             cost,
             bare: cost / kind.threads,
             value: kind.billed / (cost.max(1.0) / 1000.0),
@@ -193,34 +199,46 @@
             job,
             ..Held::default()
         };
-        let possible = now + Span::from_ms(0.7 * held.bare) <= guard;
+        let possible = now + TimeDelta::from_millis_f64(0.7 * held.bare) <= guard;
         if possible {
             self.traffic.add(now, CALM_OVER, &held, kind);
             self.arrivals.add(now, RECENT, cost * kind.spill_factor(), 1.0);
         }
         self.asks = (self.asks + self.asks_a_job()).min(ASKS_KEPT);
-        if let Some(key) = held.job.key.filter(|_| self.types[held.job.reservation].ordered) {
+        if let Some(key) = held.job.key.filter(|_| self.types[held.job.class].ordered) {
             self.turns.entry(key).or_default().push_back(id);
         }
         self.jobs.insert(id, held);
         self.at(guard, move |logic| logic.give_up(id));
-        let first = if possible { Logic::place } else { Logic::give_up };
+        let first = if possible { AdmissionController::place } else { AdmissionController::give_up };
         first(self, id);
         self.finish()
     }
 
-    pub fn settle(&mut self, now: Moment, id: JobId, copy: u32, outcome: Outcome) -> Decided {
+    pub fn dispatch_finished(
+        &mut self,
+        now: Timestamp,
+        id: JobId,
+        copy: u32,
+        outcome: DispatchResult,
+    ) -> Actions {
         self.now = now;
         let Some(held) = self.jobs.get_mut(&id) else { return self.finish() };
-        held.over |= outcome.over;
+        held.over |= outcome.job_finished;
         let Some(out) = held.out.take_if(|out| out.copy == copy) else { return self.finish() };
-        let ran = !matches!(outcome.verdict, Verdict::Full | Verdict::Unreachable | Verdict::Void);
+        let ran = !matches!(
+            outcome.status,
+            DispatchStatus::Overloaded | DispatchStatus::Unreachable | DispatchStatus::Expired
+        );
         held.may_have_run = held.may_have_run.or(ran.then_some((out.engine, out.sent)));
-        if matches!(outcome.verdict, Verdict::TimedOut | Verdict::Broken | Verdict::Withdrawn) {
+        if matches!(
+            outcome.status,
+            DispatchStatus::TimedOut | DispatchStatus::ConnectionLost | DispatchStatus::Cancelled
+        ) {
             held.unsure_at = Some(now);
         }
         self.learn(id, &out, &outcome);
-        (out.next)(self, id, outcome.verdict);
+        (out.next)(self, id, outcome.status);
         self.release(id);
         if !self.waiting.is_empty() && !self.placing {
             self.place_after(PLACE_EVERY);
@@ -228,28 +246,34 @@
         self.finish()
     }
 
-    pub fn progress(&mut self, now: Moment, id: JobId, copy: u32, note: Note) -> Decided {
+    pub fn dispatch_progress(
+        &mut self,
+        now: Timestamp,
+        id: JobId,
+        copy: u32,
+        note: ProgressUpdate,
+    ) -> Actions {
         self.now = now;
         let loads = self.types.iter().filter(|kind| kind.holds).filter_map(|kind| kind.latency);
-        let load_takes = loads.fold(BEAT.ms(), f64::max);
+        let load_takes = loads.fold(BEAT.as_millis_f64(), f64::max);
         if let Some(held) = self.jobs.get_mut(&id)
             && let Some(out) = held.out.as_mut().filter(|out| out.copy == copy)
         {
             out.hears(now, note);
-            if let Note::Spills(missing) = note
+            if let ProgressUpdate::SpillingToDisk(missing) = note
                 && held.memory > 0.0
             {
-                let kind = &mut self.types[held.job.reservation];
+                let kind = &mut self.types[held.job.class];
                 let needed = ((out.memory + missing) / held.memory).min(GRANT_MOST);
                 kind.spills += 1.0;
                 kind.grant += GRANT_UP.max(1.0 / (1.0 + kind.spills)) * (needed - kind.grant).max(0.0);
             }
-            let (to, took) = (out.engine, (now - out.sent).ms() / out.share);
+            let (to, took) = (out.engine, (now - out.sent).as_millis_f64() / out.share);
             let (known, spilled) = (out.share > LITTLE && !out.waited, out.spilled);
             if let Some(engine) = self.engines.get_mut(&to) {
                 (engine.heard, engine.on_trial) = (now, false);
-                if note == Note::WaitsForLoad {
-                    engine.holds.insert(held.job.group, now + Span::from_ms(load_takes));
+                if note == ProgressUpdate::WaitingForBulkLoad {
+                    engine.holds.insert(held.job.table_group, now + TimeDelta::from_millis_f64(load_takes));
                 }
             }
             if known {
@@ -261,7 +285,7 @@
     }
 
     /// A streamed answer has begun: from here on the job is the client's.
-    pub fn answer_begun(&mut self, now: Moment, id: JobId, copy: u32) -> Decided {
+    pub fn response_started(&mut self, now: Timestamp, id: JobId, copy: u32) -> Actions {
         self.now = now;
         if let Some(held) = self.jobs.get_mut(&id) {
             held.over |= held.out.as_ref().is_some_and(|out| out.copy == copy);
@@ -270,7 +294,7 @@
     }
 
     /// The client has left.
-    pub fn gone(&mut self, now: Moment, id: JobId) -> Decided {
+    pub fn client_disconnected(&mut self, now: Timestamp, id: JobId) -> Actions {
         self.now = now;
         self.jobs.entry(id).and_modify(|held| held.over = true);
         self.recall(id);
@@ -278,25 +302,31 @@
         self.finish()
     }
 
-    pub fn probed(&mut self, now: Moment, engine: EngineId, outcome: Outcome) -> Decided {
+    pub fn health_check_finished(
+        &mut self,
+        now: Timestamp,
+        engine: EngineId,
+        outcome: DispatchResult,
+    ) -> Actions {
         self.now = now;
         let id = engine.0 as usize;
         if let Some(engine) = self.engines.get_mut(&id) {
             engine.probe_out = false;
-            match outcome.verdict {
-                Verdict::Done => engine.shunned_until = engine.shunned_until.min(now),
-                Verdict::Unreachable => self.shun(id),
+            match outcome.status {
+                DispatchStatus::Completed => engine.shunned_until = engine.shunned_until.min(now),
+                DispatchStatus::Unreachable => self.shun(id),
                 _ => {}
             }
         }
         let before = self.engines.get(&id).and_then(|engine| engine.jobs).unwrap_or(0.0);
-        self.read_report(id, &outcome.report);
-        let (warm_after, done) = (self.span("Contract.WarmAfter"), outcome.verdict == Verdict::Done);
+        self.read_report(id, &outcome.load_report);
+        let (warm_after, done) =
+            (self.span("Contract.WarmAfter"), outcome.status == DispatchStatus::Completed);
         let heeded = |engine: &&mut Engine| done && (engine.whole || engine.jobs.is_none());
         if let Some(engine) = self.engines.get_mut(&id).filter(heeded) {
             // Processor use stands still past full and falls past memory: the probe's own time tells more, once it is
             // known how much that varies where nothing is the matter.
-            let took = outcome.took.ms();
+            let took = outcome.elapsed.as_millis_f64();
             let least = self.probe_least.entry(engine.listing.location).or_insert(f64::INFINITY);
             *least = (*least * 1.0005).min(took).max(1e-3);
             let scatter = self.probe_scatter.entry(engine.listing.location).or_default();
@@ -312,8 +342,8 @@
             engine.processor = engine.processor.map(|told| told.max(by_time));
             // Many jobs and then none: it died unseen by the list and is cold, however idle it looks.
             let emptied = before > engine.cores / 2.0 && engine.jobs.is_some_and(|jobs| jobs < 1.0);
-            if emptied && engine.listing.ready_at.is_none_or(|ready| ready + warm_after < now) {
-                engine.listing.ready_at = Some(now);
+            if emptied && engine.listing.started_at.is_none_or(|ready| ready + warm_after < now) {
+                engine.listing.started_at = Some(now);
                 self.cold.push(id);
             }
         }
@@ -322,7 +352,7 @@
     }
 
     /// A planned stop: what is open at `by` gets its final answer then, what can't be done by then at once.
-    pub fn stopping(&mut self, now: Moment, by: Moment) -> Decided {
+    pub fn begin_shutdown(&mut self, now: Timestamp, by: Timestamp) -> Actions {
         (self.now, self.stops) = (now, by);
         for held in self.jobs.values_mut() {
             (held.ends, held.sla_ends) = (held.ends.min(by), held.sla_ends.min(by));
@@ -333,7 +363,7 @@
         self.finish()
     }
 
-    pub fn wake(&mut self, now: Moment) -> Decided {
+    pub fn timer_fired(&mut self, now: Timestamp) -> Actions {
         self.now = now;
         while let Some(due) = self.later.first_entry().filter(|due| due.key().0 <= now) {
             due.remove()(self);
@@ -341,31 +371,31 @@
         self.finish()
     }
 
-    fn finish(&mut self) -> Decided {
-        self.decided.next_wake = self.later.keys().next().map(|(when, _)| *when);
+    fn finish(&mut self) -> Actions {
+        self.decided.next_timer = self.later.keys().next().map(|(when, _)| *when);
         std::mem::take(&mut self.decided)
     }
 
-    fn at(&mut self, when: Moment, what: impl FnOnce(&mut Logic) + 'static) {
+    fn at(&mut self, when: Timestamp, what: impl FnOnce(&mut AdmissionController) + 'static) {
         self.laters += 1;
         self.later.insert((when, self.laters), Box::new(what));
     }
 
-    fn after(&mut self, pause: Span, what: impl FnOnce(&mut Logic) + 'static) {
+    fn after(&mut self, pause: TimeDelta, what: impl FnOnce(&mut AdmissionController) + 'static) {
         self.at(self.now + pause, what);
     }
 
     /// How long before a client leaves its final answer is given: two ticks, for the clock's coarseness.
-    fn guard(&self) -> Span {
-        Span::from_ms(2.0 * self.settings.number("Tick").unwrap_or(1.0))
+    fn guard(&self) -> TimeDelta {
+        TimeDelta::from_millis_f64(2.0 * self.settings.number("Tick").unwrap_or(1.0))
     }
 
     fn contract(&self, name: &str) -> f64 {
         self.settings.number(name).unwrap_or(0.0)
     }
 
-    fn span(&self, name: &str) -> Span {
-        Span::from_ms(self.contract(name))
+    fn span(&self, name: &str) -> TimeDelta {
+        TimeDelta::from_millis_f64(self.contract(name))
     }
 
     /// Load on an engine with so much more; where the bound is a whole engine's, all gateways', as last told.
@@ -385,10 +415,10 @@
         own.max(told.max(engine.memory.unwrap_or(0.0)) + since)
     }
 
-    fn list(&mut self, listing: Listing) {
+    fn list(&mut self, listing: Endpoint) {
         let id = listing.engine.0 as usize;
-        let restarted = listing.ready_at.is_some()
-            && self.engines.get(&id).is_some_and(|engine| engine.listing.ready_at != listing.ready_at);
+        let restarted = listing.started_at.is_some()
+            && self.engines.get(&id).is_some_and(|engine| engine.listing.started_at != listing.started_at);
         if restarted || !self.engines.contains_key(&id) {
             // Where an equal share means nothing the bound is the whole engine's, for all, if reports tell of
             // all gateways' jobs and may be asked for.
@@ -409,11 +439,12 @@
     }
 
     /// The part of its capacity that an engine has, as far as its start tells: it climbs from StartCapacity.
-    fn warmth(&self, engine: &Engine, at: Moment) -> f64 {
+    fn warmth(&self, engine: &Engine, at: Timestamp) -> f64 {
         let start = self.contract("Contract.StartCapacity");
-        let climbs =
-            |ready: Moment| (at - ready).ms().max(0.0) / self.contract("Contract.WarmAfter").max(1.0);
-        engine.listing.ready_at.map_or(1.0, |ready| (start + (1.0 - start) * climbs(ready)).min(1.0))
+        let climbs = |ready: Timestamp| {
+            (at - ready).as_millis_f64().max(0.0) / self.contract("Contract.WarmAfter").max(1.0)
+        };
+        engine.listing.started_at.map_or(1.0, |ready| (start + (1.0 - start) * climbs(ready)).min(1.0))
     }
 
     // ---- rules: every send passes here ----------------------------------------------------------------
@@ -424,7 +455,7 @@
         // Rule 1, and no two dispatches at once.
         let open = !held.over && held.out.is_none();
         // Rule 5.
-        let ordered = held.job.key.filter(|_| self.types[held.job.reservation].ordered);
+        let ordered = held.job.key.filter(|_| self.types[held.job.class].ordered);
         let turn = ordered.is_none_or(|key| {
             self.turns[&key].front() == Some(&id) && self.rests.get(&key).is_none_or(|rest| *rest <= self.now)
         });
@@ -434,7 +465,7 @@
 
     fn may_go_to(&self, id: JobId, to: usize) -> bool {
         let (held, engine) = (&self.jobs[&id], &self.engines[&to]);
-        let (kind, listing) = (&self.types[held.job.reservation], &engine.listing);
+        let (kind, listing) = (&self.types[held.job.class], &engine.listing);
         // Rule 2 for keyed jobs, as far as `begin_by` has not said it.
         let keyed = held.may_have_run.filter(|_| kind.effect == Effect::Keyed);
         let once = keyed.is_none_or(|(ran_on, _)| {
@@ -443,7 +474,8 @@
                 || if zone { there.location == listing.location } else { there.cell == listing.cell }
         });
         // Rule 3: at once, well within the grace. Rule 4.
-        let running = listing.stage == Stage::Running && self.slow_start_budget(engine) >= usual_work(kind);
+        let running = listing.lifecycle == LifecycleState::Running
+            && self.slow_start_budget(engine) >= usual_work(kind);
         // Rule 6.
         let among = |list: &Option<Vec<f64>>, x| list.as_ref().is_none_or(|list| list.contains(&(x as f64)));
         let placed = among(&kind.locations, listing.location) && among(&kind.machines, listing.machine);
@@ -451,10 +483,10 @@
     }
 
     /// The last moment at which a dispatch may begin: rule 1, and for what may have run rule 2.
-    fn begin_by(&self, held: &Held) -> Moment {
-        let kind = &self.types[held.job.reservation];
+    fn begin_by(&self, held: &Held) -> Timestamp {
+        let kind = &self.types[held.job.class];
         match (held.may_have_run, kind.effect) {
-            (Some(_), Effect::RunOnce) => Moment::default(),
+            (Some(_), Effect::RunOnce) => Timestamp::default(),
             (Some((_, since)), Effect::Keyed) => held.ends.min(since + kind.window) - self.guard(),
             _ => held.ends - self.guard(),
         }
@@ -468,7 +500,7 @@
 
     fn within_budget(&self) -> bool {
         let Some(window) = self.settings.number("Contract.BudgetWindow") else { return true };
-        let since = self.now - Span::from_ms(window);
+        let since = self.now - TimeDelta::from_millis_f64(window);
         // Two dispatches one window apart count together: a limit within any span holds at both its ends.
         let (extras, jobs) = (self.extras.since(since - self.guard()), self.taken.since(since));
         extras + 1.0 <= self.contract("Contract.SpareAttempts") + self.contract("Contract.ExtraRatio") * jobs
@@ -484,17 +516,19 @@
         // No window that begins while it is cold may meet what is sent to a warm one: all become warm at once, and
         // clocks differ.
         let warm_after = self.span("Contract.WarmAfter") + window;
-        let warm = |ready: &Moment| self.now >= *ready + warm_after || multiple <= 0.0;
-        let Some(ready) = engine.listing.ready_at.filter(|ready| !warm(ready)) else { return f64::INFINITY };
+        let warm = |ready: &Timestamp| self.now >= *ready + warm_after || multiple <= 0.0;
+        let Some(ready) = engine.listing.started_at.filter(|ready| !warm(ready)) else {
+            return f64::INFINITY;
+        };
         let sent = engine.sent.since(self.now - window);
-        let whole = |at| multiple * self.warmth(engine, at) * engine.cores * window.ms();
+        let whole = |at| multiple * self.warmth(engine, at) * engine.cores * window.as_millis_f64();
         if !self.share_below_job(engine) {
             return SLOW_START_CARE * whole(self.now) / self.gateways - sent;
         }
         let slot = (self.now - ready).0.max(0) / window.0.max(1);
-        let whole = SLOW_START_TURN * whole(ready + window.times(slot as f64));
+        let whole = SLOW_START_TURN * whole(ready + window.mul_f64(slot as f64));
         // Two turns of three are for small jobs: many gateways have some, few have a large one in time.
-        let guessed = self.types.iter().map(|kind| kind.sla.ms() * kind.threads / 2.0);
+        let guessed = self.types.iter().map(|kind| kind.sla.as_millis_f64() * kind.threads / 2.0);
         let (heaviest, lightest) =
             (guessed.clone().fold(1.0, f64::max), guessed.fold(f64::INFINITY, f64::min));
         let unit = if slot % 3 == 0 { heaviest } else { SLOW_START_JOBS * lightest.max(1.0) };
@@ -519,12 +553,12 @@
         let (window, cold) = (self.span("Contract.BudgetWindow"), self.span("Contract.OverloadFor"));
         let window = window + self.guard();
         let held = self.jobs.get_mut(&id).expect("a job that may be sent is held");
-        let kind = &self.types[held.job.reservation];
+        let kind = &self.types[held.job.class];
         let engine = self.engines.get_mut(&to).expect("an engine that may be sent to is known");
         if held.copies > 0 {
             self.extras.add(self.now, window, 1.0);
         }
-        let granted = terms.map_or(0.0, |terms| terms.grant_mb);
+        let granted = terms.map_or(0.0, |terms| terms.memory_grant_mb);
         let memory = if granted > 0.0 { granted } else { held.memory }.min(engine.most_mb);
         engine.leaves(id, &held.job, kind, memory);
         engine.sent.add(self.now, cold, usual_work(kind));
@@ -534,17 +568,17 @@
         held.out = Some(Out::new(to, held.copies, self.now, choice, memory, next));
         (held.copies, held.last) = (held.copies + 1, Some(to));
         let engine = EngineId(to as u32);
-        self.decided.dispatches.push(Dispatch { job: id, engine, limit, begin_by, terms });
+        self.decided.dispatches.push(Dispatch { job: id, engine, timeout: limit, begin_by, options: terms });
         true
     }
 
     /// Priority and memory, where they are heeded: jobs worth much for their work go first, late ones last.
     /// The grant is the told need times what notes of spilling taught, and at least what goes with the
     /// job's threads, as far as it may need it: while threads are under the bound all such grants fit.
-    fn terms(&self, id: JobId, to: usize) -> Option<Terms> {
+    fn terms(&self, id: JobId, to: usize) -> Option<DispatchOptions> {
         let [ranks, grants] = ["Extra.RanksHeeded", "Extra.GrantsCount"].map(|name| self.settings.flag(name));
         let held = &self.jobs[&id];
-        let kind = &self.types[held.job.reservation];
+        let kind = &self.types[held.job.class];
         let rank = match () {
             _ if self.now > held.sla_ends => 0,
             _ if kind.threads <= 1.0 => 3,
@@ -554,18 +588,22 @@
         let fits = self.engines[&to].memory_mb * kind.threads / (self.engines[&to].cores * THREADS_A_CORE);
         let grant = (held.memory * kind.grant).max(fits.min(held.memory * GRANT_MOST));
         let grant_mb = if grants { grant.round() } else { 0.0 };
-        (ranks || grants).then_some(Terms { rank, grant_mb })
+        (ranks || grants).then_some(DispatchOptions { priority: rank, memory_grant_mb: grant_mb })
     }
 
     /// Gives a job its final answer. It is throttled where trying again is harmless, else cancelled for good.
     fn give_up(&mut self, id: JobId) {
         let Some(held) = self.jobs.get_mut(&id).filter(|held| !held.over) else { return };
-        let kind = &self.types[held.job.reservation];
+        let kind = &self.types[held.job.class];
         let unrun = held.may_have_run.is_none() && held.out.is_none();
         let harmless =
             unrun || kind.effect != Effect::RunOnce && (kind.group == "all" || kind.effect != Effect::Keyed);
         held.over = true;
-        let answer = if harmless { Answer::Throttled(Span::from_ms(1000.0)) } else { Answer::Cancelled };
+        let answer = if harmless {
+            FinalAnswer::Rejected { retry_after: RETRY_AFTER }
+        } else {
+            FinalAnswer::Cancelled
+        };
         self.decided.answers.push((id, answer));
         self.recall(id);
         self.release(id);
@@ -576,14 +614,14 @@
         let out = self.jobs.get_mut(&id).and_then(|held| held.out.as_mut());
         if let Some(out) = out.filter(|out| allowed && !out.recalled) {
             out.recalled = true;
-            self.decided.recalls.push((id, out.copy));
+            self.decided.cancellations.push(DispatchId { job: id, attempt: out.copy });
         }
     }
 
     /// Forgets a job that is over and has nothing out; the next job of its key may then have its turn.
     fn release(&mut self, id: JobId) {
         let Some(held) = self.jobs.get(&id).filter(|held| held.over && held.out.is_none()) else { return };
-        if let Some(key) = held.job.key.filter(|_| self.types[held.job.reservation].ordered) {
+        if let Some(key) = held.job.key.filter(|_| self.types[held.job.class].ordered) {
             if let Some(unsure) = held.unsure_at {
                 self.rests.insert(key, unsure + self.span("Contract.OrderPause"));
             }
@@ -593,28 +631,29 @@
         if self.jobs.remove(&id).is_some_and(|held| held.waits) {
             self.waiting.retain(|other| *other != id);
         }
-        self.decided.released.push(id);
+        self.decided.released_jobs.push(id);
     }
 
     // ---- the ordinary path: AQD -----------------------------------------------------------------------
 
     /// Sends a job to the engine that the mechanism chooses, or keeps it until one may take it.
     fn place(&mut self, id: JobId) {
-        let next = Box::new(Logic::after_dispatch);
+        let next = Box::new(AdmissionController::after_dispatch);
         let sent = self.choose(id).is_some_and(|(engine, choice)| self.send(id, engine, choice, next));
         let held = self.jobs.get_mut(&id).expect("a job that is placed is held");
         let waits = std::mem::replace(&mut held.waits, !sent);
         self.waiting.extend((!sent && !waits).then_some(id));
         if !sent && !self.placing && self.many() {
-            let pause = PLACE_EVERY.times(5.0 + 5.0 * self.chance.next());
+            let pause = PLACE_EVERY.mul_f64(5.0 + 5.0 * self.chance.next());
             self.place_after(pause);
         }
     }
 
     /// Threads that this gateway has out at a pace, by the work that comes to it: rate times time.
     fn at_pace(&self, pace: f64) -> f64 {
-        let seen = 1.0 - (-((self.now - self.started).ms().max(1.0) / RECENT.ms())).exp();
-        pace * self.arrivals.read(self.now, RECENT) / (seen * RECENT.ms())
+        let seen =
+            1.0 - (-((self.now - self.started).as_millis_f64().max(1.0) / RECENT.as_millis_f64())).exp();
+        pace * self.arrivals.read(self.now, RECENT) / (seen * RECENT.as_millis_f64())
     }
 
     fn threads_out(&self) -> f64 {
@@ -633,7 +672,7 @@
     }
 
     /// How far back an engine's pace looks: without reports, as far as to the last job there.
-    fn pace_life(&self) -> Span {
+    fn pace_life(&self) -> TimeDelta {
         if self.blind() { CALM_OVER } else { PACE_OVER }
     }
 
@@ -642,7 +681,7 @@
         self.running.first().is_some_and(|e| self.engines[e].whole)
     }
 
-    fn place_after(&mut self, pause: Span) {
+    fn place_after(&mut self, pause: TimeDelta) {
         self.placing = true;
         self.after(pause, |logic| {
             logic.placing = false;
@@ -665,12 +704,12 @@
         if !self.may_go(id) {
             return None;
         }
-        let order = self.order(self.jobs[&id].job.group);
+        let order = self.order(self.jobs[&id].job.table_group);
         let many = self.many();
         let (blind, pace_life) = (self.blind(), self.pace_life());
         let draw = if many { self.chance.next() } else { 0.0 };
         let held = &self.jobs[&id];
-        let (kind, group) = (&self.types[held.job.reservation], held.job.group);
+        let (kind, group) = (&self.types[held.job.class], held.job.table_group);
         let total = |of: fn(&Engine) -> f64| self.running.iter().map(|e| of(&self.engines[e])).sum::<f64>();
         let room = OnceCell::new();
         let room = || *room.get_or_init(|| total(|e| load(e, 0.0, 0.0)) < total(|e| e.bound));
@@ -689,7 +728,7 @@
             let turn = || self.share_below_job(engine) && self.slow_start_budget(engine) < f64::INFINITY;
             if engine.whole {
                 let fits = load <= most * dense && (blind || !past(engine));
-                let fresh = now - engine.reported <= ASK_AFTER.times(2.0);
+                let fresh = now - engine.reported <= ASK_AFTER.mul_f64(2.0);
                 // Its part of what this gateway sent of late: as all walk alike, of what all sent.
                 let part = || engine.work.read(now, CALM_OVER) <= REPLICAS * mean * self.warmth(engine, now);
                 return fits && (fresh || blind && (turn() || part()));
@@ -701,7 +740,8 @@
         // Where gateways are many, a job waits a little for the engines whose tables are warm: it goes one
         // engine further with each beat, and hot groups have as many engines as their traffic asks for.
         let hot = REPLICAS * order.len() as f64 * self.traffic.share_of(group, 20.0);
-        let waited = (now - held.taken).ms() / ((held.sla_ends - held.taken).ms() - held.bare).max(1.0);
+        let waited = (now - held.taken).as_millis_f64()
+            / ((held.sla_ends - held.taken).as_millis_f64() - held.bare).max(1.0);
         let depth =
             if many && !blind { (2.0 + hot.floor() + PATIENCE * waited) as usize } else { usize::MAX };
         // Where crossing locations costs, near engines come first while the pool is well.
@@ -786,7 +826,7 @@
     /// The fused test within a pair: the second engine wins if ω·z + (1−ω)·r > 0.
     fn weigh(&mut self, pair: [usize; 2], id: JobId) -> (usize, Option<Choice>) {
         let held = &self.jobs[&id];
-        let reservation = held.job.reservation;
+        let reservation = held.job.class;
         let x = [1.0, (1.0 + held.cost).ln() / 10.0, (1.0 + held.memory).ln() / 10.0];
         let [l1, l2] = pair.map(|engine| self.latency(engine, reservation));
         let s = (1.0 + l1).ln() - (1.0 + l2).ln();
@@ -847,37 +887,37 @@
         }
     }
 
-    fn read_report(&mut self, id: usize, report: &Report) {
+    fn read_report(&mut self, id: usize, report: &Option<LoadReport>) {
         let now = self.now;
         let Some(engine) = self.engines.get_mut(&id) else { return };
-        let told = |name: &str| report.iter().find(|(told, _)| told == name).map(|(_, value)| value.max(0.0));
-        let processor = told("load_share").or(told("concurrent").map(|jobs| jobs / engine.cores));
-        engine.processor = processor.or(engine.processor);
-        if !report.is_empty() {
-            (engine.reported, engine.since) = (now, 0.0);
-        }
-        (engine.jobs, engine.memory) = (told("concurrent").or(engine.jobs), told("x0").or(engine.memory));
+        let Some(report) = report else { return };
+        let jobs = report.jobs_in_flight.map(|jobs| jobs.max(0.0));
+        let processor = report.processor_utilization.map(|utilization| utilization.max(0.0));
+        let memory = report.memory_utilization.map(|utilization| utilization.max(0.0));
+        engine.processor = processor.or(jobs.map(|jobs| jobs / engine.cores)).or(engine.processor);
+        (engine.reported, engine.since) = (now, 0.0);
+        (engine.jobs, engine.memory) = (jobs.or(engine.jobs), memory.or(engine.memory));
     }
 
-    fn learn(&mut self, id: JobId, out: &Out, outcome: &Outcome) {
-        self.read_report(out.engine, &outcome.report);
+    fn learn(&mut self, id: JobId, out: &Out, outcome: &DispatchResult) {
+        self.read_report(out.engine, &outcome.load_report);
         let now = self.now;
         let Some(held) = self.jobs.get_mut(&id) else { return };
-        let (reservation, bare) = (held.job.reservation, held.bare);
+        let (reservation, bare) = (held.job.class, held.bare);
         let kind = &mut self.types[reservation];
         let Some(engine) = self.engines.get_mut(&out.engine) else { return };
         engine.returns(id, &held.job, kind, out.memory);
-        match outcome.verdict {
-            Verdict::Done => {
+        match outcome.status {
+            DispatchStatus::Completed => {
                 (engine.heard, engine.on_trial, engine.strikes) = (now, false, 0);
-                if let Some((work, _)) = outcome.bill {
-                    kind.true_cost.add(now, RECENT, work.ms(), 1.0);
+                if let Some(ActualCost { work, .. }) = outcome.actual_cost {
+                    kind.true_cost.add(now, RECENT, work.as_millis_f64(), 1.0);
                     kind.calm[0] = Some(1.0);
-                    held.bare = work.ms() / kind.threads;
+                    held.bare = work.as_millis_f64() / kind.threads;
                 }
-                let took = outcome.took.ms();
+                let took = outcome.elapsed.as_millis_f64();
                 if out.waited {
-                    engine.holds.remove(&held.job.group);
+                    engine.holds.remove(&held.job.table_group);
                 }
                 if !out.spilled {
                     kind.grant = (kind.grant * GRANT_DOWN).max(1.0);
@@ -894,14 +934,14 @@
                     self.see_pace(id, out.engine, took, 1.0, true, out.spilled);
                 }
             }
-            Verdict::Unreachable | Verdict::Broken if !outcome.lively => {
+            DispatchStatus::Unreachable | DispatchStatus::ConnectionLost if !outcome.engine_reachable => {
                 // One broken connection is no reason to lose an engine; two in a row are.
                 engine.strikes += 1;
                 if engine.strikes > 1 || engine.on_trial {
                     self.shun(out.engine);
                 }
             }
-            Verdict::Full => {
+            DispatchStatus::Overloaded => {
                 let full = if engine.whole { engine.bound } else { load(engine, 0.0, 0.0) };
                 engine.full_until = now + BEAT;
                 engine.bound = engine.bound.min(full * 0.8).max(BOUND_LEAST * engine.share);
@@ -916,7 +956,7 @@
     fn see_pace(&mut self, id: JobId, engine: usize, took: f64, weight: f64, of_pool: bool, spilled: bool) {
         let (blind, life, way) = (self.blind(), self.pace_life(), usize::from(spilled));
         let held = &self.jobs[&id];
-        let kind = &mut self.types[held.job.reservation];
+        let kind = &mut self.types[held.job.class];
         let bare = held.bare.max(1.0);
         if weight >= 1.0 {
             kind.pace[way].add(self.now, CALM_OVER, (took / bare).min(PACE_CLIP), bare);
@@ -938,37 +978,38 @@
     /// it answers or sends a note. Meets refused and reset connections, flapping and silence.
     fn shun(&mut self, id: usize) {
         let Some(engine) = self.engines.get_mut(&id).filter(|e| e.shunned_until <= self.now) else { return };
-        let again = self.now - engine.shunned_until < engine.backoff.times(4.0);
-        engine.backoff = if again { Span((engine.backoff.0 * 2).min(BEAT.0 * 32)) } else { BEAT.times(2.0) };
+        let again = self.now - engine.shunned_until < engine.backoff.mul_f64(4.0);
+        engine.backoff =
+            if again { TimeDelta((engine.backoff.0 * 2).min(BEAT.0 * 32)) } else { BEAT.mul_f64(2.0) };
         engine.shunned_until = self.now + engine.backoff;
         engine.on_trial = true;
         engine.trial = None;
     }
 
     /// What follows a dispatch that did not answer: another one where that is allowed and of use.
-    fn after_dispatch(&mut self, id: JobId, verdict: Verdict) {
+    fn after_dispatch(&mut self, id: JobId, verdict: DispatchStatus) {
         let Some(held) = self.jobs.get(&id).filter(|held| !held.over) else { return };
-        let useful = self.again(held) && self.now + Span::from_ms(held.bare) < held.sla_ends;
-        if verdict != Verdict::Void && useful { self.place(id) } else { self.give_up(id) }
+        let useful = self.again(held) && self.now + TimeDelta::from_millis_f64(held.bare) < held.sla_ends;
+        if verdict != DispatchStatus::Expired && useful { self.place(id) } else { self.give_up(id) }
     }
 
     /// A recall of a restartable job that is stuck, where a fresh dispatch would still meet its SLA time and
     /// this one would not. Meets bad plans, slow or silent engines and tables held by a load.
     fn reconsider(&mut self, id: JobId) {
         let held = &self.jobs[&id];
-        let kind = &self.types[held.job.reservation];
+        let kind = &self.types[held.job.class];
         let Some(out) = held.out.as_ref().filter(|out| !held.over && !out.recalled) else { return };
         if kind.effect != Effect::Restartable || !self.again(held) || self.running.len() < 2 {
             return;
         }
-        let age = (self.now - out.sent).ms();
+        let age = (self.now - out.sent).as_millis_f64();
         let fresh = kind.latency.unwrap_or(0.0) * held.cost / usual_work(kind).max(1.0);
         let notes = 2.0 * self.settings.number("Extra.Progress").unwrap_or(0.0);
         let silent = out.share == 0.0 && !out.waited && age < notes;
         let remaining = if out.share > 0.0 && !out.waited { age / out.share - age } else { f64::INFINITY };
-        let time = (held.sla_ends - self.now).ms();
+        let time = (held.sla_ends - self.now).as_millis_f64();
         // Behind a load there is no use in going where other loads hold the same tables.
-        let free = |e: &usize| *e != out.engine && !self.engines[e].held(held.job.group, self.now);
+        let free = |e: &usize| *e != out.engine && !self.engines[e].held(held.job.table_group, self.now);
         let elsewhere = !out.waited || self.running.iter().any(free);
         if !silent && elsewhere && fresh < time && remaining > time.max(2.0 * fresh) {
             self.recall(id);
@@ -977,7 +1018,7 @@
 
     /// A late job past an engine's knee that earns less for what is left than a usual one: it keeps the jam.
     fn is_hopeless(&self, held: &Held) -> bool {
-        let kind = &self.types[held.job.reservation];
+        let kind = &self.types[held.job.class];
         let Some(out) = held.out.as_ref().filter(|out| !held.over && !out.recalled) else { return false };
         let late = kind.effect == Effect::Restartable && self.now > held.sla_ends;
         let Some(engine) = self.engines.get(&out.engine).filter(|_| late) else { return false };
@@ -997,10 +1038,10 @@
         let (mut ends, mut kept) = (self.now, Vec::new());
         for other in turns {
             let held = &self.jobs[other];
-            let kind = &self.types[held.job.reservation];
+            let kind = &self.types[held.job.class];
             let usual = usual_work(kind) / kind.threads;
             let takes = held.bare * kind.latency.map_or(1.0, |latency| latency / usual.max(1.0)).max(1.0);
-            kept.push((takes / kind.billed.max(1e-9), *other, Span::from_ms(takes)));
+            kept.push((takes / kind.billed.max(1e-9), *other, TimeDelta::from_millis_f64(takes)));
             ends = ends + kept[kept.len() - 1].2;
             let dearest = (0..kept.len()).max_by(|a, b| kept[*a].0.total_cmp(&kept[*b].0));
             if let Some(dearest) = dearest.filter(|_| ends > held.sla_ends) {
@@ -1021,10 +1062,10 @@
         let mut no_room = vec![f64::INFINITY; self.types.len()];
         for (id, _) in waiting {
             let held = &self.jobs[&id];
-            let (kind, memory) = (held.job.reservation, held.memory);
+            let (kind, memory) = (held.job.class, held.memory);
             let alike = held.copies == 0 && !self.types[kind].ordered;
             // Too late, or past the window in which what may have run may be repeated.
-            let late = self.now + Span::from_ms(held.bare) > held.sla_ends;
+            let late = self.now + TimeDelta::from_millis_f64(held.bare) > held.sla_ends;
             if late || !self.again(held) || self.leaves_turn(id) {
                 self.give_up(id);
             } else if alike && memory >= no_room[kind] {
@@ -1055,8 +1096,10 @@
         let met: Vec<usize> = self.jobs.values().flat_map(Held::engines).collect();
         self.engines.retain(|id, engine| {
             engine.holds.retain(|_, until| *until > now);
-            let keep = engine.listing.stage != Stage::Gone || now - engine.heard < FORGET || met.contains(id);
-            self.decided.forgotten.extend((!keep).then_some(EngineId(*id as u32)));
+            let keep = engine.listing.lifecycle != LifecycleState::Gone
+                || now - engine.heard < FORGET
+                || met.contains(id);
+            self.decided.forgotten_engines.extend((!keep).then_some(EngineId(*id as u32)));
             keep
         });
         self.cold.retain(|id| self.engines.contains_key(id));
@@ -1067,7 +1110,7 @@
     }
 
     /// How much it remembers, for whoever watches that this does not grow.
-    pub fn kept(&self) -> usize {
+    pub fn retained_entries(&self) -> usize {
         let groups = self.orders.len() + self.traffic.groups.len();
         self.engines.len() + self.jobs.len() + groups + self.turns.len() + self.rests.len()
     }
@@ -1078,7 +1121,7 @@
         // A job out for long tells of its engine's pace before it is back: from a jam none comes back.
         let overdue = |(id, held): (&JobId, &Held)| {
             let out = held.out.as_ref().filter(|out| !out.waited && out.share <= LITTLE && !held.over)?;
-            let took = (self.now - out.sent).ms();
+            let took = (self.now - out.sent).as_millis_f64();
             // Of the pool it tells only where the engine speaks: silence is that engine's or the way's.
             let speaks = every.is_none() || out.noted > out.sent;
             (took > PACE_BAD * held.bare).then_some((*id, out.engine, took, speaks, out.spilled))
@@ -1089,7 +1132,8 @@
         let hopeless = |(id, held): (&JobId, &Held)| self.is_hopeless(held).then_some(*id);
         let hopeless: Vec<JobId> = self.jobs.iter().filter_map(hopeless).collect();
         hopeless.into_iter().for_each(|id| self.give_up(id));
-        let due = every.map_or(Span(i64::MAX), |every| Span::from_ms(2.0 * every) + BEAT.times(2.0));
+        let due = every
+            .map_or(TimeDelta(i64::MAX), |every| TimeDelta::from_millis_f64(2.0 * every) + BEAT.mul_f64(2.0));
         let heard = |e: usize| self.engines.get(&e).map_or(self.now, |engine| engine.heard);
         let quiet = |out: &&Out| self.now - out.noted > due && self.now - heard(out.engine) > due;
         let outs = self.jobs.iter().filter(|(_, held)| !held.over);
@@ -1156,7 +1200,7 @@
         let engine = self.engines.get_mut(&id).filter(|engine| !engine.probe_out);
         engine.is_some_and(|engine| {
             (engine.probe_out, engine.probed) = (true, self.now);
-            self.decided.probes.push(EngineId(id as u32));
+            self.decided.health_checks.push(EngineId(id as u32));
             true
         })
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,234 +1,208 @@
-//! The plain types through which a caller speaks to the decision module. Nothing here decides.
+//! The plain types through which a caller speaks to the [`AdmissionController`]. Nothing here decides.
+//!
+//! [`AdmissionController`]: crate::controller::AdmissionController
 
-use std::collections::BTreeMap;
-use std::ops::{Add, Sub};
-
-/// A point in time, in microseconds since an arbitrary zero.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Moment(pub i64);
-
-/// A length of time, in microseconds. It can be added to a [`Moment`], never mixed up with one.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub i64);
-
-impl Moment {
-    pub fn from_ms(ms: f64) -> Moment {
-        Moment((ms * 1000.0).round() as i64)
-    }
-}
-
-impl Span {
-    pub fn from_ms(ms: f64) -> Span {
-        Span((ms * 1000.0).round() as i64)
-    }
-    pub fn ms(self) -> f64 {
-        self.0 as f64 / 1000.0
-    }
-    pub fn times(self, factor: f64) -> Span {
-        Span((self.0 as f64 * factor).round() as i64)
-    }
-}
-
-impl Add<Span> for Moment {
-    type Output = Moment;
-    fn add(self, span: Span) -> Moment {
-        Moment(self.0.saturating_add(span.0))
-    }
-}
-
-impl Sub<Span> for Moment {
-    type Output = Moment;
-    fn sub(self, span: Span) -> Moment {
-        Moment(self.0.saturating_sub(span.0))
-    }
-}
-
-impl Sub for Moment {
-    type Output = Span;
-    fn sub(self, earlier: Moment) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
-    }
-}
-
-impl Add for Span {
-    type Output = Span;
-    fn add(self, more: Span) -> Span {
-        Span(self.0.saturating_add(more.0))
-    }
-}
+use crate::time::{TimeDelta, Timestamp};
 
 /// A job's number, given by the caller in the order of arrival and never used twice by one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobId(pub u32);
 
-/// An engine's number, given by the caller in the order in which lists named them.
+/// An engine's number, given by the caller in the order in which endpoint lists named them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EngineId(pub u32);
 
-/// One value of the settings.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Value {
-    Number(f64),
-    Flag(bool),
-    Text(String),
-}
-
-/// The settings as a flat map: parts of a name are joined by dots and list positions are numbers, as in
-/// `Classes.0.Aim`.
-#[derive(Clone, Debug, Default)]
-pub struct Settings(pub BTreeMap<String, Value>);
-
-impl Settings {
-    pub fn number(&self, name: &str) -> Option<f64> {
-        match self.0.get(name) {
-            Some(Value::Number(number)) => Some(*number),
-            _ => None,
-        }
-    }
-    pub fn flag(&self, name: &str) -> bool {
-        matches!(self.0.get(name), Some(Value::Flag(true)))
-    }
-    pub fn text(&self, name: &str) -> &str {
-        match self.0.get(name) {
-            Some(Value::Text(text)) => text,
-            _ => "",
-        }
-    }
-    /// The numbers of a list of plain values; none if the list is absent.
-    pub fn numbers(&self, name: &str) -> Option<Vec<f64>> {
-        let list: Vec<f64> = (0..).map_while(|i| self.number(&format!("{name}.{i}"))).collect();
-        (!list.is_empty()).then_some(list)
-    }
-    /// How many entries a list has whose every entry holds `field`.
-    pub fn entries(&self, name: &str, field: &str) -> usize {
-        (0..).take_while(|i| self.0.contains_key(&format!("{name}.{i}.{field}"))).count()
-    }
-}
-
-/// What an engine list says of one engine.
+/// What the endpoint list says of one engine.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Listing {
+pub struct Endpoint {
+    /// The engine's number at this caller.
     pub engine: EngineId,
     /// The engine's own id, the same for every gateway.
     pub name: String,
+    /// Position of the engine's machine type in the settings.
     pub machine: usize,
+    /// Position of the engine's location in the settings.
     pub location: usize,
+    /// The replication cell that the engine belongs to.
     pub cell: usize,
-    pub stage: Stage,
+    /// Whether the engine takes new dispatches.
+    pub lifecycle: LifecycleState,
     /// When the engine last started; none if that is long ago.
-    pub ready_at: Option<Moment>,
+    pub started_at: Option<Timestamp>,
+    /// Relative capacity, used where the settings don't tell the machine type's cores.
     pub capacity_hint: f64,
 }
 
+/// An engine's place in its life, as the endpoint list has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Stage {
+pub enum LifecycleState {
+    /// It takes dispatches.
     #[default]
     Running,
+    /// It finishes what it has and takes nothing new.
     Draining,
+    /// It has ended.
     Gone,
 }
 
-/// A job as a client hands it over.
+/// A job as a client submits it.
 #[derive(Clone, Debug, Default)]
 pub struct Job {
-    /// Position of its reservation type in the settings.
-    pub reservation: usize,
+    /// Position of the job's class in the settings.
+    pub class: usize,
+    /// Number of the customer that the job belongs to.
     pub customer: usize,
-    /// The key whose order is kept, where the reservation type asks for one.
+    /// The key whose jobs run in order, where the class asks for that.
     pub key: Option<u64>,
-    /// How long this client goes on waiting.
-    pub left: Span,
-    /// Told work of all threads as time on one.
-    pub cost: Option<Span>,
+    /// How long the client goes on waiting.
+    pub time_left: TimeDelta,
+    /// Estimated work of all threads, as time on one.
+    pub cost: Option<TimeDelta>,
+    /// Estimated memory (MB).
     pub memory_mb: Option<f64>,
-    /// The group of tables that it reads or writes.
-    pub group: u64,
-    /// The client says that this is a repeat.
-    pub repeat: bool,
+    /// The group of tables that the job reads or writes.
+    pub table_group: u64,
+    /// The client says that this is a retry.
+    pub is_retry: bool,
+    /// The job writes.
     pub writes: bool,
 }
 
-/// How a dispatch or a probe came out.
+/// How a dispatch or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Done,
-    Error,
-    Full,
+pub enum DispatchStatus {
+    /// The engine completed the job.
+    Completed,
+    /// The engine reported a failure; the job may have run.
+    Failed,
+    /// The engine rejected the job for lack of capacity; it did not run.
+    Overloaded,
+    /// No result came within the dispatch's timeout; the job may have run.
     TimedOut,
+    /// Nothing of the dispatch reached the engine.
     Unreachable,
-    Broken,
-    Withdrawn,
-    Void,
-}
-
-/// How one dispatch ended.
-#[derive(Clone, Debug)]
-pub struct Outcome {
-    pub verdict: Verdict,
-    pub took: Span,
-    /// The job has its final answer, by this outcome or before.
-    pub over: bool,
-    /// The engine is not at fault: it has taken a new connection since, or was never tried.
-    pub lively: bool,
-    /// Work and memory (MB) that an answer says the job needed.
-    pub bill: Option<(Span, f64)>,
-    pub report: Report,
+    /// The connection was lost after the dispatch was written; the job may have run.
+    ConnectionLost,
+    /// The dispatch was cancelled after it was written; the job may have run.
+    Cancelled,
+    /// The engine received the dispatch after its deadline and did not run it.
+    Expired,
 }
 
-/// An engine's report of load: names and values as they came.
-pub type Report = Vec<(String, f64)>;
-
-/// Word on a dispatch that is still out.
+/// Work and memory that an engine says a job took.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
-    /// Share of the work that is done.
-    Share(f64),
-    /// Memory (MB) that it lacks.
-    Spills(f64),
-    WaitsForMemory,
-    WaitsForLoad,
+pub struct ActualCost {
+    /// Work of all threads, as time on one.
+    pub work: TimeDelta,
+    /// Memory (MB).
+    pub memory_mb: f64,
 }
 
-/// Priority (0 to 3) and memory (MB, 0 for the engine's choice) of a job's dispatches.
+/// How one dispatch, or one health check, ended.
+#[derive(Clone, Debug)]
+pub struct DispatchResult {
+    /// How it ended.
+    pub status: DispatchStatus,
+    /// Time from the first byte written to the last one read.
+    pub elapsed: TimeDelta,
+    /// The job has its final answer, by this result or before.
+    pub job_finished: bool,
+    /// The engine is not at fault: it has accepted a new connection since, or was never tried.
+    pub engine_reachable: bool,
+    /// What the job took, where the engine says so.
+    pub actual_cost: Option<ActualCost>,
+    /// The engine's load, where the answer carried it.
+    pub load_report: Option<LoadReport>,
+}
+
+/// An engine's report of its own load. A report may hold none of these values.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct LoadReport {
+    /// Jobs that the engine has in hand.
+    pub jobs_in_flight: Option<f64>,
+    /// Processor utilization, 1 at full use.
+    pub processor_utilization: Option<f64>,
+    /// Memory utilization, 1 at full use.
+    pub memory_utilization: Option<f64>,
+}
+
+/// An engine's news of a dispatch that is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
-    pub rank: u8,
-    pub grant_mb: f64,
+pub enum ProgressUpdate {
+    /// Fraction of the work that is done.
+    CompletedFraction(f64),
+    /// The job spills to disk, for lack of this much memory (MB).
+    SpillingToDisk(f64),
+    /// The job waits for memory.
+    WaitingForMemory,
+    /// The job waits for a bulk load that locks its tables.
+    WaitingForBulkLoad,
+}
+
+/// Options of a dispatch, for engines that heed them.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct DispatchOptions {
+    /// Priority, from 0 (lowest) to 3.
+    pub priority: u8,
+    /// Memory (MB) granted to the job, 0 for the engine's choice.
+    pub memory_grant_mb: f64,
 }
 
+/// A job to be sent to an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dispatch {
+    /// The job.
     pub job: JobId,
+    /// Where it goes.
     pub engine: EngineId,
-    /// Time-out of this dispatch.
-    pub limit: Span,
-    /// Its first byte leaves before this or never: what waits for a connection may wait past what was judged here.
-    pub begin_by: Moment,
-    pub terms: Option<Terms>,
+    /// Timeout of this dispatch.
+    pub timeout: TimeDelta,
+    /// Its first byte leaves before this or never: it may wait for a connection past what was decided on.
+    pub begin_by: Timestamp,
+    /// Priority and memory, where engines heed them.
+    pub options: Option<DispatchOptions>,
+}
+
+/// One of a job's dispatches, counted from 0.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DispatchId {
+    /// The job.
+    pub job: JobId,
+    /// Number of the dispatch among the job's dispatches.
+    pub attempt: u32,
 }
 
-/// A final answer that the module gives; an engine's answer reaches the client by itself.
+/// A final answer that the controller gives; an engine's answer reaches the client by itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
-    /// Trying again is harmless, best after this long.
-    Throttled(Span),
+pub enum FinalAnswer {
+    /// The job was not run to its end, and a retry is harmless.
+    Rejected {
+        /// When a retry is best made.
+        retry_after: TimeDelta,
+    },
+    /// The job may have run, and a retry may do harm.
     Cancelled,
 }
 
-/// All that one call decided. Recalls come first, then answers, dispatches and the rest.
+/// All that one event led to, to be carried out in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Decided {
-    pub recalls: Vec<(JobId, u32)>,
-    pub answers: Vec<(JobId, Answer)>,
+pub struct Actions {
+    /// Dispatches to be cancelled at their engines.
+    pub cancellations: Vec<DispatchId>,
+    /// Final answers to be given.
+    pub answers: Vec<(JobId, FinalAnswer)>,
+    /// Jobs to be sent.
     pub dispatches: Vec<Dispatch>,
-    pub probes: Vec<EngineId>,
-    /// Ask to be kept informed of the engine list.
+    /// Engines to be health-checked.
+    pub health_checks: Vec<EngineId>,
+    /// Ask to be kept informed of the endpoint list.
     pub subscribe: bool,
-    /// Call [`wake`](crate::logic::Logic::wake) at this time, or soon after.
-    pub next_wake: Option<Moment>,
-    /// Jobs of which nothing is out or owed any more; their numbers may be forgotten.
-    pub released: Vec<JobId>,
-    /// Engines that mean nothing to the module any more; their numbers may be forgotten.
-    pub forgotten: Vec<EngineId>,
+    /// Call [`timer_fired`](crate::controller::AdmissionController::timer_fired) at this time, or soon after.
+    pub next_timer: Option<Timestamp>,
+    /// Jobs of which nothing is in flight or owed any more; their numbers may be forgotten.
+    pub released_jobs: Vec<JobId>,
+    /// Engines that mean nothing to the controller any more; their numbers may be forgotten.
+    pub forgotten_engines: Vec<EngineId>,
+    /// Lines for the caller's log.
     pub log: Vec<String>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,9 @@
 //! pebblevane decides when and on which engine a job runs, and whether it runs at all.
 //!
-//! [`interface`] holds the plain types that go in and out, [`logic`] every decision.
+//! [`interface`] holds the plain types that go in and out, [`controller`] every decision.
 
+pub mod controller;
 pub mod interface;
-pub mod logic;
+pub mod settings;
 mod state;
+pub mod time;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,33 +1,35 @@
 //! What the decision module remembers: plain state and arithmetic. Nothing here decides, and every tuned
 //! value is handed in by `logic.rs`.
 
+use crate::controller::AdmissionController;
 use crate::interface::*;
-use crate::logic::Logic;
+use crate::settings::*;
+use crate::time::*;
 use std::collections::{BTreeMap, VecDeque};
 
 /// What a step of a job leaves behind: it is handed the step's result and says what comes next.
-pub type Next = Box<dyn FnOnce(&mut Logic, JobId, Verdict)>;
+pub type Next = Box<dyn FnOnce(&mut AdmissionController, JobId, DispatchStatus)>;
 
 /// A mean and a rate whose past fades; brought up to date when touched.
 #[derive(Clone, Copy, Default)]
 pub struct Fading {
     pub sum: f64,
     pub weight: f64,
-    pub at: Moment,
+    pub at: Timestamp,
 }
 
 impl Fading {
-    pub fn touch(&mut self, now: Moment, life: Span) {
-        let keep = (-((now - self.at).ms() / life.ms())).exp();
+    pub fn touch(&mut self, now: Timestamp, life: TimeDelta) {
+        let keep = (-((now - self.at).as_millis_f64() / life.as_millis_f64())).exp();
         (self.sum, self.weight, self.at) = (self.sum * keep, self.weight * keep, now);
     }
-    pub fn add(&mut self, now: Moment, life: Span, x: f64, weight: f64) {
+    pub fn add(&mut self, now: Timestamp, life: TimeDelta, x: f64, weight: f64) {
         self.touch(now, life);
         self.sum += x * weight;
         self.weight += weight;
     }
     /// The sum as it has faded by now.
-    pub fn read(&self, now: Moment, life: Span) -> f64 {
+    pub fn read(&self, now: Timestamp, life: TimeDelta) -> f64 {
         let mut faded = *self;
         faded.touch(now, life);
         faded.sum
@@ -36,16 +38,16 @@
     pub fn mean_with(&self, prior: f64, weight: f64) -> f64 {
         (self.sum + prior * weight) / (self.weight + weight)
     }
-    pub fn mean_now(&mut self, now: Moment, life: Span, prior: f64, weight: f64) -> f64 {
+    pub fn mean_now(&mut self, now: Timestamp, life: TimeDelta, prior: f64, weight: f64) -> f64 {
         self.touch(now, life);
         self.mean_with(prior, weight)
     }
     pub fn mean_or(&self, absent: f64) -> f64 {
         if self.weight > 1e-9 { self.sum / self.weight } else { absent }
     }
-    pub fn per_second(&mut self, now: Moment, life: Span) -> f64 {
+    pub fn per_second(&mut self, now: Timestamp, life: TimeDelta) -> f64 {
         self.touch(now, life);
-        self.weight / (life.ms() / 1000.0)
+        self.weight / (life.as_millis_f64() / 1000.0)
     }
 }
 
@@ -67,17 +69,17 @@
 
 /// What happened within some span: kept singly, for the rules that count in a sliding window.
 #[derive(Default)]
-pub struct Recent(VecDeque<(Moment, f64)>);
+pub struct Recent(VecDeque<(Timestamp, f64)>);
 
 impl Recent {
     /// Adds `x` and forgets what is older than `life`.
-    pub fn add(&mut self, now: Moment, life: Span, x: f64) {
+    pub fn add(&mut self, now: Timestamp, life: TimeDelta, x: f64) {
         while self.0.front().is_some_and(|(when, _)| *when <= now - life) {
             self.0.pop_front();
         }
         self.0.push_back((now, x));
     }
-    pub fn since(&self, then: Moment) -> f64 {
+    pub fn since(&self, then: Timestamp) -> f64 {
         self.0.iter().filter(|(when, _)| *when > then).map(|(_, x)| x).sum()
     }
 }
@@ -96,12 +98,12 @@
 }
 
 impl Traffic {
-    pub fn add(&mut self, now: Moment, life: Span, held: &Held, kind: &Reservation) {
+    pub fn add(&mut self, now: Timestamp, life: TimeDelta, held: &Held, kind: &Reservation) {
         self.threads.add(now, life, kind.threads, held.bare);
         self.memory.add(now, life, held.memory * kind.grant, held.bare);
         self.billed.add(now, life, kind.billed / (held.cost.max(1.0) / 1000.0), held.cost);
         self.dear.add(now, life, kind.billed, 1.0);
-        self.groups.entry(held.job.group).or_default().add(now, life, 0.0, 1.0);
+        self.groups.entry(held.job.table_group).or_default().add(now, life, 0.0, 1.0);
         self.jobs.add(now, life, 0.0, 1.0);
     }
     /// A table group's share of the other jobs, drawn towards none as if `more` had been seen.
@@ -178,10 +180,10 @@
 pub struct Reservation {
     pub effect: Effect,
     pub group: String,
-    pub window: Span,
-    pub sla: Span,
+    pub window: TimeDelta,
+    pub sla: TimeDelta,
     /// How long its clients wait.
-    pub wait: Span,
+    pub wait: TimeDelta,
     pub stretch: f64,
     pub billed: f64,
     /// Part of the billed value that an answer past its SLA time earns.
@@ -206,8 +208,8 @@
 
 impl Reservation {
     /// Adds what a job is told to cost and need, each as long as it is possible.
-    pub fn tell(&mut self, now: Moment, life: Span, job: &Job, most: f64, largest: f64) {
-        if let Some(told) = job.cost.map(Span::ms).filter(|told| *told < most) {
+    pub fn tell(&mut self, now: Timestamp, life: TimeDelta, job: &Job, most: f64, largest: f64) {
+        if let Some(told) = job.cost.map(TimeDelta::as_millis_f64).filter(|told| *told < most) {
             self.told_cost.add(now, life, told, 1.0);
         }
         if let Some(memory) = job.memory_mb.filter(|memory| *memory <= largest) {
@@ -231,9 +233,11 @@
                 _ => Effect::RunOnce,
             },
             group: settings.text(&format!("Classes.{i}.Group")).to_string(),
-            window: Span::from_ms(number("DedupWindow")),
-            sla: Span::from_ms(number("Aim")),
-            wait: settings.number(&format!("Classes.{i}.GiveUp")).map_or(Span(i64::MAX), Span::from_ms),
+            window: TimeDelta::from_millis_f64(number("DedupWindow")),
+            sla: TimeDelta::from_millis_f64(number("Aim")),
+            wait: settings
+                .number(&format!("Classes.{i}.GiveUp"))
+                .map_or(TimeDelta(i64::MAX), TimeDelta::from_millis_f64),
             stretch: number("AimStretch"),
             billed: number("Worth"),
             late: number("LateValue"),
@@ -250,7 +254,7 @@
 
 #[derive(Default)]
 pub struct Engine {
-    pub listing: Listing,
+    pub listing: Endpoint,
     pub hash: u64,
     pub cores: f64,
     pub memory_mb: f64,
@@ -258,7 +262,7 @@
     pub most_mb: f64,
     pub latency: Vec<Option<f64>>,
     pub processor: Option<f64>,
-    pub reported: Moment,
+    pub reported: Timestamp,
     pub memory: Option<f64>,
     /// Jobs in hand there, as told; and own threads sent since.
     pub jobs: Option<f64>,
@@ -271,12 +275,12 @@
     /// This gateway's equal share of the bound, or 1 where that is too small to have a meaning.
     pub share: f64,
     pub whole: bool,
-    pub full_until: Moment,
+    pub full_until: Timestamp,
     /// Time that jobs took there over the time that their work alone would take.
     pub pace: Fading,
     /// Left alone until then, for `backoff`; after that on trial, one job at a time, until it answers.
-    pub shunned_until: Moment,
-    pub backoff: Span,
+    pub shunned_until: Timestamp,
+    pub backoff: TimeDelta,
     pub on_trial: bool,
     /// The job that is out on trial.
     pub trial: Option<JobId>,
@@ -284,25 +288,25 @@
     pub loads: Vec<u64>,
     /// Refused and broken connections since the last answer.
     pub strikes: u32,
-    pub heard: Moment,
+    pub heard: Timestamp,
     pub probe_out: bool,
-    pub probed: Moment,
+    pub probed: Timestamp,
     /// How long the last probe took (ms), if the engine said that it was not busy.
     pub calm_probe: Option<f64>,
     /// Usual work sent of late, for the cold budget; and work sent, fading slowly.
     pub sent: Recent,
     pub work: Fading,
     /// Table groups known to be held by a load, and until when that is believed.
-    pub holds: BTreeMap<u64, Moment>,
+    pub holds: BTreeMap<u64, Timestamp>,
 }
 
 impl Engine {
     /// Whether a load is known to hold these tables here.
-    pub fn held(&self, group: u64, now: Moment) -> bool {
+    pub fn held(&self, group: u64, now: Timestamp) -> bool {
         self.loads.contains(&group) || self.holds.get(&group).is_some_and(|until| *until > now)
     }
     /// Its pace, drawn towards calm as if that had been seen with `weight`.
-    pub fn pace_at(&self, now: Moment, life: Span, weight: f64) -> f64 {
+    pub fn pace_at(&self, now: Timestamp, life: TimeDelta, weight: f64) -> f64 {
         let mut pace = self.pace;
         pace.mean_now(now, life, 1.0, weight)
     }
@@ -312,7 +316,7 @@
         self.since += kind.threads;
         self.memory_out += memory;
         self.outs += 1;
-        self.loads.extend(kind.holds.then_some(job.group));
+        self.loads.extend(kind.holds.then_some(job.table_group));
         self.trial = self.on_trial.then_some(id);
     }
     pub fn returns(&mut self, id: JobId, job: &Job, kind: &Reservation, memory: f64) {
@@ -320,12 +324,12 @@
         self.memory_out = (self.memory_out - memory).max(0.0);
         self.outs = self.outs.saturating_sub(1);
         self.trial = self.trial.filter(|job| *job != id);
-        if let Some(at) = self.loads.iter().position(|group| kind.holds && *group == job.group) {
+        if let Some(at) = self.loads.iter().position(|group| kind.holds && *group == job.table_group) {
             self.loads.swap_remove(at);
         }
     }
     /// An engine as the list and the settings describe it; what is out at it is kept from `before`.
-    pub fn read(settings: &Settings, listing: Listing, before: Engine, types: usize) -> Engine {
+    pub fn read(settings: &Settings, listing: Endpoint, before: Engine, types: usize) -> Engine {
         let known = |name: &str| settings.number(&format!("Extra.{name}.{}", listing.machine));
         let memory_mb = known("RamOfKindMb");
         let Engine { threads, memory_out, outs, sent, work, loads, .. } = before;
@@ -390,10 +394,10 @@
 pub struct Out {
     pub engine: usize,
     pub copy: u32,
-    pub sent: Moment,
+    pub sent: Timestamp,
     pub choice: Option<Choice>,
     pub share: f64,
-    pub noted: Moment,
+    pub noted: Timestamp,
     pub recalled: bool,
     pub waited: bool,
     pub spilled: bool,
@@ -405,7 +409,7 @@
     pub fn new(
         engine: usize,
         copy: u32,
-        sent: Moment,
+        sent: Timestamp,
         choice: Option<Choice>,
         memory: f64,
         next: Next,
@@ -418,11 +422,11 @@
 
 impl Out {
     /// Keeps what a note says.
-    pub fn hears(&mut self, now: Moment, note: Note) {
+    pub fn hears(&mut self, now: Timestamp, note: ProgressUpdate) {
         self.noted = now;
-        self.waited |= note == Note::WaitsForLoad;
-        self.spilled |= matches!(note, Note::Spills(_));
-        if let Note::Share(share) = note {
+        self.waited |= note == ProgressUpdate::WaitingForBulkLoad;
+        self.spilled |= matches!(note, ProgressUpdate::SpillingToDisk(_));
+        if let ProgressUpdate::CompletedFraction(share) = note {
             self.share = share;
         }
     }
@@ -439,9 +443,9 @@
 #[derive(Default)]
 pub struct Held {
     pub job: Job,
-    pub taken: Moment,
-    pub ends: Moment,
-    pub sla_ends: Moment,
+    pub taken: Timestamp,
+    pub ends: Timestamp,
+    pub sla_ends: Timestamp,
     /// Work in milliseconds on one thread, and the same spread over its threads.
     pub cost: f64,
     pub bare: f64,
@@ -450,8 +454,8 @@
     pub copies: u32,
     pub out: Option<Out>,
     /// The first dispatch that may have run: its engine and when it was sent.
-    pub may_have_run: Option<(usize, Moment)>,
-    pub unsure_at: Option<Moment>,
+    pub may_have_run: Option<(usize, Timestamp)>,
+    pub unsure_at: Option<Timestamp>,
     pub last: Option<usize>,
     pub over: bool,
     /// It is in the line at the gateway.
