--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -2,8 +2,10 @@
 //! in milliseconds, what came in, and what was decided.
 
 use expect_test::{Expect, expect};
+use pebblevane::controller::AdmissionController;
 use pebblevane::interface::*;
-use pebblevane::logic::Logic;
+use pebblevane::settings::*;
+use pebblevane::time::*;
 use std::fmt::Write;
 
 const LOOKUP: usize = 0;
@@ -14,7 +16,7 @@
 const LOAD: usize = 5;
 
 struct Desk {
-    logic: Logic,
+    logic: AdmissionController,
     now: f64,
     trace: String,
     /// What probes tell of an engine's jobs in hand; none are answered without.
@@ -65,22 +67,23 @@
     all
 }
 
-fn engine(number: u32, stage: Stage, ready_at: Option<f64>) -> Listing {
-    Listing {
+fn engine(number: u32, stage: LifecycleState, ready_at: Option<f64>) -> Endpoint {
+    Endpoint {
         engine: EngineId(number),
         name: format!("engine-{number}"),
         location: number as usize % 2,
-        stage,
-        ready_at: ready_at.map(Moment::from_ms),
+        lifecycle: stage,
+        started_at: ready_at.map(Timestamp::from_millis_f64),
         capacity_hint: 1.0,
-        ..Listing::default()
+        ..Endpoint::default()
     }
 }
 
 impl Desk {
     fn new(more: &[(&str, f64)], engines: u32) -> Desk {
         let ordinal = more.iter().find(|(name, _)| *name == "Ordinal").map_or(0.0, |(_, ordinal)| *ordinal);
-        let logic = Logic::new(Moment::from_ms(0.0), 7 + ordinal as u64, settings(more));
+        let logic =
+            AdmissionController::new(Timestamp::from_millis_f64(0.0), 7 + ordinal as u64, settings(more));
         let mut desk = Desk {
             logic,
             now: 0.0,
@@ -97,70 +100,74 @@
             memory: 200.0,
             bill: None,
         };
-        desk.list(true, (0..engines).map(|i| engine(i, Stage::Running, None)).collect());
+        desk.list(true, (0..engines).map(|i| engine(i, LifecycleState::Running, None)).collect());
         desk
     }
-    fn note(&mut self, what: &str, decided: Decided) {
+    fn note(&mut self, what: &str, decided: Actions) {
         let mut parts: Vec<String> = Vec::new();
-        parts.extend(decided.recalls.iter().map(|(job, copy)| format!("recall {}.{copy}", job.0)));
+        parts.extend(decided.cancellations.iter().map(|id| format!("recall {}.{}", id.job.0, id.attempt)));
         parts.extend(decided.answers.iter().map(|(job, answer)| match answer {
-            Answer::Throttled(_) => format!("throttle {}", job.0),
-            Answer::Cancelled => format!("cancel {}", job.0),
+            FinalAnswer::Rejected { .. } => format!("throttle {}", job.0),
+            FinalAnswer::Cancelled => format!("cancel {}", job.0),
         }));
         parts.extend(decided.dispatches.iter().map(|d| {
-            let granted = d.terms.map(|terms| format!(" with {} MB", terms.grant_mb)).unwrap_or_default();
+            let granted =
+                d.options.map(|terms| format!(" with {} MB", terms.memory_grant_mb)).unwrap_or_default();
             format!("send {} to {}{granted}", d.job.0, d.engine.0)
         }));
-        parts.extend(decided.probes.iter().map(|engine| format!("probe {}", engine.0)));
+        parts.extend(decided.health_checks.iter().map(|engine| format!("probe {}", engine.0)));
         self.sent.extend(decided.dispatches.iter().map(|dispatch| (self.now, dispatch.engine.0)));
-        self.asked.extend(&decided.probes);
+        self.asked.extend(&decided.health_checks);
         if !what.is_empty() || !parts.is_empty() {
             let line = format!("{:<5} {what}: {}", self.now, parts.join(", "));
             writeln!(self.trace, "{}", line.trim_end()).unwrap();
         }
     }
-    fn moment(&self) -> Moment {
-        Moment::from_ms(self.now)
+    fn moment(&self) -> Timestamp {
+        Timestamp::from_millis_f64(self.now)
     }
-    fn list(&mut self, complete: bool, listings: Vec<Listing>) {
-        let what: Vec<String> = listings.iter().map(|l| format!("{} {:?}", l.engine.0, l.stage)).collect();
-        let decided = self.logic.engines_changed(self.moment(), complete, listings);
+    fn list(&mut self, complete: bool, listings: Vec<Endpoint>) {
+        let what: Vec<String> =
+            listings.iter().map(|l| format!("{} {:?}", l.engine.0, l.lifecycle)).collect();
+        let decided = self.logic.endpoints_changed(self.moment(), complete, listings);
         self.note(&format!("list [{}]", what.join(", ")), decided);
     }
     fn take(&mut self, reservation: usize, group: u64, key: Option<u64>) -> u32 {
         let id = self.jobs;
         self.jobs += 1;
         let job = Job {
-            reservation,
-            group,
+            class: reservation,
+            table_group: group,
             key,
-            left: Span::from_ms(self.left),
-            cost: self.cost.map(Span::from_ms),
+            time_left: TimeDelta::from_millis_f64(self.left),
+            cost: self.cost.map(TimeDelta::from_millis_f64),
             memory_mb: Some(self.memory),
             ..Job::default()
         };
-        let decided = self.logic.take(self.moment(), JobId(id), job);
+        let decided = self.logic.submit(self.moment(), JobId(id), job);
         self.note(&format!("take {id}"), decided);
         id
     }
-    fn settle(&mut self, job: u32, copy: u32, verdict: Verdict, took: f64) {
-        let outcome = Outcome {
-            verdict,
-            took: Span::from_ms(took),
-            over: verdict == Verdict::Done,
-            lively: self.lively,
-            bill: self.bill.map(|work| (Span::from_ms(work), self.memory)),
-            report: Report::new(),
+    fn settle(&mut self, job: u32, copy: u32, verdict: DispatchStatus, took: f64) {
+        let outcome = DispatchResult {
+            status: verdict,
+            elapsed: TimeDelta::from_millis_f64(took),
+            job_finished: verdict == DispatchStatus::Completed,
+            engine_reachable: self.lively,
+            actual_cost: self
+                .bill
+                .map(|work| ActualCost { work: TimeDelta::from_millis_f64(work), memory_mb: self.memory }),
+            load_report: None,
         };
-        let decided = self.logic.settle(self.moment(), JobId(job), copy, outcome);
+        let decided = self.logic.dispatch_finished(self.moment(), JobId(job), copy, outcome);
         self.note(&format!("{verdict:?} {job}.{copy}"), decided);
     }
-    fn note_on(&mut self, job: u32, copy: u32, note: Note) {
-        let decided = self.logic.progress(self.moment(), JobId(job), copy, note);
+    fn note_on(&mut self, job: u32, copy: u32, note: ProgressUpdate) {
+        let decided = self.logic.dispatch_progress(self.moment(), JobId(job), copy, note);
         self.note(&format!("{note:?} {job}.{copy}"), decided);
     }
     fn stop(&mut self, within: f64) {
-        let decided = self.logic.stopping(self.moment(), Moment::from_ms(self.now + within));
+        let decided = self.logic.begin_shutdown(self.moment(), Timestamp::from_millis_f64(self.now + within));
         self.note("stopping", decided);
     }
     /// Lets time pass, waking the module every five milliseconds as the clock would.
@@ -168,15 +175,25 @@
         let until = self.now + ms;
         while self.now < until {
             self.now += 5.0;
-            let decided = self.logic.wake(self.moment());
+            let decided = self.logic.timer_fired(self.moment());
             self.note("", decided);
             for engine in std::mem::take(&mut self.asked) {
                 let Some(jobs) = self.told.get(engine.0 as usize).copied() else { continue };
-                let took = Span::from_ms(self.probe_ms.get(engine.0 as usize).copied().unwrap_or(1.0));
-                let report = vec![(self.field.to_string(), jobs)];
-                let outcome =
-                    Outcome { verdict: Verdict::Done, took, over: false, lively: false, bill: None, report };
-                let decided = self.logic.probed(self.moment(), engine, outcome);
+                let took =
+                    TimeDelta::from_millis_f64(self.probe_ms.get(engine.0 as usize).copied().unwrap_or(1.0));
+                let load_report = Some(match self.field {
+                    "concurrent" => LoadReport { jobs_in_flight: Some(jobs), ..LoadReport::default() },
+                    _ => LoadReport { processor_utilization: Some(jobs), ..LoadReport::default() },
+                });
+                let outcome = DispatchResult {
+                    status: DispatchStatus::Completed,
+                    elapsed: took,
+                    job_finished: false,
+                    engine_reachable: false,
+                    actual_cost: None,
+                    load_report,
+                };
+                let decided = self.logic.health_check_finished(self.moment(), engine, outcome);
                 self.note(&format!("told {}: {jobs}", engine.0), decided);
             }
         }
@@ -194,7 +211,7 @@
         for group in [11, 12] {
             let job = desk.take(LOOKUP, group, None);
             desk.pass(50.0);
-            desk.settle(job, 0, Verdict::Done, 50.0 + f64::from(round));
+            desk.settle(job, 0, DispatchStatus::Completed, 50.0 + f64::from(round));
         }
     }
     same(
@@ -202,21 +219,21 @@
         expect![[r#"
             0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
             0     take 0: send 0 to 5
-            50    Done 0.0:
+            50    Completed 0.0:
             50    take 1: send 1 to 1
-            100   Done 1.0:
+            100   Completed 1.0:
             100   take 2: send 2 to 1
-            150   Done 2.0:
+            150   Completed 2.0:
             150   take 3: send 3 to 1
-            200   Done 3.0:
+            200   Completed 3.0:
             200   take 4: send 4 to 1
-            250   Done 4.0:
+            250   Completed 4.0:
             250   take 5: send 5 to 1
-            300   Done 5.0:
+            300   Completed 5.0:
             300   take 6: send 6 to 5
-            350   Done 6.0:
+            350   Completed 6.0:
             350   take 7: send 7 to 1
-            400   Done 7.0:
+            400   Completed 7.0:
         "#]],
     );
 }
@@ -230,7 +247,7 @@
         let slow = desk.trace.ends_with("to 1\n");
         counts[usize::from(slow)] += 1;
         desk.pass(20.0);
-        desk.settle(job, 0, Verdict::Done, if slow { 900.0 } else { 100.0 });
+        desk.settle(job, 0, DispatchStatus::Completed, if slow { 900.0 } else { 100.0 });
     }
     expect!["[299, 1]"].assert_eq(&format!("{counts:?}"));
 }
@@ -241,8 +258,8 @@
     let broken = desk.take(POST, 11, None);
     let refused = desk.take(POST, 12, None);
     desk.pass(10.0);
-    desk.settle(broken, 0, Verdict::Broken, 10.0);
-    desk.settle(refused, 0, Verdict::Unreachable, 10.0);
+    desk.settle(broken, 0, DispatchStatus::ConnectionLost, 10.0);
+    desk.settle(refused, 0, DispatchStatus::Unreachable, 10.0);
     desk.pass(5000.0);
     same(
         desk,
@@ -250,7 +267,7 @@
             0     list [0 Running, 1 Running, 2 Running, 3 Running]:
             0     take 0: send 0 to 3
             0     take 1: send 1 to 1
-            10    Broken 0.0: cancel 0
+            10    ConnectionLost 0.0: cancel 0
             10    Unreachable 1.0: send 1 to 0
             3990  : recall 1.1, cancel 1
         "#]],
@@ -262,16 +279,16 @@
     let mut desk = Desk::new(&[], 6);
     let job = desk.take(KEYED, 11, None);
     desk.pass(10.0);
-    desk.settle(job, 0, Verdict::Broken, 10.0);
+    desk.settle(job, 0, DispatchStatus::ConnectionLost, 10.0);
     let late = desk.take(KEYED, 12, None);
     desk.pass(2100.0);
-    desk.settle(late, 0, Verdict::TimedOut, 2100.0);
+    desk.settle(late, 0, DispatchStatus::TimedOut, 2100.0);
     same(
         desk,
         expect![[r#"
             0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
             0     take 0: send 0 to 5
-            10    Broken 0.0: send 0 to 1
+            10    ConnectionLost 0.0: send 0 to 1
             10    take 1: send 1 to 0
             2110  TimedOut 1.0: cancel 1
         "#]],
@@ -287,7 +304,7 @@
     for broken_after in [1900.0, 2000.0] {
         let job = desk.take(KEYED, 11, None);
         desk.pass(broken_after);
-        desk.settle(job, 0, Verdict::Broken, broken_after);
+        desk.settle(job, 0, DispatchStatus::ConnectionLost, broken_after);
         desk.pass(100.0);
     }
     same(
@@ -295,9 +312,9 @@
         expect![[r#"
         0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
         0     take 0: send 0 to 5
-        1900  Broken 0.0: send 0 to 1
+        1900  ConnectionLost 0.0: send 0 to 1
         2000  take 1: send 1 to 5
-        4000  Broken 1.0: cancel 1
+        4000  ConnectionLost 1.0: cancel 1
     "#]],
     );
 }
@@ -305,8 +322,8 @@
 #[test]
 fn nothing_goes_to_an_engine_that_drains_or_is_gone() {
     let mut desk = Desk::new(&[], 3);
-    desk.list(false, vec![engine(0, Stage::Draining, None)]);
-    desk.list(true, vec![engine(1, Stage::Running, None)]);
+    desk.list(false, vec![engine(0, LifecycleState::Draining, None)]);
+    desk.list(true, vec![engine(1, LifecycleState::Running, None)]);
     for group in 0..4 {
         desk.take(LOOKUP, group, None);
     }
@@ -334,7 +351,7 @@
     ];
     let mut desk = Desk::new(&cold, 0);
     desk.now = 1000.0;
-    desk.list(false, vec![engine(0, Stage::Running, Some(1000.0))]);
+    desk.list(false, vec![engine(0, LifecycleState::Running, Some(1000.0))]);
     for _ in 0..12 {
         desk.take(LOOKUP, 11, None);
     }
@@ -369,11 +386,11 @@
     desk.take(ORDERED, 11, Some(5));
     desk.take(ORDERED, 11, Some(6));
     desk.pass(50.0);
-    desk.settle(first, 0, Verdict::Done, 50.0);
+    desk.settle(first, 0, DispatchStatus::Completed, 50.0);
     desk.pass(300.0);
-    desk.settle(second, 0, Verdict::TimedOut, 300.0);
+    desk.settle(second, 0, DispatchStatus::TimedOut, 300.0);
     desk.pass(50.0);
-    desk.settle(second, 1, Verdict::Done, 50.0);
+    desk.settle(second, 1, DispatchStatus::Completed, 50.0);
     desk.pass(1000.0);
     same(
         desk,
@@ -383,10 +400,10 @@
             0     take 1:
             0     take 2:
             0     take 3: send 3 to 1
-            50    Done 0.0:
+            50    Completed 0.0:
             55    : send 1 to 3
             350   TimedOut 1.0: send 1 to 2
-            400   Done 1.1:
+            400   Completed 1.1:
             650   : send 2 to 3
         "#]],
     );
@@ -403,14 +420,14 @@
     desk.cost = Some(700.0);
     let alone = desk.take(ORDERED, 11, Some(6));
     desk.pass(100.0);
-    desk.settle(first, 0, Verdict::Done, 100.0);
+    desk.settle(first, 0, DispatchStatus::Completed, 100.0);
     desk.pass(10.0);
     for job in short {
         desk.pass(190.0);
-        desk.settle(job, 0, Verdict::Done, 190.0);
+        desk.settle(job, 0, DispatchStatus::Completed, 190.0);
         desk.pass(10.0);
     }
-    desk.settle(alone, 0, Verdict::Done, 900.0);
+    desk.settle(alone, 0, DispatchStatus::Completed, 900.0);
     same(
         desk,
         expect![[r#"
@@ -421,14 +438,14 @@
             0     take 3:
             0     take 4:
             0     take 5: send 5 to 1
-            100   Done 0.0:
+            100   Completed 0.0:
             105   : throttle 1, send 2 to 3
-            300   Done 2.0:
+            300   Completed 2.0:
             305   : send 3 to 3
-            500   Done 3.0:
+            500   Completed 3.0:
             505   : send 4 to 3
-            700   Done 4.0:
-            710   Done 5.0:
+            700   Completed 4.0:
+            710   Completed 5.0:
         "#]],
     );
 }
@@ -436,11 +453,11 @@
 #[test]
 fn a_bound_job_waits_or_ends_but_never_goes_elsewhere() {
     let mut desk = Desk::new(&[], 4);
-    desk.list(false, vec![engine(1, Stage::Gone, None), engine(3, Stage::Draining, None)]);
+    desk.list(false, vec![engine(1, LifecycleState::Gone, None), engine(3, LifecycleState::Draining, None)]);
     desk.take(PLACED, 11, None);
     desk.pass(2000.0);
     desk.take(PLACED, 11, None);
-    desk.list(false, vec![engine(5, Stage::Running, None)]);
+    desk.list(false, vec![engine(5, LifecycleState::Running, None)]);
     same(
         desk,
         expect![[r#"
@@ -462,22 +479,22 @@
     );
     for group in 0..5 {
         let job = desk.take(LOOKUP, group, None);
-        desk.settle(job, 0, Verdict::Error, 1.0);
+        desk.settle(job, 0, DispatchStatus::Failed, 1.0);
     }
     same(
         desk,
         expect![[r#"
             0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
             0     take 0: send 0 to 0
-            0     Error 0.0: send 0 to 2
+            0     Failed 0.0: send 0 to 2
             0     take 1: send 1 to 1
-            0     Error 1.0:
+            0     Failed 1.0:
             0     take 2: send 2 to 1
-            0     Error 2.0:
+            0     Failed 2.0:
             0     take 3: send 3 to 0
-            0     Error 3.0: send 3 to 1
+            0     Failed 3.0: send 3 to 1
             0     take 4: send 4 to 3
-            0     Error 4.0:
+            0     Failed 4.0:
         "#]],
     );
 }
@@ -488,20 +505,20 @@
         [("Contract.BudgetWindow", 1000.0), ("Contract.SpareAttempts", 1.0), ("Contract.ExtraRatio", 0.0)];
     let mut desk = Desk::new(&budget, 6);
     let first = desk.take(LOOKUP, 1, None);
-    desk.settle(first, 0, Verdict::Error, 1.0);
+    desk.settle(first, 0, DispatchStatus::Failed, 1.0);
     desk.pass(900.0);
     let second = desk.take(LOOKUP, 2, None);
     desk.pass(100.0);
-    desk.settle(second, 0, Verdict::Error, 1.0);
+    desk.settle(second, 0, DispatchStatus::Failed, 1.0);
     desk.pass(100.0);
     same(
         desk,
         expect![[r#"
             0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
             0     take 0: send 0 to 0
-            0     Error 0.0: send 0 to 1
+            0     Failed 0.0: send 0 to 1
             900   take 1: send 1 to 4
-            1000  Error 1.0:
+            1000  Failed 1.0:
             1010  : send 1 to 3
         "#]],
     );
@@ -514,21 +531,21 @@
         [("Contract.BudgetWindow", 1000.0), ("Contract.SpareAttempts", 2.0), ("Contract.ExtraRatio", 0.0)];
     let mut desk = Desk::new(&budget, 6);
     let first = desk.take(LOOKUP, 1, None);
-    desk.settle(first, 0, Verdict::Error, 1.0);
+    desk.settle(first, 0, DispatchStatus::Failed, 1.0);
     desk.pass(1000.0);
     let further: Vec<u32> = (2..4).map(|group| desk.take(LOOKUP, group, None)).collect();
-    further.into_iter().for_each(|job| desk.settle(job, 0, Verdict::Error, 1.0));
+    further.into_iter().for_each(|job| desk.settle(job, 0, DispatchStatus::Failed, 1.0));
     desk.pass(100.0);
     same(
         desk,
         expect![[r#"
         0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
         0     take 0: send 0 to 0
-        0     Error 0.0: send 0 to 1
+        0     Failed 0.0: send 0 to 1
         1000  take 1: send 1 to 4
         1000  take 2: send 2 to 2
-        1000  Error 1.0: send 1 to 3
-        1000  Error 2.0:
+        1000  Failed 1.0: send 1 to 3
+        1000  Failed 2.0:
         1010  : send 2 to 0
     "#]],
     );
@@ -540,9 +557,9 @@
     let read = desk.take(LOOKUP, 11, None);
     let post = desk.take(POST, 12, None);
     desk.pass(4000.0);
-    desk.settle(read, 0, Verdict::Withdrawn, 4000.0);
-    desk.settle(post, 0, Verdict::Done, 4000.0);
-    desk.settle(post, 0, Verdict::Done, 4000.0);
+    desk.settle(read, 0, DispatchStatus::Cancelled, 4000.0);
+    desk.settle(post, 0, DispatchStatus::Completed, 4000.0);
+    desk.settle(post, 0, DispatchStatus::Completed, 4000.0);
     same(
         desk,
         expect![[r#"
@@ -550,9 +567,9 @@
             0     take 0: send 0 to 0
             0     take 1: send 1 to 1
             3990  : recall 0.0, recall 1.0, throttle 0, cancel 1
-            4000  Withdrawn 0.0:
-            4000  Done 1.0:
-            4000  Done 1.0:
+            4000  Cancelled 0.0:
+            4000  Completed 1.0:
+            4000  Completed 1.0:
         "#]],
     );
 }
@@ -561,10 +578,10 @@
 fn with_no_engine_jobs_wait_and_a_stale_list_is_mended() {
     let mut desk = Desk::new(&[], 0);
     desk.take(LOOKUP, 11, None);
-    desk.list(true, vec![engine(0, Stage::Running, None)]);
-    desk.settle(0, 0, Verdict::Unreachable, 250.0);
+    desk.list(true, vec![engine(0, LifecycleState::Running, None)]);
+    desk.settle(0, 0, DispatchStatus::Unreachable, 250.0);
     desk.pass(250.0);
-    desk.list(true, vec![engine(1, Stage::Running, None)]);
+    desk.list(true, vec![engine(1, LifecycleState::Running, None)]);
     desk.list(true, vec![]);
     desk.take(LOOKUP, 12, None);
     desk.pass(1500.0);
@@ -588,20 +605,20 @@
     let mut desk = Desk::new(&[("Extra.Progress", 200.0)], 3);
     let usual = desk.take(LOOKUP, 11, None);
     desk.pass(100.0);
-    desk.settle(usual, 0, Verdict::Done, 100.0);
+    desk.settle(usual, 0, DispatchStatus::Completed, 100.0);
     let stuck = desk.take(LOOKUP, 11, None);
     desk.pass(200.0);
-    desk.note_on(stuck, 0, Note::Share(0.05));
-    desk.settle(stuck, 0, Verdict::Withdrawn, 200.0);
+    desk.note_on(stuck, 0, ProgressUpdate::CompletedFraction(0.05));
+    desk.settle(stuck, 0, DispatchStatus::Cancelled, 200.0);
     same(
         desk,
         expect![[r#"
             0     list [0 Running, 1 Running, 2 Running]:
             0     take 0: send 0 to 2
-            100   Done 0.0:
+            100   Completed 0.0:
             100   take 1: send 1 to 1
-            300   Share(0.05) 1.0: recall 1.0
-            300   Withdrawn 1.0: send 1 to 2
+            300   CompletedFraction(0.05) 1.0: recall 1.0
+            300   Cancelled 1.0: send 1 to 2
         "#]],
     );
 }
@@ -612,7 +629,7 @@
     (0..36).for_each(|group| assert_eq!(desk.take(LOOKUP, group, None), group as u32));
     let mut sent = vec![desk.trace.matches("send").count()];
     for job in 0..3 {
-        desk.settle(job, 0, Verdict::Done, 100.0);
+        desk.settle(job, 0, DispatchStatus::Completed, 100.0);
         desk.pass(20.0);
         sent.push(desk.trace.matches("send").count());
     }
@@ -624,7 +641,12 @@
 #[test]
 fn one_broken_connection_is_no_suspicion_and_two_are() {
     let mut desk = Desk::new(&[], 2);
-    for verdict in [Verdict::Broken, Verdict::Broken, Verdict::Done, Verdict::Done] {
+    for verdict in [
+        DispatchStatus::ConnectionLost,
+        DispatchStatus::ConnectionLost,
+        DispatchStatus::Completed,
+        DispatchStatus::Completed,
+    ] {
         let job = desk.take(LOOKUP, 11, None);
         desk.settle(job, 0, verdict, 5.0);
     }
@@ -635,13 +657,13 @@
         expect![[r#"
         0     list [0 Running, 1 Running]:
         0     take 0: send 0 to 0
-        0     Broken 0.0: send 0 to 1
+        0     ConnectionLost 0.0: send 0 to 1
         0     take 1: send 1 to 0
-        0     Broken 1.0: send 1 to 1
+        0     ConnectionLost 1.0: send 1 to 1
         0     take 2: send 2 to 1
-        0     Done 2.0:
+        0     Completed 2.0:
         0     take 3: send 3 to 1
-        0     Done 3.0:
+        0     Completed 3.0:
         600   take 4: send 4 to 0
     "#]],
     );
@@ -654,8 +676,8 @@
     desk.lively = true;
     for _ in 0..3 {
         let job = desk.take(LOOKUP, 11, None);
-        desk.settle(job, 0, Verdict::Broken, 5.0);
-        desk.settle(job, 1, Verdict::Done, 5.0);
+        desk.settle(job, 0, DispatchStatus::ConnectionLost, 5.0);
+        desk.settle(job, 1, DispatchStatus::Completed, 5.0);
     }
     desk.take(LOOKUP, 11, None);
     same(
@@ -663,14 +685,14 @@
         expect![[r#"
         0     list [0 Running, 1 Running]:
         0     take 0: send 0 to 0
-        0     Broken 0.0: send 0 to 1
-        0     Done 0.1:
+        0     ConnectionLost 0.0: send 0 to 1
+        0     Completed 0.1:
         0     take 1: send 1 to 1
-        0     Broken 1.0: send 1 to 0
-        0     Done 1.1:
+        0     ConnectionLost 1.0: send 1 to 0
+        0     Completed 1.1:
         0     take 2: send 2 to 1
-        0     Broken 2.0: send 2 to 0
-        0     Done 2.1:
+        0     ConnectionLost 2.0: send 2 to 0
+        0     Completed 2.1:
         0     take 3: send 3 to 1
     "#]],
     );
@@ -685,22 +707,22 @@
     for _ in 0..3 {
         let job = desk.take(LOOKUP, 11, None);
         desk.pass(50.0);
-        desk.note_on(job, 0, Note::Spills(200.0));
-        desk.settle(job, 0, Verdict::Done, 100.0);
+        desk.note_on(job, 0, ProgressUpdate::SpillingToDisk(200.0));
+        desk.settle(job, 0, DispatchStatus::Completed, 100.0);
     }
     same(
         desk,
         expect![[r#"
             0     list [0 Running, 1 Running]:
             0     take 0: send 0 to 0 with 800 MB
-            50    Spills(200.0) 0.0:
-            50    Done 0.0:
+            50    SpillingToDisk(200.0) 0.0:
+            50    Completed 0.0:
             50    take 1: send 1 to 1 with 800 MB
-            100   Spills(200.0) 1.0:
-            100   Done 1.0:
+            100   SpillingToDisk(200.0) 1.0:
+            100   Completed 1.0:
             100   take 2: send 2 to 1 with 800 MB
-            150   Spills(200.0) 2.0:
-            150   Done 2.0:
+            150   SpillingToDisk(200.0) 2.0:
+            150   Completed 2.0:
         "#]],
     );
 }
@@ -711,29 +733,29 @@
     let first = desk.take(LOAD, 11, None);
     for _ in 0..4 {
         let job = desk.take(LOOKUP, 11, None);
-        desk.settle(job, 0, Verdict::Done, 100.0);
+        desk.settle(job, 0, DispatchStatus::Completed, 100.0);
     }
     let other = desk.take(LOOKUP, 12, None);
-    desk.note_on(other, 0, Note::WaitsForLoad);
+    desk.note_on(other, 0, ProgressUpdate::WaitingForBulkLoad);
     desk.take(LOOKUP, 12, None);
-    desk.settle(first, 0, Verdict::Done, 2000.0);
+    desk.settle(first, 0, DispatchStatus::Completed, 2000.0);
     same(
         desk,
         expect![[r#"
         0     list [0 Running, 1 Running, 2 Running]:
         0     take 0: send 0 to 2
         0     take 1: send 1 to 1
-        0     Done 1.0:
+        0     Completed 1.0:
         0     take 2: send 2 to 1
-        0     Done 2.0:
+        0     Completed 2.0:
         0     take 3: send 3 to 1
-        0     Done 3.0:
+        0     Completed 3.0:
         0     take 4: send 4 to 1
-        0     Done 4.0:
+        0     Completed 4.0:
         0     take 5: send 5 to 1
-        0     WaitsForLoad 5.0: recall 5.0
+        0     WaitingForBulkLoad 5.0: recall 5.0
         0     take 6: send 6 to 0
-        0     Done 0.0:
+        0     Completed 0.0:
     "#]],
     );
 }
@@ -779,7 +801,7 @@
             let id = desk.take(LOOKUP, if job % 2 == 0 { 11 } else { job }, None);
             at_once += desk.sent.len() - before;
             desk.pass(100.0);
-            desk.settle(id, 0, Verdict::Done, 100.0);
+            desk.settle(id, 0, DispatchStatus::Completed, 100.0);
         }
         let used = (0..12).filter(|e| desk.sent.iter().any(|(_, to)| to == e)).count();
         let (sent, probes) = (desk.sent.len(), desk.trace.matches("probe ").count());
@@ -810,7 +832,7 @@
         read = desk.trace.len();
         let (back, still): (Vec<_>, Vec<_>) = out.into_iter().partition(|(sent, _)| now - sent >= slow);
         out = still;
-        back.into_iter().for_each(|(sent, job)| desk.settle(job, 0, Verdict::Done, now - sent));
+        back.into_iter().for_each(|(sent, job)| desk.settle(job, 0, DispatchStatus::Completed, now - sent));
         if [49, 149, 299].contains(&tenth) {
             seen.push(format!("{} sent, {} out", desk.sent.len(), out.len()));
         }
@@ -834,7 +856,7 @@
         read = desk.trace.len();
         let (back, still): (Vec<_>, Vec<_>) = out.into_iter().partition(|(sent, _)| now - sent >= 1000.0);
         out = still;
-        back.into_iter().for_each(|(sent, job)| desk.settle(job, 0, Verdict::Done, now - sent));
+        back.into_iter().for_each(|(sent, job)| desk.settle(job, 0, DispatchStatus::Completed, now - sent));
     }
     expect!["7 out"].assert_eq(&format!("{} out", out.len()));
 }
@@ -854,7 +876,7 @@
         let id = desk.take(LOOKUP, job, None);
         at_once.push(desk.sent.len() - before);
         desk.pass(100.0);
-        desk.settle(id, 0, Verdict::Done, 100.0);
+        desk.settle(id, 0, DispatchStatus::Completed, 100.0);
     }
     let at_once: Vec<usize> = at_once.chunks(40).map(|sent| sent.iter().sum()).collect();
     expect!["2 stuck, [39, 39, 39, 39]"].assert_eq(&format!("{} stuck, {at_once:?}", stuck.len()));
@@ -893,7 +915,7 @@
             at_once.push(desk.sent.len() - before);
             let spills = job % 10 < 7;
             if spills && at_once.last() == Some(&1) {
-                desk.note_on(id, 0, Note::Spills(100.0));
+                desk.note_on(id, 0, ProgressUpdate::SpillingToDisk(100.0));
             }
             let took = if spills { 300.0 } else { 110.0 };
             out.push((id, desk.now + took * if job < 200 { 1.0 } else { slow }));
@@ -904,8 +926,9 @@
                 back.into_iter().for_each(|(id, at)| {
                     let sent = desk.trace.lines().rev().find(|line| line.contains(&format!("send {id} to ")));
                     let sent = sent.map(|line| line.split(' ').next().unwrap().parse::<f64>().unwrap());
-                    sent.into_iter()
-                        .for_each(|sent| desk.settle(id, 0, Verdict::Done, at.max(sent + 1.0) - sent));
+                    sent.into_iter().for_each(|sent| {
+                        desk.settle(id, 0, DispatchStatus::Completed, at.max(sent + 1.0) - sent)
+                    });
                 });
             }
         }
@@ -929,16 +952,16 @@
     desk.pass(1000.0);
     let stuck = desk.take(LOOKUP, 11, None);
     desk.pass(4050.0);
-    desk.settle(stuck, 0, Verdict::Withdrawn, 4000.0);
+    desk.settle(stuck, 0, DispatchStatus::Cancelled, 4000.0);
     let jam = desk.sent[0].1;
     let mut there = Vec::new();
     for job in 0..40 {
         let id = desk.take(LOOKUP, 11, None);
         desk.pass(100.0);
-        desk.settle(id, 0, Verdict::Done, 100.0);
+        desk.settle(id, 0, DispatchStatus::Completed, 100.0);
         desk.take(LOOKUP, 100 + job, None);
         desk.pass(900.0);
-        desk.settle(id + 1, 0, Verdict::Done, 100.0);
+        desk.settle(id + 1, 0, DispatchStatus::Completed, 100.0);
         there.extend(desk.sent.iter().skip(1 + there.len()).map(|(_, to)| *to == jam));
     }
     let there: Vec<usize> =
@@ -955,11 +978,11 @@
         for group in 0..40 {
             let job = desk.take(LOOKUP, group, None);
             desk.pass(100.0);
-            desk.settle(job, 0, Verdict::Done, 100.0);
+            desk.settle(job, 0, DispatchStatus::Completed, 100.0);
         }
         let jobs: Vec<u32> = (0..6).map(|group| desk.take(LOOKUP, group, None)).collect();
         desk.pass(700.0);
-        jobs.iter().for_each(|job| desk.note_on(*job, 0, Note::Share(share)));
+        jobs.iter().for_each(|job| desk.note_on(*job, 0, ProgressUpdate::CompletedFraction(share)));
         desk.pass(1800.0);
         let given_up = jobs.iter().filter(|job| desk.trace.contains(&format!("throttle {job}"))).count();
         lines += &format!("{share} done: {given_up} of {} given up\n", jobs.len());
@@ -987,7 +1010,7 @@
             desk.pass(100.0);
             let to_slow = desk.sent[before..].iter().filter(|(_, engine)| *engine == 0).count();
             if desk.sent.len() > before {
-                desk.settle(id, 0, Verdict::Done, 100.0);
+                desk.settle(id, 0, DispatchStatus::Completed, 100.0);
             }
             by_time[job as usize / 20] += to_slow;
         }
@@ -1023,7 +1046,7 @@
         let id = desk.take(LOOKUP, job % 17, None);
         desk.pass(150.0);
         if desk.sent.len() > before {
-            desk.settle(id, 0, Verdict::Done, 25.0);
+            desk.settle(id, 0, DispatchStatus::Completed, 25.0);
             answered += 1;
         }
         desk.pass(50.0);
@@ -1058,7 +1081,7 @@
                 desk.cost = Some(if group == 29 { cost } else { 400.0 });
                 let job = desk.take(LOOKUP, if group == 29 { 11 } else { 100 + group }, None);
                 desk.pass(100.0);
-                desk.settle(job, 0, Verdict::Done, 100.0);
+                desk.settle(job, 0, DispatchStatus::Completed, 100.0);
             }
             at[desk.sent[29].1 as usize] += 1;
         }
@@ -1089,7 +1112,7 @@
             let mut desk = Desk::new(&cold, 0);
             desk.told = vec![0.0; 2];
             desk.pass(1000.0 + f64::from(ordinal % 7));
-            desk.list(false, vec![engine(0, Stage::Running, Some(900.0))]);
+            desk.list(false, vec![engine(0, LifecycleState::Running, Some(900.0))]);
             for _ in 0..40 {
                 desk.take(LOOKUP, 11, None);
                 desk.pass(100.0);
@@ -1139,14 +1162,14 @@
             desk.pass(5000.0 + skew - if ordinal % 5 == 0 { 4500.0 } else { 0.0 });
             desk.now = 5000.0 + skew;
             desk.pass(f64::from(ordinal * 53 % 17) * 100.0);
-            desk.list(false, vec![engine(0, Stage::Running, Some(4900.0))]);
+            desk.list(false, vec![engine(0, LifecycleState::Running, Some(4900.0))]);
             let pace = if ordinal % 7 == 0 { 20.0 } else { 200.0 };
             while desk.now < 17000.0 {
                 let before = desk.sent.len();
                 let id = desk.take(LOOKUP, 11, None);
                 desk.pass(pace);
                 if desk.sent.len() > before {
-                    desk.settle(id, 0, Verdict::Done, 20.0);
+                    desk.settle(id, 0, DispatchStatus::Completed, 20.0);
                 }
             }
             ledger.extend(desk.sent.iter().map(|(when, _)| when - skew));
@@ -1196,7 +1219,7 @@
         let mut desk = Desk::new(&cold, 0);
         desk.told = vec![0.0; 2];
         desk.pass(3000.0 + f64::from(ordinal % 7));
-        desk.list(false, vec![engine(0, Stage::Running, Some(2900.0))]);
+        desk.list(false, vec![engine(0, LifecycleState::Running, Some(2900.0))]);
         // All of them while it is cold.
         for job in 0..39 {
             let heavy = (job + ordinal) % 2 == 0;
@@ -1232,13 +1255,13 @@
             ];
             let mut desk = Desk::new(&cold, 0);
             desk.pass(3000.0 + f64::from(ordinal % 7));
-            desk.list(false, vec![engine(0, Stage::Running, Some(2900.0))]);
+            desk.list(false, vec![engine(0, LifecycleState::Running, Some(2900.0))]);
             desk.cost = Some(400.0);
             for _ in 0..20 {
                 let (before, id) = (desk.sent.len(), desk.take(LOOKUP, 11, None));
                 desk.pass(500.0);
                 if desk.sent.len() > before {
-                    desk.settle(id, 0, Verdict::Done, 450.0);
+                    desk.settle(id, 0, DispatchStatus::Completed, 450.0);
                 }
                 desk.pass(500.0);
             }
@@ -1275,15 +1298,15 @@
         for group in 0..30 {
             let id = desk.take(LOOKUP, group, None);
             desk.pass(100.0);
-            desk.settle(id, 0, Verdict::Done, took);
+            desk.settle(id, 0, DispatchStatus::Completed, took);
         }
-        desk.list(false, vec![engine(8, Stage::Running, Some(desk.now - 100.0))]);
+        desk.list(false, vec![engine(8, LifecycleState::Running, Some(desk.now - 100.0))]);
         desk.sent.clear();
         for group in 0..100 {
             let (before, id) = (desk.sent.len(), desk.take(LOOKUP, group, None));
             desk.pass(100.0);
             if !jam && desk.sent.len() > before {
-                desk.settle(id, 0, Verdict::Done, 100.0);
+                desk.settle(id, 0, DispatchStatus::Completed, 100.0);
             }
         }
         let sent = |cold| desk.sent.iter().filter(|(_, to)| (*to == 8) == cold).count();
@@ -1317,7 +1340,7 @@
         desk.take(LOOKUP, group, None);
         desk.pass(100.0);
     }
-    desk.list(false, vec![engine(8, Stage::Running, Some(desk.now - 100.0))]);
+    desk.list(false, vec![engine(8, LifecycleState::Running, Some(desk.now - 100.0))]);
     for group in 0..100 {
         desk.take(LOOKUP, group, None);
         desk.pass(100.0);
@@ -1360,25 +1383,25 @@
 fn no_recall_from_behind_a_load_to_where_loads_are() {
     let mut desk = Desk::new(&[("Extra.Progress", 1000.0)], 2);
     let first = desk.take(LOOKUP, 11, None);
-    desk.note_on(first, 0, Note::WaitsForLoad);
-    desk.settle(first, 0, Verdict::Withdrawn, 1.0);
-    desk.note_on(first, 1, Note::WaitsForLoad);
+    desk.note_on(first, 0, ProgressUpdate::WaitingForBulkLoad);
+    desk.settle(first, 0, DispatchStatus::Cancelled, 1.0);
+    desk.note_on(first, 1, ProgressUpdate::WaitingForBulkLoad);
     desk.pass(100.0);
     // It waited there and is done: the tables are free on that engine.
-    desk.settle(first, 1, Verdict::Done, 100.0);
+    desk.settle(first, 1, DispatchStatus::Completed, 100.0);
     let second = desk.take(LOOKUP, 11, None);
-    desk.settle(second, 0, Verdict::Done, 50.0);
+    desk.settle(second, 0, DispatchStatus::Completed, 50.0);
     same(
         desk,
         expect![[r#"
         0     list [0 Running, 1 Running]:
         0     take 0: send 0 to 0
-        0     WaitsForLoad 0.0: recall 0.0
-        0     Withdrawn 0.0: send 0 to 1
-        0     WaitsForLoad 0.1:
-        100   Done 0.1:
+        0     WaitingForBulkLoad 0.0: recall 0.0
+        0     Cancelled 0.0: send 0 to 1
+        0     WaitingForBulkLoad 0.1:
+        100   Completed 0.1:
         100   take 1: send 1 to 1
-        100   Done 1.0:
+        100   Completed 1.0:
     "#]],
     );
 }
@@ -1447,7 +1470,7 @@
     // A jam, and then calm for long enough that it says nothing any more.
     for group in 0..20 {
         let job = desk.take(LOOKUP, group, None);
-        desk.settle(job, 0, Verdict::Done, 600.0);
+        desk.settle(job, 0, DispatchStatus::Completed, 600.0);
     }
     desk.pass(15000.0);
     let before = desk.trace.matches("send").count();
@@ -1462,21 +1485,22 @@
     let mut desk = Desk::new(&[("Contract.OrderPause", 300.0)], 2);
     let (mut trace, mut open) = (String::new(), vec![]);
     for round in 0..6 {
-        let old = (0..10).map(|i| engine(10 * round + i, Stage::Gone, None));
-        let new = (0..10).map(|i| engine(10 * round + 10 + i, Stage::Running, None));
+        let old = (0..10).map(|i| engine(10 * round + i, LifecycleState::Gone, None));
+        let new = (0..10).map(|i| engine(10 * round + 10 + i, LifecycleState::Running, None));
         desk.list(true, old.chain(new).collect());
         for i in 0..100 {
             let ordered = desk.take(ORDERED, u64::from(1000 * round + i), Some(u64::from(1000 * round + i)));
-            desk.settle(ordered, 0, Verdict::Done, 10.0);
+            desk.settle(ordered, 0, DispatchStatus::Completed, 10.0);
         }
         open.push(desk.take(LOOKUP, 1, None));
         desk.pass(61_000.0);
-        let kept = desk.logic.kept();
+        let kept = desk.logic.retained_entries();
         if open.len() > 1 {
-            desk.settle(open.remove(0), 0, Verdict::TimedOut, 61_000.0);
+            desk.settle(open.remove(0), 0, DispatchStatus::TimedOut, 61_000.0);
         }
         desk.pass(300.0);
-        writeln!(trace, "{kept} kept with {} jobs out, then {}", open.len(), desk.logic.kept()).unwrap();
+        writeln!(trace, "{kept} kept with {} jobs out, then {}", open.len(), desk.logic.retained_entries())
+            .unwrap();
     }
     expect![[r#"
         11 kept with 1 jobs out, then 11
@@ -1499,7 +1523,7 @@
         desk.left = if cost == Some(5e7) { 8.64e7 } else { 4000.0 };
         let job = desk.take(LOOKUP, 1, None);
         desk.pass(50.0);
-        desk.settle(job, 0, Verdict::Done, 50.0);
+        desk.settle(job, 0, DispatchStatus::Completed, 50.0);
     }
     // Nor is one kept for longer than the settings say that clients wait.
     desk.list(true, vec![]);
@@ -1511,15 +1535,15 @@
         expect![[r#"
             0     list [0 Running, 1 Running]:
             0     take 0: send 0 to 0
-            50    Done 0.0:
+            50    Completed 0.0:
             50    take 1: throttle 1
-            100   Done 1.0:
+            100   Completed 1.0:
             100   take 2: send 2 to 1
-            150   Done 2.0:
+            150   Completed 2.0:
             150   take 3: throttle 3
-            200   Done 3.0:
+            200   Completed 3.0:
             200   take 4: send 4 to 1
-            250   Done 4.0:
+            250   Completed 4.0:
             250   list []:
             250   take 5:
             4240  : throttle 5
