--- a/crates/adapter-common/src/lib.rs
+++ b/crates/adapter-common/src/lib.rs
@@ -7,7 +7,7 @@
 use serde_json::Value as Json;
 use std::collections::HashMap;
 
-pub type Told<T> = Result<T, String>;
+pub type FieldResult<T> = Result<T, String>;
 
 /// One JSON object under the name by which complaints call it.
 #[derive(Clone, Copy)]
@@ -26,49 +26,49 @@
     pub fn get(&self, field: &str) -> Option<&'a Json> {
         self.json.get(field).filter(|value| !value.is_null())
     }
-    pub fn text(&self, field: &str) -> Told<&'a str> {
+    pub fn text(&self, field: &str) -> FieldResult<&'a str> {
         self.get(field).and_then(Json::as_str).ok_or_else(|| self.wrong(field, "a string"))
     }
-    pub fn list(&self, field: &str) -> Told<&'a Vec<Json>> {
+    pub fn list(&self, field: &str) -> FieldResult<&'a Vec<Json>> {
         self.get(field).and_then(Json::as_array).ok_or_else(|| self.wrong(field, "an array"))
     }
-    pub fn object(&self, field: &'a str) -> Told<Fields<'a>> {
+    pub fn object(&self, field: &'a str) -> FieldResult<Fields<'a>> {
         let json = self.get(field).filter(|json| json.is_object());
         json.map(|json| Fields { name: field, json }).ok_or_else(|| self.wrong(field, "an object"))
     }
-    pub fn number(&self, field: &str) -> Told<f64> {
+    pub fn number(&self, field: &str) -> FieldResult<f64> {
         self.get(field).and_then(Json::as_f64).ok_or_else(|| self.wrong(field, "a number"))
     }
-    pub fn whole(&self, field: &str) -> Told<u64> {
+    pub fn whole(&self, field: &str) -> FieldResult<u64> {
         self.get(field).and_then(Json::as_u64).ok_or_else(|| self.wrong(field, "a whole number"))
     }
-    pub fn number_or(&self, field: &str, absent: f64) -> Told<f64> {
+    pub fn number_or(&self, field: &str, absent: f64) -> FieldResult<f64> {
         if self.get(field).is_some() { self.number(field) } else { Ok(absent) }
     }
-    pub fn whole_or_zero(&self, field: &str) -> Told<u64> {
+    pub fn whole_or_zero(&self, field: &str) -> FieldResult<u64> {
         if self.get(field).is_some() { self.whole(field) } else { Ok(0) }
     }
-    pub fn flag(&self, field: &str) -> Told<bool> {
+    pub fn flag(&self, field: &str) -> FieldResult<bool> {
         match self.get(field) {
             None => Ok(false),
             Some(Json::Bool(flag)) => Ok(*flag),
             Some(_) => Err(self.wrong(field, "true or false")),
         }
     }
-    pub fn span(&self, field: &str) -> Told<TimeDelta> {
+    pub fn span(&self, field: &str) -> FieldResult<TimeDelta> {
         self.number(field).map(TimeDelta::from_millis_f64)
     }
 }
 
 /// Engines by name, numbered in the order in which they were first named.
 #[derive(Default)]
-pub struct Engines {
+pub struct EngineNumbers {
     names: HashMap<EngineId, String>,
     numbers: HashMap<String, EngineId>,
     next: u32,
 }
 
-impl Engines {
+impl EngineNumbers {
     pub fn number(&mut self, name: &str) -> EngineId {
         if let Some(number) = self.numbers.get(name) {
             return *number;
--- a/crates/server/src/service/acceptor.rs
+++ b/crates/server/src/client/acceptor.rs
@@ -1,14 +1,14 @@
 //! Accepts client connections, and carries out their closes and the steps of a stop.
 
-use crate::memory::budget::Lease;
-use crate::memory::clients::Client;
-use crate::memory::counts;
-use crate::memory::invariants::{self, Invariant};
-use crate::service::arrivals::{Arrivals, Wait};
-use crate::service::client_connection::{Closing, Connection, End, Patience, Shared};
-use crate::service::clock;
-use crate::service::shutdown::Steps;
-use crate::startup::patiently;
+use crate::client::arrival_time::{ArrivalTimeEstimator, PollWait};
+use crate::client::connection::{ClientConnection, ClosingConnection, End, IdleLimits, Shared};
+use crate::client::session::ClientSession;
+use crate::lifecycle::clock;
+use crate::lifecycle::shutdown::ShutdownSchedule;
+use crate::lifecycle::startup::retry_transient_errors;
+use crate::limits::Permit;
+use crate::telemetry::counters;
+use crate::telemetry::invariants::{self, Invariant};
 use mio::unix::SourceFd;
 use mio::{Events, Interest, Poll, Token};
 use pebblevane::time::*;
@@ -24,9 +24,9 @@
 /// The rest of a message that has begun comes within this time.
 const MESSAGE: Duration = Duration::from_secs(2);
 /// How long a connection may keep the program waiting before it is closed.
-const PATIENCE: Patience = Patience { first: IDLE, rest: MESSAGE, idle: IDLE };
+const PATIENCE: IdleLimits = IdleLimits { first: IDLE, rest: MESSAGE, idle: IDLE };
 /// The same at the limit of connections, where others wait for room.
-const PATIENCE_AT_LIMIT: Patience = Patience {
+const PATIENCE_AT_LIMIT: IdleLimits = IdleLimits {
     first: Duration::from_millis(100),
     rest: Duration::from_millis(100),
     idle: Duration::from_millis(300),
@@ -55,12 +55,12 @@
     listener: Option<TcpListener>,
     /// New connections wait for room.
     crowded: bool,
-    all: HashMap<usize, Connection>,
+    all: HashMap<usize, ClientConnection>,
     /// Those of which nothing is read for a while.
     paused: Vec<usize>,
     numbers: std::ops::RangeFrom<usize>,
     piece: Vec<u8>,
-    arrivals: Arrivals,
+    arrivals: ArrivalTimeEstimator,
     /// When what is read now came, or before that it can't have come.
     arrived: Timestamp,
     /// The last wait ended at once.
@@ -71,7 +71,7 @@
 
 impl Acceptor {
     pub fn new(shared: Shared, listener: TcpListener) -> std::io::Result<Acceptor> {
-        let poll = patiently(Poll::new)?;
+        let poll = retry_transient_errors(Poll::new)?;
         listener.set_nonblocking(true)?;
         poll.registry().register(&mut SourceFd(&listener.as_raw_fd()), LISTENER, Interest::READABLE)?;
         Ok(Acceptor {
@@ -83,7 +83,7 @@
             paused: Vec::new(),
             numbers: 0..,
             piece: vec![0; PIECE],
-            arrivals: Arrivals::new(clock::now()),
+            arrivals: ArrivalTimeEstimator::new(clock::now()),
             arrived: clock::now(),
             at_once: false,
             pass: 0,
@@ -105,7 +105,7 @@
             // An interrupted wait is one without events.
             let interrupted = self.poll.poll(&mut events, Some(wait)).is_err();
             let (ended, longest) = (clock::now(), TimeDelta(wait.as_micros() as i64));
-            let wait = Wait { began, ended, longest, interrupted };
+            let wait = PollWait { began, ended, longest, interrupted };
             (self.arrived, self.at_once) = (self.arrivals.earliest(&wait), wait.found_at_once());
             self.pass += 1;
             let (mut ready, mut left, mut comes) = (Vec::new(), Vec::new(), self.crowded);
@@ -138,7 +138,7 @@
             }
             if counted.elapsed() >= COUNTS_EVERY {
                 counted = Instant::now();
-                tracing::info!("counts: {}", counts::line());
+                tracing::info!("counts: {}", counters::line());
             }
             if stopping.is_some_and(|steps| self.stop(&steps, clock::now())) {
                 return;
@@ -147,7 +147,7 @@
     }
 
     /// Takes the next steps of a stop; says whether it is over.
-    fn stop(&mut self, steps: &Steps, now: Timestamp) -> bool {
+    fn stop(&mut self, steps: &ShutdownSchedule, now: Timestamp) -> bool {
         if now < steps.coming {
             return false;
         }
@@ -163,8 +163,9 @@
                 self.proceed(number);
             } else {
                 // At the end nobody waits for the rest of a message, or for a first one.
-                let useless =
-                    |it: &Connection| it.rests() && !it.fresh || now >= steps.answered && it.client.rests();
+                let useless = |it: &ClientConnection| {
+                    it.rests() && !it.fresh || now >= steps.answered && it.client.rests()
+                };
                 if useless(connection) {
                     self.retire(number, useless, "the program stops");
                 }
@@ -200,16 +201,16 @@
         }
     }
 
-    fn enter(&mut self, stream: TcpStream, lease: Lease) -> std::io::Result<()> {
+    fn enter(&mut self, stream: TcpStream, lease: Permit) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         stream.set_nonblocking(true)?;
         let none = || self.shared.bytes.lease(0).ok_or(ErrorKind::OutOfMemory);
         let (held, out) = (none()?, none()?);
         let number = self.numbers.next().expect("numbers do not end");
         self.poll.registry().register(&mut SourceFd(&stream.as_raw_fd()), Token(number), BOTH)?;
-        let client = Arc::new(Client::new(stream, lease, out));
+        let client = Arc::new(ClientSession::new(stream, lease, out));
         let owes = Some(Instant::now());
-        let connection = Connection {
+        let connection = ClientConnection {
             client,
             bytes: Vec::new(),
             held,
@@ -274,7 +275,7 @@
     fn close(&mut self, number: usize, why: &str) {
         let Some(connection) = self.all.get_mut(&number).filter(|it| it.closing.is_none()) else { return };
         tracing::debug!("clients: a connection is closed: {why}");
-        connection.closing = Some(Closing { ended: None, left: LINGER_BYTES });
+        connection.closing = Some(ClosingConnection { ended: None, left: LINGER_BYTES });
         connection.pauses_until = None;
         (connection.bytes, connection.owes) = (Vec::new(), None);
         connection.held.shrink_to(0);
@@ -284,7 +285,7 @@
     }
 
     /// Closes a connection that is of no use, after a last look at what has come since that was found.
-    fn retire(&mut self, number: usize, useless: impl Fn(&Connection) -> bool, why: &str) {
+    fn retire(&mut self, number: usize, useless: impl Fn(&ClientConnection) -> bool, why: &str) {
         self.read(number);
         let Some(connection) = self.all.get(&number).filter(|connection| useless(connection)) else { return };
         if !connection.client.rests() {
@@ -305,16 +306,16 @@
         }
     }
 
-    fn give_up(&self, client: &Client) {
+    fn give_up(&self, client: &ClientSession) {
         for job in client.forget_all() {
-            counts::LEFT.add();
+            counters::LEFT.add();
             self.shared.module.gone(job);
         }
     }
 
     /// Closes connections that are of no use any more, and cuts those that don't take their answers.
     fn sweep(&mut self) {
-        let useless = |connection: &Connection| connection.useless_for(&PATIENCE).is_some();
+        let useless = |connection: &ClientConnection| connection.useless_for(&PATIENCE).is_some();
         for number in self.all.keys().copied().collect::<Vec<usize>>() {
             let Some(connection) = self.all.get(&number) else { continue };
             connection.client.flush();
@@ -330,7 +331,7 @@
     /// those that rest, the longest first, some at a time: looking through all for each new one would take the core
     /// from the others when hundreds come.
     fn make_room(&mut self) {
-        let ended = |connection: &Connection| Some(connection.closing.as_ref()?.ended?.elapsed());
+        let ended = |connection: &ClientConnection| Some(connection.closing.as_ref()?.ended?.elapsed());
         let over =
             self.all.iter().filter(|(_, connection)| ended(connection).is_some_and(|for_| for_ > CROSSING));
         for number in over.map(|(number, _)| *number).collect::<Vec<usize>>() {
@@ -338,14 +339,14 @@
             self.cut(number, "it makes room");
         }
         let closing = self.all.values().filter(|connection| connection.closing.is_some()).count();
-        let rank = |connection: &Connection| {
+        let rank = |connection: &ClientConnection| {
             Some((connection.owes.is_some(), connection.useless_for(&PATIENCE_AT_LIMIT)?))
         };
         let useless = self.all.iter().filter_map(|(number, connection)| Some((rank(connection)?, *number)));
         let mut useless: Vec<((bool, Duration), usize)> = useless.collect();
         useless.sort_unstable_by(|a, b| b.cmp(a));
         for (_, number) in useless.into_iter().take(ROOM.min(CLOSING.saturating_sub(closing))) {
-            counts::MADE_ROOM.add();
+            counters::MADE_ROOM.add();
             self.retire(number, |connection| rank(connection).is_some(), "it makes room");
         }
     }
--- a/crates/server/src/service/arrivals.rs
+++ b/crates/server/src/client/arrival_time.rs
@@ -10,13 +10,13 @@
 const HELD_UP: TimeDelta = TimeDelta(10_000);
 
 /// The waits for events of one thread.
-pub struct Arrivals {
+pub struct ArrivalTimeEstimator {
     /// Whatever had come by then has been found.
     seen_until: Timestamp,
 }
 
 /// One wait for events.
-pub struct Wait {
+pub struct PollWait {
     pub began: Timestamp,
     pub ended: Timestamp,
     /// How long it was to be at the most.
@@ -24,20 +24,20 @@
     pub interrupted: bool,
 }
 
-impl Wait {
+impl PollWait {
     /// What it was for was there before it.
     pub fn found_at_once(&self) -> bool {
         self.ended - self.began < AT_ONCE
     }
 }
 
-impl Arrivals {
-    pub fn new(now: Timestamp) -> Arrivals {
-        Arrivals { seen_until: now }
+impl ArrivalTimeEstimator {
+    pub fn new(now: Timestamp) -> ArrivalTimeEstimator {
+        ArrivalTimeEstimator { seen_until: now }
     }
 
     /// The earliest time at which events that a wait has found can have come, as far as the wait tells.
-    pub fn earliest(&mut self, wait: &Wait) -> Timestamp {
+    pub fn earliest(&mut self, wait: &PollWait) -> Timestamp {
         let took = wait.ended - wait.began;
         let held_up = took > wait.longest + HELD_UP;
         let earliest = match () {
--- a/crates/server/src/service/client_connection.rs
+++ b/crates/server/src/client/connection.rs
@@ -1,16 +1,16 @@
 //! A client connection as it is read: its messages, the admission of jobs, and when it is of no more use.
 
-use crate::job::{AdmittedJob, USUAL_RESULT};
-use crate::memory::budget::{Budget, Lease, Shares};
-use crate::memory::clients::{Client, Names};
-use crate::memory::counts;
-use crate::memory::dispatch_ledger::{DispatchLedger, RepeatRules};
-use crate::memory::responder::Responder;
-use crate::module::{BACK_IN, Module};
-use crate::service::clock;
-use crate::service::shutdown::Health;
-use crate::wire::client::{self as wire, Ask, Frame, Message, Reply};
-use crate::wire::sql;
+use crate::client::responder::Responder;
+use crate::client::session::{ClientJobIds, ClientSession};
+use crate::codec::client::{self as wire, ClientRequest, Frame, Message, Reply};
+use crate::codec::sql;
+use crate::decision::controller_thread::{BACK_IN, ControllerHandle};
+use crate::job::dispatch_ledger::{DispatchLedger, RetrySemantics};
+use crate::job::task::{AdmittedJob, USUAL_RESULT};
+use crate::lifecycle::clock;
+use crate::lifecycle::shutdown::ShutdownState;
+use crate::limits::{Permit, ResourceBudget, ResourceQuotas};
+use crate::telemetry::counters;
 use pebblevane::interface::*;
 use pebblevane::time::*;
 use std::collections::HashMap;
@@ -28,26 +28,26 @@
 
 /// What all client connections share.
 pub struct Shared {
-    pub module: Arc<Module>,
-    pub health: Arc<Health>,
+    pub module: Arc<ControllerHandle>,
+    pub health: Arc<ShutdownState>,
     pub types: Vec<String>,
     pub classes: Vec<Arc<str>>,
     /// What the settings say of repeating each type's jobs.
-    pub rules: Vec<RepeatRules>,
-    pub names: Arc<Names>,
+    pub rules: Vec<RetrySemantics>,
+    pub names: Arc<ClientJobIds>,
     /// Descriptors for clients; bytes and threads for jobs.
-    pub sockets: Arc<Budget>,
-    pub bytes: Arc<Budget>,
-    pub jobs: Arc<Budget>,
+    pub sockets: Arc<ResourceBudget>,
+    pub bytes: Arc<ResourceBudget>,
+    pub jobs: Arc<ResourceBudget>,
 }
 
 impl Shared {
     pub fn new(
-        module: Arc<Module>,
-        health: Arc<Health>,
+        module: Arc<ControllerHandle>,
+        health: Arc<ShutdownState>,
         types: Vec<String>,
-        rules: Vec<RepeatRules>,
-        shares: &Shares,
+        rules: Vec<RetrySemantics>,
+        shares: &ResourceQuotas,
     ) -> Shared {
         Shared {
             module,
@@ -56,25 +56,25 @@
             types,
             rules,
             names: Arc::default(),
-            sockets: Budget::new(shares.clients),
-            bytes: Budget::new(shares.bytes),
-            jobs: Budget::new(shares.jobs),
+            sockets: ResourceBudget::new(shares.clients),
+            bytes: ResourceBudget::new(shares.bytes),
+            jobs: ResourceBudget::new(shares.jobs),
         }
     }
 }
 
 /// How long a connection may be silent: before its first message, within a message, and between messages.
-pub struct Patience {
+pub struct IdleLimits {
     pub first: Duration,
     pub rest: Duration,
     pub idle: Duration,
 }
 
 /// A connection as far as it has been read.
-pub struct Connection {
-    pub client: Arc<Client>,
+pub struct ClientConnection {
+    pub client: Arc<ClientSession>,
     pub bytes: Vec<u8>,
-    pub held: Lease,
+    pub held: Permit,
     /// Since when a message is due: the first since it was accepted, one that has begun since its first byte.
     pub owes: Option<Instant>,
     /// The pass that accepted it, and since when it may have waited for that.
@@ -84,11 +84,11 @@
     pub useless: u32,
     /// Nothing is read before this.
     pub pauses_until: Option<Instant>,
-    pub closing: Option<Closing>,
+    pub closing: Option<ClosingConnection>,
 }
 
 /// A connection on its way to its end: nothing that comes is dealt with any more.
-pub struct Closing {
+pub struct ClosingConnection {
     /// Since when its end has been sent; none while answers are still to leave.
     pub ended: Option<Instant>,
     /// Bytes that are still read.
@@ -109,9 +109,9 @@
     }
 }
 
-impl Connection {
+impl ClientConnection {
     /// How long it has been of no use, if longer than that is borne.
-    pub fn useless_for(&self, patience: &Patience) -> Option<Duration> {
+    pub fn useless_for(&self, patience: &IdleLimits) -> Option<Duration> {
         let idle_for = self.client.idle_for().filter(|_| self.closing.is_none())?;
         let (silent_for, borne) = match self.owes {
             Some(since) if self.bytes.is_empty() => (since.elapsed(), patience.first),
@@ -214,7 +214,7 @@
                 && taken_back.get(&ask.message).is_some_and(|later| *later > at)
                 && !self.client.is_open(ask.message)
             {
-                counts::LEFT.add();
+                counters::LEFT.add();
                 continue;
             }
             let used = handle(shared, &self.client, message, arrived)?;
@@ -241,7 +241,12 @@
 }
 
 /// Deals with one message; says whether it was of use.
-fn handle(shared: &Shared, client: &Arc<Client>, message: Message, arrived: Timestamp) -> Result<bool, End> {
+fn handle(
+    shared: &Shared,
+    client: &Arc<ClientSession>,
+    message: Message,
+    arrived: Timestamp,
+) -> Result<bool, End> {
     // Whatever were answered under the number of an open request would be taken for that one's answer.
     let number = match &message {
         Message::Job(ask) => Some(ask.message),
@@ -255,13 +260,13 @@
         Message::Job(ask) => return Ok(take(shared, client, ask, arrived)),
         Message::Forget(ids) => {
             for job in ids.into_iter().filter_map(|id| client.forget(id)) {
-                counts::LEFT.add();
+                counters::LEFT.add();
                 shared.module.gone(job);
             }
         }
         Message::IsWell(id) => client.write(id, &Reply::Well(shared.health.is_well())),
         Message::Unusable(id, why) => {
-            counts::UNUSABLE.add();
+            counters::UNUSABLE.add();
             client.write(id, &Reply::Failed(&why));
             return Ok(false);
         }
@@ -271,9 +276,9 @@
 }
 
 /// Hands a job to the module and to a thread of its own; says whether it could.
-fn take(shared: &Shared, client: &Arc<Client>, ask: Ask, arrived: Timestamp) -> bool {
+fn take(shared: &Shared, client: &Arc<ClientSession>, ask: ClientRequest, arrived: Timestamp) -> bool {
     let Some(taken) = shared.names.take(&ask.id) else {
-        counts::UNUSABLE.add();
+        counters::UNUSABLE.add();
         client.write(ask.message, &Reply::Failed("field i is that of an open request"));
         return false;
     };
@@ -281,7 +286,7 @@
     let bytes = shared.bytes.lease(ask.statement.len() + USUAL_RESULT);
     let Some((place, bytes)) = place.zip(bytes) else {
         // The one answer that the program gives by itself, for a job that the module never saw.
-        counts::AT_LIMIT.add();
+        counters::AT_LIMIT.add();
         client.write(ask.message, &Reply::Throttled(BACK_IN));
         return false;
     };
@@ -307,9 +312,9 @@
     };
     let taken = shared.module.take(job, arrived, admitted);
     if taken {
-        counts::TAKEN.add()
+        counters::TAKEN.add()
     } else {
-        counts::AT_LIMIT.add()
+        counters::AT_LIMIT.add()
     }
     taken
 }
--- a/crates/server/src/memory/responder.rs
+++ b/crates/server/src/client/responder.rs
@@ -1,10 +1,10 @@
 //! The one way of a request to its one answer, whoever gives it: the module, the job's thread or whoever admits jobs.
 
-use super::clients::{CancelToken, Client, Name, StillWanted};
-use super::counts;
-use super::invariants::{self, Invariant};
-use crate::service::clock;
-use crate::wire::client::Reply;
+use crate::client::session::{CancellationToken, ClientJobId, ClientLiveness, ClientSession};
+use crate::codec::client::Reply;
+use crate::lifecycle::clock;
+use crate::telemetry::counters;
+use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::interface::JobId;
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
@@ -13,20 +13,26 @@
 const LOST_AFTER: TimeDelta = TimeDelta(500_000);
 
 pub struct Responder {
-    client: Arc<Client>,
+    client: Arc<ClientSession>,
     message: u32,
     /// The client's own id of the job, for the log.
     id: Box<str>,
     /// The client's hold on that id until the answer.
-    name: Mutex<Option<Name>>,
+    name: Mutex<Option<ClientJobId>>,
     /// When the client stops waiting.
     deadline: Timestamp,
     job: OnceLock<JobId>,
-    wanted: Arc<CancelToken>,
+    wanted: Arc<CancellationToken>,
 }
 
 impl Responder {
-    pub fn new(client: Arc<Client>, message: u32, id: &str, name: Name, deadline: Timestamp) -> Responder {
+    pub fn new(
+        client: Arc<ClientSession>,
+        message: u32,
+        id: &str,
+        name: ClientJobId,
+        deadline: Timestamp,
+    ) -> Responder {
         let (name, wanted) = (Mutex::new(Some(name)), Arc::default());
         Responder { client, message, id: id.into(), name, deadline, job: OnceLock::new(), wanted }
     }
@@ -56,7 +62,7 @@
                 late.as_millis_f64()
             );
             if late > TimeDelta(0) {
-                counts::LATE_ANSWERS.add();
+                counters::LATE_ANSWERS.add();
             }
             if late > LOST_AFTER {
                 invariants::violated(Invariant::AnsweredInTime, &self.id);
@@ -66,7 +72,7 @@
     }
 }
 
-impl StillWanted for Responder {
+impl ClientLiveness for Responder {
     /// Also looks at what the client has sent and nobody has read yet.
     fn still_wanted(&self) -> bool {
         let owed = self.job.get().is_some_and(|job| self.client.waits_for(self.message, *job));
--- a/crates/server/src/memory/clients.rs
+++ b/crates/server/src/client/session.rs
@@ -1,8 +1,8 @@
 //! Client connections, the jobs that are open on each, and the ids of all open jobs.
 
-use super::budget::Lease;
-use super::counts;
-use crate::wire::client::{self as wire, Reply};
+use crate::codec::client::{self as wire, Reply};
+use crate::limits::Permit;
+use crate::telemetry::counters;
 use pebblevane::interface::JobId;
 use std::collections::{HashMap, HashSet};
 use std::io::{ErrorKind, Write};
@@ -26,9 +26,9 @@
 /// Whether a job is still wanted. Whoever hears that its client has left, or answers it, says so here at once;
 /// whoever is about to send something for it looks here last. So no queue in between can hold that back.
 #[derive(Debug, Default)]
-pub struct CancelToken(AtomicBool);
+pub struct CancellationToken(AtomicBool);
 
-impl CancelToken {
+impl CancellationToken {
     pub fn cancel(&self) {
         self.0.store(true, SeqCst);
     }
@@ -38,23 +38,23 @@
 }
 
 /// Whether something is still to be sent for a job: the last look before its first byte.
-pub trait StillWanted: Send + Sync {
+pub trait ClientLiveness: Send + Sync {
     fn still_wanted(&self) -> bool;
 }
 
-impl StillWanted for CancelToken {
+impl ClientLiveness for CancellationToken {
     fn still_wanted(&self) -> bool {
         !self.is_cancelled()
     }
 }
 
 /// A client connection. Answers go out whole, one after another, and nobody waits for the client to take them.
-pub struct Client {
+pub struct ClientSession {
     pub stream: TcpStream,
-    out: Mutex<Outgoing>,
+    out: Mutex<WriteBuffer>,
     state: Mutex<State>,
     reading: Mutex<ReadPosition>,
-    _lease: Lease,
+    _lease: Permit,
 }
 
 /// How far a connection has been read. Whoever reads holds it until what was read is dealt with.
@@ -64,29 +64,29 @@
     pub midway: bool,
 }
 
-struct Outgoing {
+struct WriteBuffer {
     /// What the client has not yet taken, and since when.
     bytes: Vec<u8>,
     since: Instant,
-    held: Lease,
+    held: Permit,
     /// Nothing more is written: the connection is cut, or this side has ended.
     broken: bool,
 }
 
 struct State {
     /// The open requests by message id.
-    open: HashMap<u32, (JobId, Arc<CancelToken>)>,
+    open: HashMap<u32, (JobId, Arc<CancellationToken>)>,
     /// When something last came or was answered.
     since: Instant,
 }
 
-impl Client {
+impl ClientSession {
     /// `lease` is for the descriptor, `held` for the bytes of answers that are not taken at once.
-    pub fn new(stream: TcpStream, lease: Lease, held: Lease) -> Client {
+    pub fn new(stream: TcpStream, lease: Permit, held: Permit) -> ClientSession {
         let since = Instant::now();
-        Client {
+        ClientSession {
             stream,
-            out: Mutex::new(Outgoing { bytes: Vec::new(), since, held, broken: false }),
+            out: Mutex::new(WriteBuffer { bytes: Vec::new(), since, held, broken: false }),
             state: Mutex::new(State { open: HashMap::new(), since }),
             reading: Mutex::default(),
             _lease: lease,
@@ -141,7 +141,7 @@
     }
 
     /// `wanted` is told when nobody waits for the job any more.
-    pub fn open(&self, message: u32, job: JobId, wanted: Arc<CancelToken>) {
+    pub fn open(&self, message: u32, job: JobId, wanted: Arc<CancellationToken>) {
         locked(&self.state).open.insert(message, (job, wanted));
     }
 
@@ -215,7 +215,7 @@
     }
 }
 
-impl Outgoing {
+impl WriteBuffer {
     fn flush(&mut self, mut to: &TcpStream) {
         let mut done = 0;
         while done < self.bytes.len() {
@@ -224,7 +224,7 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock && self.since.elapsed() < WRITE => break,
                 _ => {
-                    counts::CUT_CLIENTS.add();
+                    counters::CUT_CLIENTS.add();
                     return self.give_up(to);
                 }
             }
@@ -233,7 +233,7 @@
         self.bytes.shrink_to(0);
         let kept = self.bytes.len();
         if !self.held.grow_to(kept) {
-            counts::CUT_CLIENTS.add();
+            counters::CUT_CLIENTS.add();
             return self.give_up(to);
         }
         self.held.shrink_to(kept);
@@ -248,21 +248,21 @@
 
 /// The clients' own ids of open jobs. Engines know jobs by them, so that no two may be open under one.
 #[derive(Default)]
-pub struct Names(Mutex<HashSet<Box<str>>>);
+pub struct ClientJobIds(Mutex<HashSet<Box<str>>>);
 
 /// An id that is taken until this is dropped.
-pub struct Name {
-    names: Arc<Names>,
+pub struct ClientJobId {
+    names: Arc<ClientJobIds>,
     name: Box<str>,
 }
 
-impl Names {
-    pub fn take(self: &Arc<Self>, name: &str) -> Option<Name> {
-        locked(&self.0).insert(name.into()).then(|| Name { names: self.clone(), name: name.into() })
+impl ClientJobIds {
+    pub fn take(self: &Arc<Self>, name: &str) -> Option<ClientJobId> {
+        locked(&self.0).insert(name.into()).then(|| ClientJobId { names: self.clone(), name: name.into() })
     }
 }
 
-impl Drop for Name {
+impl Drop for ClientJobId {
     fn drop(&mut self) {
         locked(&self.names.0).remove(&self.name);
     }
--- a/crates/server/src/wire/client.rs
+++ b/crates/server/src/codec/client.rs
@@ -23,7 +23,7 @@
 /// One message of a client.
 #[derive(Debug, PartialEq)]
 pub enum Message {
-    Job(Ask),
+    Job(ClientRequest),
     Forget(Vec<u32>),
     IsWell(u32),
     /// It can be read but not used.
@@ -34,7 +34,7 @@
 
 /// A job as the client words it.
 #[derive(Debug, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     pub message: u32,
     /// Goes on to the engines unchanged.
     pub id: Box<str>,
@@ -149,7 +149,7 @@
     }
 }
 
-fn ask(rest: &mut &[u8], message: u32, reservation: usize) -> Result<Ask, String> {
+fn ask(rest: &mut &[u8], message: u32, reservation: usize) -> Result<ClientRequest, String> {
     let off = |what: &str| format!("{what} is missing or odd");
     if decode::read_array_len(rest).ok().is_none_or(|count| count < 2) {
         return Err(off("the list of fields and body"));
@@ -180,7 +180,7 @@
     };
     let statement =
         statement.and_then(|length| rest.get(..length as usize)).ok_or_else(|| off("the body"))?;
-    Ok(Ask {
+    Ok(ClientRequest {
         message,
         id: id.ok_or_else(|| off("field i"))?,
         reservation,
--- a/crates/server/src/wire/engine.rs
+++ b/crates/server/src/codec/engine.rs
@@ -32,7 +32,7 @@
 
 /// An answer, without the id that it is for.
 #[derive(Debug, PartialEq)]
-pub enum Word {
+pub enum EngineMessage {
     /// Page 0, the number of all pages, and work (ms) and memory (MB) that the job needed.
     Hit {
         page: Vec<u8>,
@@ -54,7 +54,7 @@
 
 /// The first answer with its id, and how many bytes it takes; none if it has not come whole. What can't become
 /// an answer is told as soon as it shows.
-pub fn next(bytes: &[u8]) -> Result<Option<(usize, String, Word)>, &'static str> {
+pub fn next(bytes: &[u8]) -> Result<Option<(usize, String, EngineMessage)>, &'static str> {
     let Some(end) = bytes.iter().take(LONGEST_LINE).position(|byte| *byte == b'\n') else {
         return if bytes.len() < LONGEST_LINE { Ok(None) } else { Err("a line that does not end") };
     };
@@ -76,7 +76,7 @@
     let number = |name: &str| get(name).and_then(|value| value.parse::<f64>().ok()).filter(|x| x.is_finite());
     let report = || get("meter").and_then(report);
     let word = match word {
-        "HIT" => Word::Hit {
+        "HIT" => EngineMessage::Hit {
             page,
             sheets: match get("sheets") {
                 None => 1,
@@ -90,20 +90,20 @@
         },
         "PART" => {
             let sheet = get("sheet").and_then(|told| told.parse().ok());
-            Word::Part { page, sheet: sheet.ok_or("a page without its number")? }
+            EngineMessage::Part { page, sheet: sheet.ok_or("a page without its number")? }
         }
-        "INFO" => Word::Info(match (get("tell"), number("val")) {
+        "INFO" => EngineMessage::Info(match (get("tell"), number("val")) {
             (Some("advance"), Some(share)) => Some(ProgressUpdate::CompletedFraction(share)),
             (Some("disk"), Some(missing)) => Some(ProgressUpdate::SpillingToDisk(missing)),
             (Some("stall"), Some(1.0)) => Some(ProgressUpdate::WaitingForMemory),
             (Some("stall"), Some(2.0)) => Some(ProgressUpdate::WaitingForBulkLoad),
             _ => None,
         }),
-        "SHED" => Word::Shed(report()),
-        "FAULT" => Word::Fault(report()),
-        "LATE" => Word::Late(report()),
-        "PONG" => Word::Pong(report()),
-        "SICK" => Word::Sick(report()),
+        "SHED" => EngineMessage::Shed(report()),
+        "FAULT" => EngineMessage::Fault(report()),
+        "LATE" => EngineMessage::Late(report()),
+        "PONG" => EngineMessage::Pong(report()),
+        "SICK" => EngineMessage::Sick(report()),
         _ => return Err("an unknown word"),
     };
     Ok(Some((all, id.to_string(), word)))
--- a/crates/server/src/wire/bus.rs
+++ b/crates/server/src/codec/event_bus.rs
@@ -1,7 +1,7 @@
 //! The lines of the event bus: numbered changes of the engine list, and a heartbeat.
 
 use pebblevane::interface::LifecycleState;
-use pebblevane_adapter_common::{Fields, Told};
+use pebblevane_adapter_common::{FieldResult, Fields};
 use serde_json::Value as Json;
 
 /// Wall-clock time in microseconds of Unix time, as whoever stamped it read it: not a time of the program's own clock.
@@ -18,7 +18,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Line {
     /// The number of the last event that the bus has, as a bare number or alone in an object.
-    Beat(u64),
+    Heartbeat(u64),
     Event(Event),
 }
 
@@ -27,13 +27,13 @@
     pub offset: u64,
     /// The whole list, not only what has changed.
     pub complete: bool,
-    pub engines: Vec<Entry>,
+    pub engines: Vec<EndpointEntry>,
     /// What is wrong with entries that can't be used.
     pub odd: Vec<String>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointEntry {
     pub name: String,
     pub address: String,
     pub zone: String,
@@ -44,19 +44,19 @@
     pub started: Option<UnixTime>,
 }
 
-pub fn line(line: &str) -> Told<Line> {
+pub fn line(line: &str) -> FieldResult<Line> {
     let json: Json = serde_json::from_str(line).map_err(|e| format!("the line is not JSON: {e}"))?;
     if let Some(last) = json.as_u64() {
-        return Ok(Line::Beat(last));
+        return Ok(Line::Heartbeat(last));
     }
     let fields = Fields { name: "event", json: &json };
     match fields.get("topology") {
-        None => fields.whole("offset").map(Line::Beat),
+        None => fields.whole("offset").map(Line::Heartbeat),
         Some(_) => event(&json).map(Line::Event),
     }
 }
 
-pub fn event(json: &Json) -> Told<Event> {
+pub fn event(json: &Json) -> FieldResult<Event> {
     let event = Fields { name: "event", json };
     let topology = event.object("topology")?;
     let (mut engines, mut odd) = (Vec::new(), Vec::new());
@@ -69,9 +69,9 @@
     Ok(Event { offset: event.whole("offset")?, complete: topology.flag("reset")?, engines, odd })
 }
 
-fn entry(entry: Fields) -> Told<Entry> {
+fn entry(entry: Fields) -> FieldResult<EndpointEntry> {
     let started = entry.number_or("startedAtMs", 0.0)?;
-    Ok(Entry {
+    Ok(EndpointEntry {
         name: entry.text("instanceId")?.to_string(),
         address: entry.text("hostPort")?.to_string(),
         zone: entry.text("zone")?.to_string(),
--- a/crates/server/src/wire/sql.rs
+++ b/crates/server/src/codec/sql.rs
@@ -14,7 +14,7 @@
         let (token, after) = next(rest);
         rest = after;
         match token {
-            Token::Name(name) if dot || names.is_empty() => {
+            Token::ClientJobId(name) if dot || names.is_empty() => {
                 names.push(name);
                 dot = false;
                 continue;
@@ -40,7 +40,7 @@
         }
         (names, dot) = (Vec::new(), false);
         match token {
-            Token::Name(name) => names.push(name),
+            Token::ClientJobId(name) => names.push(name),
             Token::End => return fallback,
             // A list of tables goes on; anything else does not lead to one.
             Token::Other | Token::Dot => word_before = b"",
@@ -49,7 +49,7 @@
 }
 
 enum Token<'a> {
-    Name(&'a [u8]),
+    ClientJobId(&'a [u8]),
     Dot,
     /// A string, number or sign.
     Other,
@@ -66,13 +66,13 @@
             [b'\'', after @ ..] => return (Token::Other, quoted(after, b'\'').1),
             [mark @ (b'"' | b'`'), after @ ..] => {
                 let (name, after) = quoted(after, *mark);
-                return (Token::Name(name), after);
+                return (Token::ClientJobId(name), after);
             }
             [b'.', after @ ..] => return (Token::Dot, after),
             [first, after @ ..] if first.is_ascii_whitespace() => rest = after,
             [first, ..] if in_name(*first) => {
                 let (name, after) = rest.split_at(end(rest, |byte| !in_name(byte)));
-                return (Token::Name(name), after);
+                return (Token::ClientJobId(name), after);
             }
             [_, after @ ..] => return (Token::Other, after),
         }
--- a/crates/server/src/service/config.rs
+++ b/crates/server/src/config/mod.rs
@@ -1,11 +1,13 @@
 //! The configuration, checked before anything starts.
 
-use crate::memory::dispatch_ledger::RepeatRules;
-use crate::memory::engines::ConnectionSettings;
-use crate::wire::bus::{self, Event};
+pub mod reload;
+
+use crate::codec::event_bus::{self, Event};
+use crate::engine::handle::ConnectionSettings;
+use crate::job::dispatch_ledger::RetrySemantics;
 use pebblevane::settings::Settings;
 use pebblevane::time::TimeDelta;
-use pebblevane_adapter_common::{Fields, Told, settings};
+use pebblevane_adapter_common::{FieldResult, Fields, settings};
 use serde_json::Value as Json;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -35,7 +37,7 @@
 }
 
 impl Config {
-    pub fn read(var: impl Fn(&str) -> Option<String>) -> Told<Config> {
+    pub fn read(var: impl Fn(&str) -> Option<String>) -> FieldResult<Config> {
         let path = var("NODE_CONFIG").ok_or("NODE_CONFIG is not set, the path of a file is wanted")?;
         let text =
             std::fs::read_to_string(&path).map_err(|e| format!("NODE_CONFIG: cannot read {path}: {e}"))?;
@@ -51,8 +53,8 @@
         };
         let known = fields.object("known")?;
         let in_known = |why: String| format!("configuration: field known: {why}");
-        let events = known.list("batch")?.iter().map(bus::event);
-        let events = events.collect::<Told<Vec<Event>>>().map_err(in_known)?;
+        let events = known.list("batch")?.iter().map(event_bus::event);
+        let events = events.collect::<FieldResult<Vec<Event>>>().map_err(in_known)?;
         if let Some(why) = events.iter().flat_map(|event| &event.odd).next() {
             return Err(in_known(why.clone()));
         }
@@ -90,9 +92,9 @@
     }
 
     /// What the settings say of repeating each type's jobs.
-    pub fn repeat_rules(&self) -> Vec<RepeatRules> {
+    pub fn repeat_rules(&self) -> Vec<RetrySemantics> {
         let types = 0..self.settings.entries("Classes", "Name");
-        types.map(|i| RepeatRules::read(&self.settings, i)).collect()
+        types.map(|i| RetrySemantics::read(&self.settings, i)).collect()
     }
 
     /// How long a client waits at most, as far as the settings tell.
--- a/crates/server/src/service/reload.rs
+++ b/crates/server/src/config/reload.rs
@@ -1,9 +1,9 @@
 //! A new configuration while the program runs: the event bus moves to its new address, all else stays as it
 //! was at the start. `known` is not read again, since the numbers of the events carry on.
 
-use super::bus::Bus;
-use super::config::Config;
-use pebblevane_adapter_common::Told;
+use crate::config::Config;
+use crate::discovery::event_bus::EventBusFollower;
+use pebblevane_adapter_common::FieldResult;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -11,16 +11,16 @@
 const AGAIN: Duration = Duration::from_millis(50);
 const PATIENCE: Duration = Duration::from_secs(2);
 
-pub struct Reload {
+pub struct ConfigReloader {
     config: Config,
-    bus: Arc<Bus>,
+    bus: Arc<EventBusFollower>,
     /// Since when, and why, the file can't be used.
     odd: Option<(Instant, String)>,
 }
 
-impl Reload {
-    pub fn new(config: Config, bus: Arc<Bus>) -> Reload {
-        Reload { config, bus, odd: None }
+impl ConfigReloader {
+    pub fn new(config: Config, bus: Arc<EventBusFollower>) -> ConfigReloader {
+        ConfigReloader { config, bus, odd: None }
     }
 
     /// The pause before the file is to be read again, if it is.
@@ -29,13 +29,13 @@
     }
 
     /// The file is to be read, from now on until it can be used.
-    pub fn begin(&mut self, told: Told<Config>) {
+    pub fn begin(&mut self, told: FieldResult<Config>) {
         self.odd = None;
         self.read(told);
     }
 
     /// Takes over what was read. A configuration that can't be used changes nothing.
-    pub fn read(&mut self, told: Told<Config>) {
+    pub fn read(&mut self, told: FieldResult<Config>) {
         match told {
             Ok(new) => {
                 self.odd = None;
--- a/crates/server/src/module.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -2,24 +2,24 @@
 //! each `Actions` is carried out in its order before the next call. What the engine list tells, a planned stop and
 //! clients that leave don't wait behind those. It decides nothing.
 
-use crate::job::{AdmittedJob, JobTask};
-use crate::memory::counts;
-use crate::memory::dispatch_ledger::DispatchLedger;
-use crate::memory::engines::Engine;
-use crate::memory::owners::Owners;
-use crate::memory::responder::Responder;
-use crate::service::clock;
-use crate::service::start_clock::StartClock;
-use crate::startup;
-use crate::wire::bus::{Event, UnixTime};
-use crate::wire::client::Reply;
-use crate::workers::Workers;
+use crate::client::responder::Responder;
+use crate::codec::client::Reply;
+use crate::codec::event_bus::{Event, UnixTime};
+use crate::discovery::start_clock::StartClock;
+use crate::engine::handle::EngineHandle;
+use crate::engine::registry::EngineRegistry;
+use crate::job::dispatch_ledger::DispatchLedger;
+use crate::job::task::{AdmittedJob, JobTask};
+use crate::job::worker_pool::Workers;
+use crate::lifecycle::clock;
+use crate::lifecycle::threads;
+use crate::telemetry::counters;
 use crossbeam_channel::{Receiver, Sender, bounded, select};
 use pebblevane::controller::AdmissionController;
 use pebblevane::interface::*;
 use pebblevane::settings::*;
 use pebblevane::time::*;
-use pebblevane_adapter_common::Engines;
+use pebblevane_adapter_common::EngineNumbers;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
@@ -34,7 +34,7 @@
 pub const BACK_IN: TimeDelta = TimeDelta(1_000_000);
 
 /// What the module's thread is asked to do.
-enum Call {
+enum ControllerEvent {
     Take {
         id: JobId,
         job: Job,
@@ -51,7 +51,7 @@
         copy: u32,
         note: ProgressUpdate,
     },
-    Probed {
+    HealthCheckCallback {
         engine: EngineId,
         outcome: DispatchResult,
     },
@@ -65,13 +65,13 @@
         by: Timestamp,
     },
     /// Clients have left.
-    Look,
+    Wakeup,
 }
 
 /// What comes next for a job of which something is sent.
-pub enum Step {
+pub enum JobCommand {
     Dispatch {
-        engine: Arc<Engine>,
+        engine: Arc<EngineHandle>,
         copy: u32,
         /// When it times out.
         ends: Timestamp,
@@ -86,9 +86,9 @@
 }
 
 /// The way to the module's thread.
-pub struct Module {
-    calls: Sender<Call>,
-    urgent: Sender<Call>,
+pub struct ControllerHandle {
+    calls: Sender<ControllerEvent>,
+    urgent: Sender<ControllerEvent>,
     /// Jobs whose clients have left: never more than are open, and never waited for.
     left: Mutex<Vec<JobId>>,
     next: Mutex<u32>,
@@ -96,31 +96,31 @@
     pub open: AtomicUsize,
 }
 
-impl Module {
+impl ControllerHandle {
     /// Starts the module's thread; the module has been told of `known` before this returns.
     pub fn start(
         settings: Settings,
         seed: u64,
         known: Vec<Event>,
-        owners: Arc<Owners>,
-    ) -> std::io::Result<Arc<Module>> {
+        owners: Arc<EngineRegistry>,
+    ) -> std::io::Result<Arc<ControllerHandle>> {
         let ((calls, inbox), (urgent, news)) = (bounded(CALLS), bounded(URGENT));
         let (ready, started) = bounded(1);
         let (left, next, open) = (Mutex::default(), Mutex::default(), AtomicUsize::new(0));
-        let handle = Arc::new(Module { calls, urgent, left, next, open });
+        let handle = Arc::new(ControllerHandle { calls, urgent, left, next, open });
         let own = handle.clone();
-        startup::thread("module", MODULE_STACK, move || {
+        threads::spawn_required("module", MODULE_STACK, move || {
             let names = |list: &str| -> Vec<String> {
                 let named = (0..).map(|i| settings.text(&format!("{list}.{i}")).to_string());
                 named.take_while(|name| !name.is_empty()).collect()
             };
             let (zones, machines) = (names("Zones"), names("Flavors"));
-            let mut owner = ModuleThread {
+            let mut owner = ControllerThread {
                 logic: AdmissionController::new(clock::now(), seed, settings),
                 handle: own,
                 wake: None,
                 jobs: BTreeMap::new(),
-                numbers: Engines::default(),
+                numbers: EngineNumbers::default(),
                 engines: BTreeMap::new(),
                 zones,
                 machines,
@@ -144,7 +144,7 @@
         let id = JobId(*next);
         responder.open(id);
         self.open.fetch_add(1, SeqCst);
-        let call = Call::Take { id, job, arrived, admitted: Box::new(admitted) };
+        let call = ControllerEvent::Take { id, job, arrived, admitted: Box::new(admitted) };
         if self.calls.try_send(call).is_err() {
             self.open.fetch_sub(1, SeqCst);
             responder.answer(&Reply::Throttled(BACK_IN));
@@ -154,28 +154,28 @@
         true
     }
     pub fn settle(&self, id: JobId, copy: u32, outcome: DispatchResult) {
-        self.call(Call::Settle { id, copy, outcome });
+        self.call(ControllerEvent::Settle { id, copy, outcome });
     }
     pub fn progress(&self, id: JobId, copy: u32, note: ProgressUpdate) {
-        self.call(Call::Progress { id, copy, note });
+        self.call(ControllerEvent::Progress { id, copy, note });
     }
     /// The client has left; the job's token says so already.
     pub fn gone(&self, id: JobId) {
         locked(&self.left).push(id);
         // Where too many calls wait, the thread is awake and looks before the next of them.
-        let _ = self.calls.try_send(Call::Look);
+        let _ = self.calls.try_send(ControllerEvent::Wakeup);
     }
     pub fn listed(&self, event: Event, complete: Option<Timestamp>) {
-        let _ = self.urgent.send(Call::Listed { event, complete });
+        let _ = self.urgent.send(ControllerEvent::Listed { event, complete });
     }
     pub fn list_lost(&self) {
-        let _ = self.urgent.send(Call::ListLost);
+        let _ = self.urgent.send(ControllerEvent::ListLost);
     }
     pub fn stopping(&self, by: Timestamp) {
-        let _ = self.urgent.send(Call::Stopping { by });
+        let _ = self.urgent.send(ControllerEvent::Stopping { by });
     }
 
-    fn call(&self, call: Call) {
+    fn call(&self, call: ControllerEvent) {
         // The module's thread ends only with the program.
         let _ = self.calls.send(call);
     }
@@ -199,27 +199,27 @@
     /// Nothing was sent yet, and no thread is needed.
     Waiting(Box<AdmittedJob>),
     /// In a thread that takes its next steps here.
-    Started(Sender<Step>),
+    Started(Sender<JobCommand>),
     /// It could not be started, and is answered.
     Refused,
 }
 
-struct ModuleThread {
+struct ControllerThread {
     logic: AdmissionController,
-    handle: Arc<Module>,
+    handle: Arc<ControllerHandle>,
     wake: Option<Timestamp>,
     jobs: BTreeMap<JobId, OpenJob>,
-    numbers: Engines,
-    engines: BTreeMap<EngineId, Known>,
+    numbers: EngineNumbers,
+    engines: BTreeMap<EngineId, KnownEngine>,
     zones: Vec<String>,
     machines: Vec<String>,
-    owners: Arc<Owners>,
+    owners: Arc<EngineRegistry>,
     start_clock: StartClock,
     workers: Workers,
 }
 
-struct Known {
-    engine: Arc<Engine>,
+struct KnownEngine {
+    engine: Arc<EngineHandle>,
     address: SocketAddr,
     started: Option<Start>,
     stage: LifecycleState,
@@ -232,8 +232,8 @@
     at: Timestamp,
 }
 
-impl ModuleThread {
-    fn run(mut self, inbox: &Receiver<Call>, news: &Receiver<Call>) {
+impl ControllerThread {
+    fn run(mut self, inbox: &Receiver<ControllerEvent>, news: &Receiver<ControllerEvent>) {
         loop {
             let wait = self.wake.map_or(Duration::from_secs(3600), clock::until);
             let call = news.try_recv().ok().or_else(|| {
@@ -264,9 +264,9 @@
         }
     }
 
-    fn answer(&mut self, now: Timestamp, call: Call) {
+    fn answer(&mut self, now: Timestamp, call: ControllerEvent) {
         let decided = match call {
-            Call::Take { id, mut job, arrived, admitted } => {
+            ControllerEvent::Take { id, mut job, arrived, admitted } => {
                 let (responder, ledger) = (admitted.responder.clone(), admitted.ledger.clone());
                 let stage = JobStage::Waiting(admitted);
                 let open = OpenJob { stage, responder, ledger, answered: false, copies: 0 };
@@ -279,7 +279,7 @@
                 self.jobs.insert(id, open);
                 self.logic.submit(now, id, job)
             }
-            Call::Settle { id, copy, mut outcome } => {
+            ControllerEvent::Settle { id, copy, mut outcome } => {
                 let Some(open) = self.jobs.get_mut(&id) else { return };
                 // A client that has left is not waited for, whether or not that was told yet.
                 open.answered |= open.responder.is_over();
@@ -287,12 +287,14 @@
                 outcome.job_finished = open.answered;
                 self.logic.dispatch_finished(now, id, copy, outcome)
             }
-            Call::Progress { id, copy, note } => self.logic.dispatch_progress(now, id, copy, note),
-            Call::Probed { engine, outcome } => self.logic.health_check_finished(now, engine, outcome),
-            Call::Listed { event, complete } => return self.listed(now, event, complete),
-            Call::ListLost => self.logic.endpoint_list_unavailable(now),
-            Call::Stopping { by } => self.logic.begin_shutdown(now, by),
-            Call::Look => return,
+            ControllerEvent::Progress { id, copy, note } => self.logic.dispatch_progress(now, id, copy, note),
+            ControllerEvent::HealthCheckCallback { engine, outcome } => {
+                self.logic.health_check_finished(now, engine, outcome)
+            }
+            ControllerEvent::Listed { event, complete } => return self.listed(now, event, complete),
+            ControllerEvent::ListLost => self.logic.endpoint_list_unavailable(now),
+            ControllerEvent::Stopping { by } => self.logic.begin_shutdown(now, by),
+            ControllerEvent::Wakeup => return,
         };
         self.carry_out(now, decided);
     }
@@ -304,7 +306,7 @@
         }
         for DispatchId { job, attempt } in decided.cancellations {
             if let Some(open) = self.jobs.get(&job) {
-                open.tell(Step::Recall { copy: attempt });
+                open.tell(JobCommand::Recall { copy: attempt });
             }
         }
         for (id, answer) in decided.answers {
@@ -322,7 +324,7 @@
                 let (engine, rank) = (known.engine.clone(), dispatch.options.map(|terms| terms.priority));
                 // However late its thread takes this up, the client's wait ends when it ends.
                 let (ends, begin_by) = (now + dispatch.timeout, dispatch.begin_by);
-                let step = Step::Dispatch { engine, copy, ends, begin_by, rank };
+                let step = JobCommand::Dispatch { engine, copy, ends, begin_by, rank };
                 if !open.start(dispatch.job, &self.workers, &self.handle) {
                     refused.push((dispatch.job, copy));
                     continue;
@@ -338,7 +340,7 @@
         }
         for id in decided.released_jobs {
             if let Some(open) = self.jobs.remove(&id) {
-                open.tell(Step::Released);
+                open.tell(JobCommand::Released);
                 self.handle.open.fetch_sub(1, SeqCst);
             }
         }
@@ -371,7 +373,10 @@
         };
         let handle = self.handle.clone();
         let told = move |verdict: DispatchStatus, report: Option<LoadReport>, took: TimeDelta| {
-            handle.call(Call::Probed { engine: id, outcome: outcome(verdict, report, took) });
+            handle.call(ControllerEvent::HealthCheckCallback {
+                engine: id,
+                outcome: outcome(verdict, report, took),
+            });
         };
         let taken = self.engines.get(&id).is_some_and(|known| known.engine.probe(Box::new(told)));
         if !taken {
@@ -443,7 +448,7 @@
 
     /// Keeps the handle on an engine in step with the list.
     fn know(&mut self, id: EngineId, address: SocketAddr, stage: LifecycleState, started: Option<Start>) {
-        let same = |known: &&mut Known| known.address == address && known.stage != LifecycleState::Gone;
+        let same = |known: &&mut KnownEngine| known.address == address && known.stage != LifecycleState::Gone;
         if let Some(known) = self.engines.get_mut(&id).filter(same) {
             let before = known.started.map(|start| start.stamp);
             if let Some(start) = started.filter(|start| before != Some(start.stamp)) {
@@ -458,8 +463,8 @@
             {
                 old.engine.gone();
             }
-            let engine = Engine::new(&self.owners, self.numbers.name(id), address);
-            self.engines.insert(id, Known { engine, address, started, stage });
+            let engine = EngineHandle::new(&self.owners, self.numbers.name(id), address);
+            self.engines.insert(id, KnownEngine { engine, address, started, stage });
         }
         self.engines[&id].engine.open(stage == LifecycleState::Running);
         if stage == LifecycleState::Gone {
@@ -478,7 +483,7 @@
 impl OpenJob {
     /// Gives it a thread, if it has none; says whether it has one now. Where none can be made it is throttled, which
     /// is harmless as nothing of it has ever left.
-    fn start(&mut self, id: JobId, workers: &Workers, module: &Arc<Module>) -> bool {
+    fn start(&mut self, id: JobId, workers: &Workers, module: &Arc<ControllerHandle>) -> bool {
         match std::mem::replace(&mut self.stage, JobStage::Refused) {
             JobStage::Waiting(admitted) => {
                 let (steps, next) = bounded(STEPS);
@@ -487,7 +492,7 @@
                     Ok(()) => self.stage = JobStage::Started(steps),
                     Err(e) => {
                         tracing::warn!("no thread for a job: {e}");
-                        counts::AT_LIMIT.add();
+                        counters::AT_LIMIT.add();
                         self.answered = true;
                         self.responder.answer(&Reply::Throttled(BACK_IN));
                     }
@@ -501,19 +506,19 @@
     fn answer(&self, answer: FinalAnswer) {
         match answer {
             FinalAnswer::Rejected { retry_after } => {
-                counts::THROTTLED.add();
+                counters::THROTTLED.add();
                 self.ledger.throttled();
                 self.responder.answer(&Reply::Throttled(retry_after));
             }
             FinalAnswer::Cancelled => {
-                counts::CANCELLED.add();
+                counters::CANCELLED.add();
                 self.responder.answer(&Reply::Failed("cancelled"));
             }
         }
     }
 
     /// The channel holds more steps than a job can have; a job whose thread has ended wants none.
-    fn tell(&self, step: Step) {
+    fn tell(&self, step: JobCommand) {
         let JobStage::Started(steps) = &self.stage else { return };
         if steps.try_send(step).is_err() {
             tracing::debug!("a step for a job that has ended");
--- /dev/null
+++ b/crates/server/src/decision/mod.rs
@@ -0,0 +1,3 @@
+//! The thread that owns the admission controller.
+
+pub mod controller_thread;
--- a/crates/server/src/service/bus.rs
+++ b/crates/server/src/discovery/event_bus.rs
@@ -1,10 +1,10 @@
 //! Follows the event bus: connects, asks for what comes after the last event it has, and reads on. A gap, a
 //! connection that falls silent or one that ends leads to a new one, and so does a new address.
 
-use crate::memory::counts;
-use crate::module::Module;
-use crate::service::clock;
-use crate::wire::bus::{self, Line};
+use crate::codec::event_bus::{self, Line};
+use crate::decision::controller_thread::ControllerHandle;
+use crate::lifecycle::clock;
+use crate::telemetry::counters;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use pebblevane::time::Timestamp;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
@@ -21,7 +21,7 @@
 const LONGEST_PAUSE_MS: u64 = 800;
 
 /// Where the bus is, and the connection to it. The address may change while the program runs.
-pub struct Bus {
+pub struct EventBusFollower {
     at: Mutex<At>,
     /// The longest line that is read, in bytes.
     longest_line: usize,
@@ -33,9 +33,9 @@
     stream: Option<TcpStream>,
 }
 
-impl Bus {
-    pub fn new(address: SocketAddr, longest_line: usize) -> Bus {
-        Bus { at: Mutex::new(At { address, stream: None }), longest_line, moved: bounded(1) }
+impl EventBusFollower {
+    pub fn new(address: SocketAddr, longest_line: usize) -> EventBusFollower {
+        EventBusFollower { at: Mutex::new(At { address, stream: None }), longest_line, moved: bounded(1) }
     }
 
     fn at(&self) -> MutexGuard<'_, At> {
@@ -68,7 +68,7 @@
         Ok(stream)
     }
 
-    pub fn follow(&self, module: &Module, mut last: u64, seed: u64) {
+    pub fn follow(&self, module: &ControllerHandle, mut last: u64, seed: u64) {
         let mut spread = seed | 1;
         let (mut pause, mut gap, mut complete) = (PAUSE_MS, None, None);
         loop {
@@ -92,7 +92,7 @@
     /// Reads one connection to its end; says why it ended. `complete` is when the list was last known to be complete.
     fn listen(
         &self,
-        module: &Module,
+        module: &ControllerHandle,
         connected: std::io::Result<TcpStream>,
         last: &mut u64,
         gap: &mut Option<u64>,
@@ -108,11 +108,11 @@
                 return why;
             }
             within = SILENCE;
-            match bus::line(&String::from_utf8_lossy(&bytes)) {
-                Ok(Line::Beat(told)) if told > *last => {
+            match event_bus::line(&String::from_utf8_lossy(&bytes)) {
+                Ok(Line::Heartbeat(told)) if told > *last => {
                     return format!("event {told} is there but did not come");
                 }
-                Ok(Line::Beat(_)) => *complete = Some(clock::now()),
+                Ok(Line::Heartbeat(_)) => *complete = Some(clock::now()),
                 Ok(Line::Event(event)) if event.offset <= *last => {}
                 // Where the same gap comes again, what is missing can't be had: better to miss it than all that follows.
                 Ok(Line::Event(event))
@@ -123,13 +123,13 @@
                 Ok(Line::Event(event)) => {
                     *last = event.offset;
                     for why in &event.odd {
-                        counts::ODD_EVENTS.add();
+                        counters::ODD_EVENTS.add();
                         tracing::warn!("event bus: an entry of event {last} is passed over: {why}");
                     }
                     module.listed(event, *complete);
                 }
                 Err(why) => {
-                    counts::ODD_EVENTS.add();
+                    counters::ODD_EVENTS.add();
                     tracing::warn!("event bus: a line is passed over: {why}");
                 }
             }
--- a/crates/server/src/service/start_clock.rs
+++ b/crates/server/src/discovery/start_clock.rs
@@ -2,7 +2,7 @@
 //! clock. A wall clock may be stepped at any time, on this machine or on the one that stamps: a start then lies on
 //! the monotonic clock where the wall clock that stamped it was.
 
-use crate::wire::bus::UnixTime;
+use crate::codec::event_bus::UnixTime;
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
 use std::time::SystemTime;
--- a/crates/server/src/memory/engine_connection.rs
+++ b/crates/server/src/engine/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to an engine: what is out on it, and whether it may be used again.
 
-use super::budget::Lease;
+use crate::limits::Permit;
 use pebblevane::time::Timestamp;
 use std::collections::{HashMap, HashSet};
 use std::io::ErrorKind;
@@ -12,7 +12,7 @@
 /// Ids used up on one connection, after which it takes nothing new.
 pub const SPENT: usize = 64;
 
-pub struct Connection {
+pub struct EngineConnection {
     pub stream: Arc<TcpStream>,
     /// An answer has begun that has not come whole.
     pub midway: Arc<AtomicBool>,
@@ -27,10 +27,10 @@
     /// When something last came from it.
     pub heard: Instant,
     pub opened: Timestamp,
-    pub _lease: Lease,
+    pub _lease: Permit,
 }
 
-impl Connection {
+impl EngineConnection {
     /// One that has never been used is as good as a new one until it is idle too long.
     pub fn is_fresh(&self, fresh_for: Duration, idle: Duration) -> bool {
         self.since.elapsed() < if self.used { fresh_for } else { idle }
--- a/crates/server/src/memory/engines.rs
+++ b/crates/server/src/engine/handle.rs
@@ -1,13 +1,13 @@
 //! Handles on engines: sending to one, giving up, and what a job hears of its dispatch. An engine's owner does the
 //! rest (`owner.rs`).
 
-use super::budget::Lease;
-use super::clients::StillWanted;
-use super::dispatch_ledger::DispatchLedger;
-use super::owner::Owner;
-use super::owners::Owners;
-use super::readers::ConnectionEvent;
-use crate::wire::engine::Word;
+use crate::client::session::ClientLiveness;
+use crate::codec::engine::EngineMessage;
+use crate::engine::pool::EnginePool;
+use crate::engine::registry::EngineRegistry;
+use crate::engine::socket_poller::ConnectionEvent;
+use crate::job::dispatch_ledger::DispatchLedger;
+use crate::limits::Permit;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use pebblevane::interface::*;
 use pebblevane::time::*;
@@ -35,7 +35,7 @@
 
 /// Whether a dispatch has left this program: the last check before its first byte goes out.
 #[derive(Default)]
-pub struct Gate {
+pub struct SendGate {
     pub state: AtomicU8,
     /// A byte of it may have left.
     pub left: AtomicBool,
@@ -45,7 +45,7 @@
 pub const SENT: u8 = 1;
 pub const DROPPED: u8 = 2;
 
-impl Gate {
+impl SendGate {
     /// Says whether it was the one to change it.
     pub fn pass(&self, to: u8) -> bool {
         self.state.compare_exchange(QUEUED, to, SeqCst, SeqCst).is_ok()
@@ -55,7 +55,7 @@
 /// What a job hears of its dispatch.
 #[derive(Debug)]
 pub enum DispatchEvent {
-    Word(Word),
+    EngineMessage(EngineMessage),
     /// The dispatch ended with its connection, or never had one; and whether the engine has taken a new
     /// connection since.
     Lost(DispatchStatus, bool),
@@ -69,26 +69,26 @@
     pub ends: Timestamp,
     /// Its first byte leaves before this or never.
     pub begin_by: Timestamp,
-    pub wanted: Arc<dyn StillWanted>,
+    pub wanted: Arc<dyn ClientLiveness>,
     pub ledger: Arc<DispatchLedger>,
     pub rank: Option<u8>,
     pub statement: Arc<[u8]>,
 }
 
 /// Takes how a probe came out, and its time from the first byte written to the last one read.
-pub type Probed = Box<dyn FnOnce(DispatchStatus, Option<LoadReport>, TimeDelta) + Send>;
+pub type HealthCheckCallback = Box<dyn FnOnce(DispatchStatus, Option<LoadReport>, TimeDelta) + Send>;
 
 /// What an engine's owner is to do.
-pub enum Order {
+pub enum PoolCommand {
     Send {
         number: u64,
         request: Request,
-        gate: Arc<Gate>,
+        gate: Arc<SendGate>,
         words: Sender<DispatchEvent>,
     },
     Probe {
         number: u64,
-        told: Probed,
+        told: HealthCheckCallback,
     },
     Fetch {
         number: u64,
@@ -99,19 +99,19 @@
         number: u64,
         done: Option<Sender<()>>,
     },
-    Dialed(Result<(TcpStream, Lease), String>),
+    Dialed(Result<(TcpStream, Permit), String>),
     Connection {
         connection: u64,
         told: ConnectionEvent,
     },
     /// The list has told something, of whichever engine.
-    Look,
+    Wakeup,
 }
 
 /// What the list has told of an engine since its owner last looked.
 #[derive(Default)]
-pub struct News {
-    pub new: Option<Box<Owner>>,
+pub struct EndpointUpdate {
+    pub new: Option<Box<EnginePool>>,
     /// The engine has started anew: connections from before are dead.
     pub restarted: Option<Timestamp>,
     /// Dispatches may not leave any more.
@@ -120,8 +120,8 @@
 }
 
 /// The handle on an engine's owner.
-pub struct Engine {
-    owners: Arc<Owners>,
+pub struct EngineHandle {
+    owners: Arc<EngineRegistry>,
     key: u64,
     open: Arc<AtomicBool>,
     numbers: AtomicU64,
@@ -130,17 +130,17 @@
 /// A job's handle on its dispatch. Dropping it gives the dispatch up, or ends what the engine holds of it.
 pub struct DispatchHandle {
     number: u64,
-    engine: Arc<Engine>,
-    gate: Arc<Gate>,
+    engine: Arc<EngineHandle>,
+    gate: Arc<SendGate>,
     pub words: Receiver<DispatchEvent>,
 }
 
-impl Engine {
-    pub fn new(owners: &Arc<Owners>, name: &str, address: SocketAddr) -> Arc<Engine> {
+impl EngineHandle {
+    pub fn new(owners: &Arc<EngineRegistry>, name: &str, address: SocketAddr) -> Arc<EngineHandle> {
         let (key, open) = (owners.next_key(), Arc::new(AtomicBool::new(true)));
-        let owner = Box::new(Owner::new(key, name, address, open.clone()));
+        let owner = Box::new(EnginePool::new(key, name, address, open.clone()));
         owners.tell(key, |news| news.new = Some(owner));
-        Arc::new(Engine { owners: owners.clone(), key, open, numbers: AtomicU64::new(0) })
+        Arc::new(EngineHandle { owners: owners.clone(), key, open, numbers: AtomicU64::new(0) })
     }
 
     /// Whether dispatches may leave; one that still waits then never does, and its job is told at once.
@@ -152,16 +152,16 @@
 
     pub fn send(self: &Arc<Self>, request: Request) -> DispatchHandle {
         let (words, heard) = bounded(WORDS);
-        let (number, gate) = (self.numbers.fetch_add(1, SeqCst), Arc::new(Gate::default()));
-        let order = Order::Send { number, request, gate: gate.clone(), words };
+        let (number, gate) = (self.numbers.fetch_add(1, SeqCst), Arc::new(SendGate::default()));
+        let order = PoolCommand::Send { number, request, gate: gate.clone(), words };
         self.owners.order(self.key, order);
         DispatchHandle { number, engine: self.clone(), gate, words: heard }
     }
 
     /// Sends a probe; `told` is handed its result. Says whether the engine's owner could take it.
-    pub fn probe(&self, told: Probed) -> bool {
+    pub fn probe(&self, told: HealthCheckCallback) -> bool {
         let number = self.numbers.fetch_add(1, SeqCst);
-        self.owners.try_order(self.key, Order::Probe { number, told })
+        self.owners.try_order(self.key, PoolCommand::Probe { number, told })
     }
 
     pub fn restarted(&self, at: Timestamp) {
@@ -176,7 +176,7 @@
 
 impl DispatchHandle {
     pub fn fetch(&self, page: u32) {
-        self.engine.owners.order(self.engine.key, Order::Fetch { number: self.number, page });
+        self.engine.owners.order(self.engine.key, PoolCommand::Fetch { number: self.number, page });
     }
     /// Keeps it from leaving if it has not yet; says whether that came in time.
     pub fn withhold(&self) -> bool {
@@ -197,7 +197,9 @@
     /// Gives it up. What is returned ends once that is written: the job's next dispatch must not overtake it.
     pub fn give_up(&self) -> Receiver<()> {
         let (done, given_up) = bounded(0);
-        self.engine.owners.order(self.engine.key, Order::GiveUp { number: self.number, done: Some(done) });
+        self.engine
+            .owners
+            .order(self.engine.key, PoolCommand::GiveUp { number: self.number, done: Some(done) });
         given_up
     }
 }
@@ -205,6 +207,6 @@
 impl Drop for DispatchHandle {
     fn drop(&mut self) {
         self.withhold();
-        self.engine.owners.order(self.engine.key, Order::GiveUp { number: self.number, done: None });
+        self.engine.owners.order(self.engine.key, PoolCommand::GiveUp { number: self.number, done: None });
     }
 }
--- /dev/null
+++ b/crates/server/src/engine/mod.rs
@@ -0,0 +1,7 @@
+//! Engines: the pool of connections to each, and the threads that serve them.
+
+pub mod connection;
+pub mod handle;
+pub mod pool;
+pub mod registry;
+pub mod socket_poller;
--- a/crates/server/src/memory/owner.rs
+++ b/crates/server/src/engine/pool.rs
@@ -5,14 +5,16 @@
 //! A dispatch has a connection to itself as long as the descriptors allow it, for whatever spoils a connection
 //! ends all that is out on it.
 
-use super::budget::{Budget, Lease};
-use super::counts;
-use super::engine_connection::{Connection, SPENT};
-use super::engines::{
-    ConnectionSettings, DROPPED, DispatchEvent, Gate, News, Order, Probed, QUEUED, Request, SENT,
+use crate::codec::engine::{self as wire, EngineMessage};
+use crate::engine::connection::{EngineConnection, SPENT};
+use crate::engine::handle::{
+    ConnectionSettings, DROPPED, DispatchEvent, EndpointUpdate, HealthCheckCallback, PoolCommand, QUEUED,
+    Request, SENT, SendGate,
 };
-use super::readers::{ConnectionEvent, ReadHalf, Readers};
-use crate::wire::engine::{self as wire, Word};
+use crate::engine::socket_poller::{ConnectionEvent, ReadHalf, SocketPoller};
+use crate::lifecycle::threads::{STACK_BYTES, SpawnThread};
+use crate::limits::{Permit, ResourceBudget};
+use crate::telemetry::counters;
 use crossbeam_channel::Sender;
 use pebblevane::interface::*;
 use pebblevane::time::*;
@@ -30,15 +32,17 @@
 const TELL: Duration = Duration::from_secs(5); // pace of log lines on one engine's connections
 
 /// What all owners share.
-pub struct OwnerContext {
+pub struct PoolContext {
     pub terms: ConnectionSettings,
-    pub sockets: Arc<Budget>,
-    pub readers: Arc<Readers>,
+    pub sockets: Arc<ResourceBudget>,
+    pub readers: Arc<SocketPoller>,
     pub now: fn() -> Timestamp,
-    pub orders: Sender<(u64, Order)>,
+    /// Starts the threads that connect.
+    pub spawn_thread: SpawnThread,
+    pub orders: Sender<(u64, PoolCommand)>,
 }
 
-pub struct Owner {
+pub struct EnginePool {
     key: u64,
     name: String,
     address: SocketAddr,
@@ -49,7 +53,7 @@
     dialing: usize,
     /// What ended with its connection, until it shows whether the engine takes a new one.
     doubtful: Vec<Sender<DispatchEvent>>,
-    connections: BTreeMap<u64, Connection>,
+    connections: BTreeMap<u64, EngineConnection>,
     opened: u64,
     gone: bool,
     /// A connection that has rested for longer is not used again: it may have ended unseen on the way.
@@ -78,13 +82,13 @@
 }
 
 enum What {
-    Dispatch { request: Request, gate: Arc<Gate>, words: Sender<DispatchEvent> },
-    Probe(Option<Probed>),
+    Dispatch { request: Request, gate: Arc<SendGate>, words: Sender<DispatchEvent> },
+    Probe(Option<HealthCheckCallback>),
 }
 
-impl Owner {
-    pub fn new(key: u64, name: &str, address: SocketAddr, open: Arc<AtomicBool>) -> Owner {
-        Owner {
+impl EnginePool {
+    pub fn new(key: u64, name: &str, address: SocketAddr, open: Arc<AtomicBool>) -> EnginePool {
+        EnginePool {
             key,
             name: name.to_string(),
             address,
@@ -114,7 +118,7 @@
     }
 
     /// Something waits here for a descriptor that it can't have.
-    pub fn lacks_room(&self, context: &OwnerContext) -> bool {
+    pub fn lacks_room(&self, context: &PoolContext) -> bool {
         !self.waiting.is_empty()
             && self.dialing == 0
             && self.connections.len() < context.terms.connections
@@ -148,7 +152,7 @@
         }
     }
 
-    pub fn hears(&mut self, news: News, context: &OwnerContext) {
+    pub fn hears(&mut self, news: EndpointUpdate, context: &PoolContext) {
         if let Some(at) = news.restarted {
             let old = self.connections.iter().filter(|(_, connection)| connection.opened < at);
             for connection in old.map(|(number, _)| *number).collect::<Vec<u64>>() {
@@ -162,31 +166,31 @@
         self.assign_waiting(context);
     }
 
-    pub fn sweep(&mut self, context: &OwnerContext) {
+    pub fn sweep(&mut self, context: &PoolContext) {
         self.drop_idle(context);
         self.drop_silent(context);
     }
 
-    pub fn carry_out(&mut self, order: Order, context: &OwnerContext) {
+    pub fn carry_out(&mut self, order: PoolCommand, context: &PoolContext) {
         match order {
-            Order::Send { number, request, gate, words } => {
+            PoolCommand::Send { number, request, gate, words } => {
                 let id = request.id.clone();
                 self.enter(number, id, What::Dispatch { request, gate, words }, context);
             }
-            Order::Probe { number, told } => {
+            PoolCommand::Probe { number, told } => {
                 self.enter(number, format!("p{number}").into(), What::Probe(Some(told)), context);
             }
-            Order::Fetch { number, page } => self.plain(number, |id| wire::fetch(id, page), context),
-            Order::GiveUp { number, done } => {
+            PoolCommand::Fetch { number, page } => self.plain(number, |id| wire::fetch(id, page), context),
+            PoolCommand::GiveUp { number, done } => {
                 self.give_up(number, context);
                 drop(done);
             }
-            Order::Dialed(dialed) => self.dialed(dialed, context),
-            Order::Connection { connection, told: ConnectionEvent::Word(id, word, at) } => {
+            PoolCommand::Dialed(dialed) => self.dialed(dialed, context),
+            PoolCommand::Connection { connection, told: ConnectionEvent::EngineMessage(id, word, at) } => {
                 self.heard(connection, &id, word, at)
             }
-            Order::Look => {}
-            Order::Connection { connection, told: ConnectionEvent::Ended(why) } => {
+            PoolCommand::Wakeup => {}
+            PoolCommand::Connection { connection, told: ConnectionEvent::Ended(why) } => {
                 self.lost(connection, &why, context)
             }
         }
@@ -194,7 +198,7 @@
         self.assign_waiting(context);
     }
 
-    fn enter(&mut self, number: u64, id: Box<str>, what: What, context: &OwnerContext) {
+    fn enter(&mut self, number: u64, id: Box<str>, what: What, context: &PoolContext) {
         let due = Instant::now() + context.terms.dial / 8;
         self.outs.insert(
             number,
@@ -214,7 +218,7 @@
     }
 
     /// Finds connections for what waits, in turn, or opens more.
-    pub fn assign_waiting(&mut self, context: &OwnerContext) {
+    pub fn assign_waiting(&mut self, context: &PoolContext) {
         if self.waiting.is_empty() {
             return;
         }
@@ -233,7 +237,7 @@
 
     /// A connection on which no late answer can be taken for that of this id: one with nothing out, best one
     /// that has just proved to work; where no more may be opened, the one with the least out.
-    fn connection_for(&self, id: &str, share: bool, context: &OwnerContext) -> Option<u64> {
+    fn connection_for(&self, id: &str, share: bool, context: &PoolContext) -> Option<u64> {
         let ConnectionSettings { streams, idle, .. } = context.terms;
         let usable = self.connections.iter().filter(|(_, connection)| {
             connection.spent.len() < SPENT
@@ -249,10 +253,10 @@
     }
 
     /// Writes it to a connection, after the last look whether it may still leave.
-    fn assign(&mut self, number: u64, key: u64, context: &OwnerContext) {
+    fn assign(&mut self, number: u64, key: u64, context: &PoolContext) {
         // The end of a connection that rests may have come and not been read yet: what is written then is lost, and
         // whether it ran can't be known. Half a line on it would spoil the answer.
-        let odd = |connection: &Connection| connection.ids.is_empty() && !connection.is_quiet();
+        let odd = |connection: &EngineConnection| connection.ids.is_empty() && !connection.is_quiet();
         if self.connections.get(&key).is_some_and(odd) {
             self.lost(key, "its end or what nobody asked for came while it rested", context);
             self.waiting.push_front(number);
@@ -319,14 +323,14 @@
         }
     }
 
-    fn write(&mut self, key: u64, bytes: &[u8], context: &OwnerContext) {
+    fn write(&mut self, key: u64, bytes: &[u8], context: &PoolContext) {
         let Some(connection) = self.connections.get(&key) else { return };
         if let Err(e) = (&*connection.stream).write_all(bytes) {
             self.lost(key, &format!("it takes no more: {e}"), context);
         }
     }
 
-    fn dial(&mut self, context: &OwnerContext) {
+    fn dial(&mut self, context: &PoolContext) {
         let most = context.terms.connections.saturating_sub(self.connections.len());
         while self.dialing < self.waiting.len().min(most) && self.dial_once(context) {}
         if self.dialing == 0 {
@@ -335,15 +339,19 @@
     }
 
     /// Starts to make one more connection; says whether it could.
-    fn dial_once(&mut self, context: &OwnerContext) -> bool {
+    fn dial_once(&mut self, context: &PoolContext) -> bool {
         let Some(lease) = context.sockets.lease(1) else { return false };
         let (key, address, dial, orders) =
             (self.key, self.address, context.terms.dial, context.orders.clone());
-        let dialed = crate::thread(&format!("dial {}", self.name), crate::STACK, move || {
-            let stream = TcpStream::connect_timeout(&address, dial);
-            let dialed = stream.map(|stream| (stream, lease)).map_err(|e| e.to_string());
-            let _ = orders.send((key, Order::Dialed(dialed)));
-        });
+        let dialed = (context.spawn_thread)(
+            &format!("dial {}", self.name),
+            STACK_BYTES,
+            Box::new(move || {
+                let stream = TcpStream::connect_timeout(&address, dial);
+                let dialed = stream.map(|stream| (stream, lease)).map_err(|e| e.to_string());
+                let _ = orders.send((key, PoolCommand::Dialed(dialed)));
+            }),
+        );
         match dialed {
             Ok(()) => self.dialing += 1,
             Err(e) => {
@@ -355,7 +363,7 @@
     }
 
     /// Where no connection can be made, those that are there are shared.
-    fn share(&mut self, context: &OwnerContext) {
+    fn share(&mut self, context: &PoolContext) {
         while let Some(&number) = self.waiting.front() {
             let entry = self.outs.get(&number);
             let Some(key) = entry.and_then(|entry| self.connection_for(&entry.id, true, context)) else {
@@ -366,7 +374,7 @@
         }
     }
 
-    fn dialed(&mut self, dialed: Result<(TcpStream, Lease), String>, context: &OwnerContext) {
+    fn dialed(&mut self, dialed: Result<(TcpStream, Permit), String>, context: &PoolContext) {
         self.dialing -= 1;
         let taken = dialed.is_ok();
         for words in std::mem::take(&mut self.doubtful) {
@@ -386,17 +394,18 @@
         self.assign_waiting(context);
     }
 
-    fn connect(&mut self, stream: TcpStream, lease: Lease, context: &OwnerContext) -> std::io::Result<()> {
+    fn connect(&mut self, stream: TcpStream, lease: Permit, context: &PoolContext) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         stream.set_nonblocking(true)?;
         let stream = Arc::new(stream);
         self.opened += 1;
         let (key, connection, orders) = (self.key, self.opened, context.orders.clone());
-        let tell = Box::new(move |told| drop(orders.send((key, Order::Connection { connection, told }))));
+        let tell =
+            Box::new(move |told| drop(orders.send((key, PoolCommand::Connection { connection, told }))));
         let half = ReadHalf::new(stream.clone(), context.terms.dial, tell);
         let midway = half.midway();
         context.readers.add(half)?;
-        let connection = Connection {
+        let connection = EngineConnection {
             stream,
             midway,
             ids: HashMap::new(),
@@ -412,20 +421,22 @@
         Ok(())
     }
 
-    fn heard(&mut self, connection: u64, id: &str, word: Word, at: Instant) {
+    fn heard(&mut self, connection: u64, id: &str, word: EngineMessage, at: Instant) {
         let Some(connection) = self.connections.get_mut(&connection) else { return };
         connection.heard = Instant::now();
         let Some(number) = connection.ids.get(id).copied() else {
-            counts::STRAY_WORDS.add();
+            counters::STRAY_WORDS.add();
             return;
         };
         let Some(entry) = self.outs.get_mut(&number) else { return };
         match &mut entry.what {
             What::Probe(told) => {
                 let (verdict, report) = match word {
-                    Word::Pong(report) => (DispatchStatus::Completed, report),
-                    Word::Sick(report) | Word::Fault(report) => (DispatchStatus::Failed, report),
-                    Word::Shed(report) => (DispatchStatus::Overloaded, report),
+                    EngineMessage::Pong(report) => (DispatchStatus::Completed, report),
+                    EngineMessage::Sick(report) | EngineMessage::Fault(report) => {
+                        (DispatchStatus::Failed, report)
+                    }
+                    EngineMessage::Shed(report) => (DispatchStatus::Overloaded, report),
                     _ => return,
                 };
                 if let Some(told) = told.take() {
@@ -439,20 +450,20 @@
             }
             What::Dispatch { words, .. } => {
                 let ends = match &word {
-                    Word::Hit { sheets, .. } => {
+                    EngineMessage::Hit { sheets, .. } => {
                         if std::mem::replace(&mut entry.headed, true) {
-                            return counts::STRAY_WORDS.add();
+                            return counters::STRAY_WORDS.add();
                         }
                         *sheets <= 1
                     }
-                    Word::Info(None) => return,
-                    Word::Info(_) | Word::Part { .. } => false,
+                    EngineMessage::Info(None) => return,
+                    EngineMessage::Info(_) | EngineMessage::Part { .. } => false,
                     _ => true,
                 };
-                let done = matches!(word, Word::Hit { .. });
+                let done = matches!(word, EngineMessage::Hit { .. });
                 // A job that can't keep up with a flood of notes misses some; its own time-out ends it.
-                if words.try_send(DispatchEvent::Word(word)).is_err() {
-                    counts::STRAY_WORDS.add();
+                if words.try_send(DispatchEvent::EngineMessage(word)).is_err() {
+                    counters::STRAY_WORDS.add();
                 }
                 if ends {
                     self.leave(number, !done);
@@ -479,7 +490,7 @@
 
     /// The job no longer wants it. On a connection that has said nothing for a while nobody may be reading, and
     /// only its end gives up for certain what is out there.
-    fn give_up(&mut self, number: u64, context: &OwnerContext) {
+    fn give_up(&mut self, number: u64, context: &PoolContext) {
         let Some(Entry { connection: Some(key), what, headed, .. }) = self.outs.get(&number) else {
             return drop(self.leave(number, false));
         };
@@ -488,7 +499,7 @@
             What::Dispatch { .. } => true,
             What::Probe(_) => false,
         };
-        let silent = |connection: &Connection| {
+        let silent = |connection: &EngineConnection| {
             connection.ids.len() == 1 && connection.quiet_for() > context.terms.dial
         };
         if left && !headed && self.connections.get(&key).is_some_and(silent) {
@@ -501,7 +512,7 @@
         self.leave(number, left);
     }
 
-    fn plain(&mut self, number: u64, line: impl Fn(&str) -> Vec<u8>, context: &OwnerContext) {
+    fn plain(&mut self, number: u64, line: impl Fn(&str) -> Vec<u8>, context: &PoolContext) {
         let Some(Entry { connection: Some(key), id, .. }) = self.outs.get(&number) else { return };
         let (key, bytes) = (*key, line(id));
         self.write(key, &bytes, context);
@@ -531,10 +542,10 @@
         }
     }
 
-    fn lost(&mut self, connection: u64, why: &str, context: &OwnerContext) {
+    fn lost(&mut self, connection: u64, why: &str, context: &PoolContext) {
         let Some(connection) = self.connections.remove(&connection) else { return };
         let _ = connection.stream.shutdown(Shutdown::Both);
-        counts::LOST_CONNECTIONS.add();
+        counters::LOST_CONNECTIONS.add();
         if !connection.ids.is_empty() {
             // One that ends at the first words after a rest was stale: others that rest as long may be, too.
             let at_once = connection.heard <= connection.since && connection.since.elapsed() < AT_ONCE;
@@ -570,7 +581,7 @@
         tracing::info!("{}", line(&self.name, &rest));
     }
 
-    pub fn time_out(&mut self, now: Instant, context: &OwnerContext) {
+    pub fn time_out(&mut self, now: Instant, context: &PoolContext) {
         let late = self.outs.iter().filter(|(_, entry)| entry.times_out() && entry.due <= now);
         for number in late.map(|(number, _)| *number).collect::<Vec<u64>>() {
             let Some(entry) = self.outs.get_mut(&number) else { continue };
@@ -597,7 +608,7 @@
         }
     }
 
-    fn drop_idle(&mut self, context: &OwnerContext) {
+    fn drop_idle(&mut self, context: &PoolContext) {
         let (fresh_for, idle) = (self.fresh_for.min(context.terms.idle), context.terms.idle);
         if self.stale_at.elapsed() > STALE {
             (self.fresh_for, self.stale_at) = ((fresh_for * 2).min(idle), Instant::now());
@@ -613,7 +624,7 @@
 
     /// A connection on which notes are due and nothing comes, while its engine speaks on others, is of no use.
     /// Where all are silent it is the engine, which is the module's matter.
-    fn drop_silent(&mut self, context: &OwnerContext) {
+    fn drop_silent(&mut self, context: &PoolContext) {
         let Some(notes) = context.terms.notes else { return };
         let speaks = self.connections.values().any(|connection| connection.heard.elapsed() < notes);
         let silent = self.connections.iter().filter(|(_, connection)| {
--- a/crates/server/src/memory/owners.rs
+++ b/crates/server/src/engine/registry.rs
@@ -1,11 +1,12 @@
 //! The one thread of all engines' owners. A thread an engine costs little in one program, but a fleet of
 //! hundreds of gateways and engines on one machine runs out of thread numbers.
 
-use super::budget::Budget;
-use super::counts;
-use super::engines::{ConnectionSettings, DispatchEvent, News, Order};
-use super::owner::{Owner, OwnerContext};
-use super::readers::Readers;
+use crate::engine::handle::{ConnectionSettings, DispatchEvent, EndpointUpdate, PoolCommand};
+use crate::engine::pool::{EnginePool, PoolContext};
+use crate::engine::socket_poller::SocketPoller;
+use crate::lifecycle::threads::SpawnThread;
+use crate::limits::ResourceBudget;
+use crate::telemetry::counters;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 use pebblevane::interface::*;
 use pebblevane::time::*;
@@ -19,32 +20,39 @@
 const SWEEP: Duration = Duration::from_millis(250); // pace of looking for idle and silent connections
 
 /// The way to the owners' thread.
-pub struct Owners {
-    orders: Sender<(u64, Order)>,
+pub struct EngineRegistry {
+    orders: Sender<(u64, PoolCommand)>,
     /// What the list has told and owners have not taken up: one entry an engine, never lost, and never waited
     /// for. Whoever tells may be one for whom an owner waits.
-    news: Mutex<BTreeMap<u64, News>>,
+    news: Mutex<BTreeMap<u64, EndpointUpdate>>,
     fresh: AtomicBool,
     keys: AtomicU64,
 }
 
-impl Owners {
+impl EngineRegistry {
     pub fn start(
         terms: ConnectionSettings,
-        sockets: Arc<Budget>,
+        sockets: Arc<ResourceBudget>,
         now: fn() -> Timestamp,
-    ) -> std::io::Result<Arc<Owners>> {
+        spawn_thread: SpawnThread,
+    ) -> std::io::Result<Arc<EngineRegistry>> {
         let (orders, inbox) = bounded(ORDERS);
-        let owners = Arc::new(Owners {
+        let owners = Arc::new(EngineRegistry {
             orders: orders.clone(),
             news: Mutex::default(),
             fresh: AtomicBool::new(false),
             keys: AtomicU64::new(0),
         });
-        let context = OwnerContext { terms, sockets, readers: Readers::start()?, now, orders };
-        let all = All { owners: BTreeMap::new(), dues: BTreeSet::new(), due: BTreeMap::new(), context };
+        let context =
+            PoolContext { terms, sockets, readers: SocketPoller::start()?, now, orders, spawn_thread };
+        let all =
+            RegistryLoop { owners: BTreeMap::new(), dues: BTreeSet::new(), due: BTreeMap::new(), context };
         let told = owners.clone();
-        crate::startup::thread("engines", crate::STACK, move || all.run(&told, &inbox))?;
+        crate::lifecycle::threads::spawn_required(
+            "engines",
+            crate::lifecycle::threads::STACK_BYTES,
+            move || all.run(&told, &inbox),
+        )?;
         Ok(owners)
     }
 
@@ -53,46 +61,46 @@
     }
 
     /// Hands an order over; waits while too many do.
-    pub fn order(&self, engine: u64, order: Order) {
+    pub fn order(&self, engine: u64, order: PoolCommand) {
         // The owners' thread ends only with the program.
         let _ = self.orders.send((engine, order));
     }
 
     /// Hands an order over; says whether it could, which is not so where too many wait.
-    pub fn try_order(&self, engine: u64, order: Order) -> bool {
+    pub fn try_order(&self, engine: u64, order: PoolCommand) -> bool {
         self.orders.try_send((engine, order)).is_ok()
     }
 
     /// Tells an owner what the list says. It has that before any order that is handed over later.
-    pub fn tell(&self, engine: u64, what: impl FnOnce(&mut News)) {
+    pub fn tell(&self, engine: u64, what: impl FnOnce(&mut EndpointUpdate)) {
         what(self.news().entry(engine).or_default());
         self.fresh.store(true, SeqCst);
         // Where too many orders wait, the thread is awake and looks before the next of them.
-        match self.orders.try_send((u64::MAX, Order::Look)) {
+        match self.orders.try_send((u64::MAX, PoolCommand::Wakeup)) {
             Ok(()) | Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {}
         }
     }
 
-    fn news(&self) -> MutexGuard<'_, BTreeMap<u64, News>> {
+    fn news(&self) -> MutexGuard<'_, BTreeMap<u64, EndpointUpdate>> {
         // A panic ends the program, so that nobody sees what a panic left behind.
         self.news.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// All owners, and when something is due at each.
-struct All {
-    owners: BTreeMap<u64, Owner>,
+struct RegistryLoop {
+    owners: BTreeMap<u64, EnginePool>,
     dues: BTreeSet<(Instant, u64)>,
     due: BTreeMap<u64, Instant>,
-    context: OwnerContext,
+    context: PoolContext,
 }
 
-impl All {
-    fn run(mut self, told: &Owners, inbox: &Receiver<(u64, Order)>) {
+impl RegistryLoop {
+    fn run(mut self, told: &EngineRegistry, inbox: &Receiver<(u64, PoolCommand)>) {
         let mut sweep = Instant::now();
         loop {
             // Without connections there is nothing to look at, and a program that has nothing to do sleeps.
-            let connected = self.owners.values().any(Owner::connected);
+            let connected = self.owners.values().any(EnginePool::connected);
             let due = [self.dues.first().map(|(due, _)| *due), connected.then_some(sweep)];
             let order = match due.into_iter().flatten().min() {
                 Some(due) => inbox.recv_deadline(due),
@@ -104,7 +112,7 @@
                 }
             }
             match order {
-                Ok((_, Order::Look)) | Err(RecvTimeoutError::Timeout) => {}
+                Ok((_, PoolCommand::Wakeup)) | Err(RecvTimeoutError::Timeout) => {}
                 Ok((key, order)) => self.carry_out(key, order),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
@@ -122,23 +130,23 @@
         }
     }
 
-    fn hear(&mut self, key: u64, mut news: News) {
+    fn hear(&mut self, key: u64, mut news: EndpointUpdate) {
         if let Some(owner) = news.new.take() {
             self.owners.insert(key, *owner);
         }
         self.with(key, |owner, context| owner.hears(news, context));
     }
 
-    fn carry_out(&mut self, key: u64, order: Order) {
+    fn carry_out(&mut self, key: u64, order: PoolCommand) {
         if self.owners.contains_key(&key) {
             return self.with(key, |owner, context| owner.carry_out(order, context));
         }
         // The engine has gone: what is ordered now never leaves.
         match order {
-            Order::Send { words, .. } => {
+            PoolCommand::Send { words, .. } => {
                 drop(words.try_send(DispatchEvent::Lost(DispatchStatus::Unreachable, false)))
             }
-            Order::Probe { told, .. } => told(DispatchStatus::Unreachable, None, TimeDelta::default()),
+            PoolCommand::Probe { told, .. } => told(DispatchStatus::Unreachable, None, TimeDelta::default()),
             _ => {}
         }
     }
@@ -149,14 +157,14 @@
         let others = self.owners.iter().filter(|(other, _)| **other != key);
         let resting = others.filter_map(|(other, owner)| Some((owner.rests_since()?, *other)));
         let Some((_, other)) = resting.min() else { return };
-        self.owners.entry(other).and_modify(Owner::make_room);
-        counts::MADE_ROOM.add();
+        self.owners.entry(other).and_modify(EnginePool::make_room);
+        counters::MADE_ROOM.add();
         let context = &self.context;
         self.owners.entry(key).and_modify(|owner| owner.assign_waiting(context));
     }
 
     /// Lets an owner do something, then notes when it is due next, or lets it go when it is over.
-    fn with(&mut self, key: u64, what: impl FnOnce(&mut Owner, &OwnerContext)) {
+    fn with(&mut self, key: u64, what: impl FnOnce(&mut EnginePool, &PoolContext)) {
         let Some(owner) = self.owners.get_mut(&key) else { return };
         what(owner, &self.context);
         if owner.lacks_room(&self.context) {
@@ -168,7 +176,7 @@
             self.dues.remove(&(old, key));
         }
         if over {
-            self.owners.remove(&key).into_iter().for_each(Owner::close);
+            self.owners.remove(&key).into_iter().for_each(EnginePool::close);
         } else if let Some(due) = due {
             self.due.insert(key, due);
             self.dues.insert((due, key));
--- a/crates/server/src/memory/readers.rs
+++ b/crates/server/src/engine/socket_poller.rs
@@ -1,8 +1,9 @@
 //! Reads all connections to engines in one thread. A thread for each would be woken each time that the program is
 //! stopped and goes on again, as it is many times a second on part of a core.
 
-use crate::startup::{self, patiently};
-use crate::wire::engine::{self as wire, Word};
+use crate::codec::engine::{self as wire, EngineMessage};
+use crate::lifecycle::startup::retry_transient_errors;
+use crate::lifecycle::threads;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use mio::unix::SourceFd;
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -24,7 +25,7 @@
 /// What a connection's owner is told.
 pub enum ConnectionEvent {
     /// A word, under its id, and when it was read.
-    Word(String, Word, Instant),
+    EngineMessage(String, EngineMessage, Instant),
     Ended(String),
 }
 
@@ -69,7 +70,7 @@
             let mut done = 0;
             while let Some((length, id, word)) = wire::next(&self.bytes[done..])? {
                 done += length;
-                (self.tell)(ConnectionEvent::Word(id, word, since));
+                (self.tell)(ConnectionEvent::EngineMessage(id, word, since));
             }
             self.bytes.drain(..done);
             if self.bytes.is_empty() {
@@ -87,18 +88,20 @@
 }
 
 /// The way to the thread that reads.
-pub struct Readers {
+pub struct SocketPoller {
     new: Sender<ReadHalf>,
     waker: Waker,
 }
 
-impl Readers {
-    pub fn start() -> std::io::Result<Arc<Readers>> {
-        let poll = patiently(Poll::new)?;
+impl SocketPoller {
+    pub fn start() -> std::io::Result<Arc<SocketPoller>> {
+        let poll = retry_transient_errors(Poll::new)?;
         let (new, added) = bounded(NEW);
-        let waker = patiently(|| Waker::new(poll.registry(), WAKE))?;
-        startup::thread("engine words", crate::STACK, move || listen(poll, &added))?;
-        Ok(Arc::new(Readers { new, waker }))
+        let waker = retry_transient_errors(|| Waker::new(poll.registry(), WAKE))?;
+        threads::spawn_required("engine words", crate::lifecycle::threads::STACK_BYTES, move || {
+            listen(poll, &added)
+        })?;
+        Ok(Arc::new(SocketPoller { new, waker }))
     }
 
     pub fn add(&self, half: ReadHalf) -> std::io::Result<()> {
--- a/crates/server/src/memory/dispatch_ledger.rs
+++ b/crates/server/src/job/dispatch_ledger.rs
@@ -1,7 +1,7 @@
 //! What has left for one job, as the connections to engines saw it: the last look before a dispatch's first byte, apart
 //! from the module's own books.
 
-use super::invariants::{self, Invariant};
+use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::settings::Settings;
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -11,7 +11,7 @@
 
 /// What the settings say of repeating a reservation type's jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RepeatRules {
+pub enum RetrySemantics {
     /// A repeat is harmless.
     Restartable,
     /// A repeat is harmless within this time of the first run: on every engine, or on some only.
@@ -20,24 +20,24 @@
     RunOnce,
 }
 
-impl RepeatRules {
+impl RetrySemantics {
     /// Reads those of the type at this position.
-    pub fn read(settings: &Settings, position: usize) -> RepeatRules {
+    pub fn read(settings: &Settings, position: usize) -> RetrySemantics {
         let field = |name: &str| format!("Classes.{position}.{name}");
         match settings.text(&field("Semantics")) {
-            "read_like" => RepeatRules::Restartable,
-            "idempotency_key" => RepeatRules::Keyed {
+            "read_like" => RetrySemantics::Restartable,
+            "idempotency_key" => RetrySemantics::Keyed {
                 window: TimeDelta::from_millis_f64(settings.number(&field("DedupWindow")).unwrap_or(0.0)),
                 anywhere: settings.text(&field("Group")) == "all",
             },
-            _ => RepeatRules::RunOnce,
+            _ => RetrySemantics::RunOnce,
         }
     }
 }
 
 pub struct DispatchLedger {
     id: Box<str>,
-    rules: RepeatRules,
+    rules: RetrySemantics,
     /// When the client stops waiting.
     deadline: Timestamp,
     entries: Mutex<Entries>,
@@ -52,7 +52,7 @@
 }
 
 impl DispatchLedger {
-    pub fn new(id: &str, rules: RepeatRules, deadline: Timestamp) -> DispatchLedger {
+    pub fn new(id: &str, rules: RetrySemantics, deadline: Timestamp) -> DispatchLedger {
         DispatchLedger { id: id.into(), rules, deadline, entries: Mutex::default() }
     }
 
@@ -68,8 +68,8 @@
         let broken = match self.rules {
             _ if entries.out > 0 => Some(Invariant::OneDispatchOut),
             _ if deadline > self.deadline + DEADLINE_SLACK => Some(Invariant::DeadlineWithinWait),
-            RepeatRules::RunOnce if first.is_some() => Some(Invariant::RunOnce),
-            RepeatRules::Keyed { window, .. } if first.is_some_and(|first| now >= first + window) => {
+            RetrySemantics::RunOnce if first.is_some() => Some(Invariant::RunOnce),
+            RetrySemantics::Keyed { window, .. } if first.is_some_and(|first| now >= first + window) => {
                 Some(Invariant::KeyedInWindow)
             }
             _ => None,
@@ -101,9 +101,9 @@
         let entries = self.entries();
         let may_have_run = entries.out > 0 || entries.may_have_run.is_some();
         let harmless = match self.rules {
-            RepeatRules::Restartable => true,
-            RepeatRules::Keyed { anywhere, .. } => anywhere,
-            RepeatRules::RunOnce => false,
+            RetrySemantics::Restartable => true,
+            RetrySemantics::Keyed { anywhere, .. } => anywhere,
+            RetrySemantics::RunOnce => false,
         };
         if may_have_run && !harmless {
             invariants::violated(Invariant::ThrottledUnrun, &self.id);
--- a/crates/server/src/job.rs
+++ b/crates/server/src/job/task.rs
@@ -1,14 +1,14 @@
 //! A job's life, from the client's request to its answer.
 
-use crate::memory::budget::Lease;
-use crate::memory::counts;
-use crate::memory::dispatch_ledger::DispatchLedger;
-use crate::memory::engines::{DispatchEvent, DispatchHandle, Request};
-use crate::memory::responder::Responder;
-use crate::module::{Module, Step};
-use crate::service::clock;
-use crate::wire::client::Reply;
-use crate::wire::engine::Word;
+use crate::client::responder::Responder;
+use crate::codec::client::Reply;
+use crate::codec::engine::EngineMessage;
+use crate::decision::controller_thread::{ControllerHandle, JobCommand};
+use crate::engine::handle::{DispatchEvent, DispatchHandle, Request};
+use crate::job::dispatch_ledger::DispatchLedger;
+use crate::lifecycle::clock;
+use crate::limits::Permit;
+use crate::telemetry::counters;
 use crossbeam_channel::{Receiver, never, select};
 use pebblevane::interface::*;
 use pebblevane::time::*;
@@ -35,22 +35,22 @@
     pub responder: Arc<Responder>,
     pub ledger: Arc<DispatchLedger>,
     /// The bytes that the job may keep.
-    pub bytes: Lease,
+    pub bytes: Permit,
     /// Its place among the open jobs.
-    pub _place: Lease,
+    pub _place: Permit,
 }
 
 /// A job of which something is sent, in a thread of its own.
 pub struct JobTask {
     id: JobId,
-    steps: Receiver<Step>,
+    steps: Receiver<JobCommand>,
     job: AdmittedJob,
-    module: Arc<Module>,
-    ending: Option<Ending>,
+    module: Arc<ControllerHandle>,
+    ending: Option<CancelledDispatch>,
 }
 
 /// A dispatch that is out.
-struct Running {
+struct InFlightDispatch {
     out: DispatchHandle,
     copy: u32,
     /// Its engine has said that it works on it.
@@ -59,11 +59,11 @@
     ends: Timestamp,
     /// Until when it may leave, if it had not when that was last looked at.
     begin_by: Option<Timestamp>,
-    result: Option<Pages>,
+    result: Option<ResultPages>,
 }
 
 /// A dispatch that has ended, and is told to the module once its engine has read that.
-pub struct Ending {
+pub struct CancelledDispatch {
     /// Ends once that is written there.
     given_up: Receiver<()>,
     until: Timestamp,
@@ -74,7 +74,7 @@
 }
 
 /// The result as far as its pages have come.
-struct Pages {
+struct ResultPages {
     rows: Vec<u8>,
     /// Pages that came before one with a lower number.
     early: Vec<(u32, Vec<u8>)>,
@@ -85,7 +85,7 @@
     report: Option<LoadReport>,
 }
 
-impl Running {
+impl InFlightDispatch {
     /// Whether its engine has shown that it runs or ran.
     fn has_begun(&self) -> bool {
         self.begun || self.result.is_some()
@@ -104,17 +104,25 @@
 }
 
 impl JobTask {
-    pub fn new(id: JobId, steps: Receiver<Step>, job: AdmittedJob, module: Arc<Module>) -> JobTask {
+    pub fn new(
+        id: JobId,
+        steps: Receiver<JobCommand>,
+        job: AdmittedJob,
+        module: Arc<ControllerHandle>,
+    ) -> JobTask {
         JobTask { id, steps, job, module, ending: None }
     }
 
     pub fn run(mut self) {
-        let mut running: Option<Running> = None;
+        let mut running: Option<InFlightDispatch> = None;
         loop {
             let (nothing, nobody) = (never(), never());
             let words = running.as_ref().map_or(&nothing, |running| &running.out.words);
             let given_up = self.ending.as_ref().map_or(&nobody, |ending| &ending.given_up);
-            let due = running.as_ref().map(Running::due).or(self.ending.as_ref().map(|ending| ending.until));
+            let due = running
+                .as_ref()
+                .map(InFlightDispatch::due)
+                .or(self.ending.as_ref().map(|ending| ending.until));
             let wait = due.map_or(Duration::from_secs(3600), clock::until);
             select! {
                 recv(given_up) -> _ => {
@@ -123,16 +131,16 @@
                     }
                 },
                 recv(self.steps) -> step => match step {
-                    Ok(Step::Dispatch { engine, copy, ends, begin_by, rank }) => {
+                    Ok(JobCommand::Dispatch { engine, copy, ends, begin_by, rank }) => {
                         let sent = clock::now();
                         let (id, class) = (self.job.name.clone(), self.job.class.clone());
                         let (statement, wanted) = (self.job.statement.clone(), self.job.responder.clone());
                         let ledger = self.job.ledger.clone();
                         let request = Request { id, class, ends, begin_by, wanted, ledger, rank, statement };
                         let (out, begin_by) = (engine.send(request), Some(begin_by));
-                        running = Some(Running { out, copy, begun: false, sent, ends, begin_by, result: None });
+                        running = Some(InFlightDispatch { out, copy, begun: false, sent, ends, begin_by, result: None });
                     }
-                    Ok(Step::Recall { copy }) => {
+                    Ok(JobCommand::Recall { copy }) => {
                         if let Some(recalled) = running.take_if(|running| running.copy == copy) {
                             let never_left = recalled.out.withhold();
                             let verdict = if never_left { DispatchStatus::Unreachable } else { DispatchStatus::Cancelled };
@@ -140,35 +148,35 @@
                             self.end(recalled, verdict, never_left, None, None);
                         }
                     }
-                    Ok(Step::Released) | Err(_) => return,
+                    Ok(JobCommand::Released) | Err(_) => return,
                 },
                 recv(words) -> heard => {
                     let Some(mut at) = running.take() else { continue };
                     match heard {
-                        Ok(DispatchEvent::Word(Word::Info(note))) => {
+                        Ok(DispatchEvent::EngineMessage(EngineMessage::Info(note))) => {
                             at.begun |= matches!(note, Some(ProgressUpdate::CompletedFraction(_) | ProgressUpdate::SpillingToDisk(_)));
                             note.into_iter().for_each(|note| self.module.progress(self.id, at.copy, note));
                             running = Some(at);
                         }
-                        Ok(DispatchEvent::Word(Word::Hit { page, sheets, bill, report })) => {
-                            at.result = Some(Pages::begin(page, sheets, bill, report));
+                        Ok(DispatchEvent::EngineMessage(EngineMessage::Hit { page, sheets, bill, report })) => {
+                            at.result = Some(ResultPages::begin(page, sheets, bill, report));
                             running = self.collect(at);
                         }
-                        Ok(DispatchEvent::Word(Word::Part { page, sheet })) => {
+                        Ok(DispatchEvent::EngineMessage(EngineMessage::Part { page, sheet })) => {
                             if let Some(pages) = &mut at.result {
                                 pages.add(page, sheet);
                             }
                             running = self.collect(at);
                         }
                         // Neither proves that nothing ran where the engine has said otherwise before.
-                        Ok(DispatchEvent::Word(Word::Shed(report) | Word::Late(report))) if at.has_begun() => {
+                        Ok(DispatchEvent::EngineMessage(EngineMessage::Shed(report) | EngineMessage::Late(report))) if at.has_begun() => {
                             self.settle(at, DispatchStatus::Failed, None, report);
                         }
-                        Ok(DispatchEvent::Word(Word::Shed(report))) => self.settle(at, DispatchStatus::Overloaded, None, report),
-                        Ok(DispatchEvent::Word(Word::Late(report))) => self.settle(at, DispatchStatus::Expired, None, report),
-                        Ok(DispatchEvent::Word(Word::Fault(report))) => self.settle(at, DispatchStatus::Failed, None, report),
+                        Ok(DispatchEvent::EngineMessage(EngineMessage::Shed(report))) => self.settle(at, DispatchStatus::Overloaded, None, report),
+                        Ok(DispatchEvent::EngineMessage(EngineMessage::Late(report))) => self.settle(at, DispatchStatus::Expired, None, report),
+                        Ok(DispatchEvent::EngineMessage(EngineMessage::Fault(report))) => self.settle(at, DispatchStatus::Failed, None, report),
                         Ok(DispatchEvent::Lost(verdict, lively)) => self.end(at, verdict, lively, None, None),
-                        Ok(DispatchEvent::Word(Word::Pong(_) | Word::Sick(_))) => running = Some(at),
+                        Ok(DispatchEvent::EngineMessage(EngineMessage::Pong(_) | EngineMessage::Sick(_))) => running = Some(at),
                         Err(_) => self.settle(at, DispatchStatus::ConnectionLost, None, None),
                     }
                 },
@@ -189,7 +197,7 @@
 
     /// Asks for further pages, or settles the dispatch when the last one has come. A page that is missing
     /// when the time-out comes, or one of no use, never makes a job done.
-    fn collect(&mut self, mut at: Running) -> Option<Running> {
+    fn collect(&mut self, mut at: InFlightDispatch) -> Option<InFlightDispatch> {
         let Some(pages) = &mut at.result else { return Some(at) };
         let room = self.job.bytes.grow_to(self.job.statement.len() + pages.held());
         if !room || pages.held() > LONGEST_RESULT || pages.all > MOST_PAGES || pages.next > pages.all {
@@ -205,7 +213,7 @@
         }
         // Straight to the client: whoever answers first does, and the module hears that it was done.
         if self.job.responder.answer(&Reply::Done(&pages.rows)) {
-            counts::DONE.add();
+            counters::DONE.add();
         }
         let (bill, report) = (pages.bill, pages.report);
         self.settle(at, DispatchStatus::Completed, bill, report);
@@ -215,7 +223,7 @@
     /// Tells the module how the dispatch ended. What the engine still holds of it is given back first.
     fn settle(
         &mut self,
-        at: Running,
+        at: InFlightDispatch,
         verdict: DispatchStatus,
         bill: Option<ActualCost>,
         report: Option<LoadReport>,
@@ -225,7 +233,7 @@
 
     fn end(
         &mut self,
-        at: Running,
+        at: InFlightDispatch,
         verdict: DispatchStatus,
         lively: bool,
         bill: Option<ActualCost>,
@@ -253,12 +261,12 @@
         // hears its answer meanwhile.
         let given_up = if open { at.out.give_up() } else { never() };
         let until = clock::now() + if open { GIVEN_UP } else { TimeDelta::default() };
-        let ending = Ending { given_up, until, out: at.out, sent, copy, outcome };
+        let ending = CancelledDispatch { given_up, until, out: at.out, sent, copy, outcome };
         if open { self.ending = Some(ending) } else { self.told(ending) }
     }
 
-    fn told(&self, ending: Ending) {
-        let Ending { out, sent, copy, outcome, .. } = ending;
+    fn told(&self, ending: CancelledDispatch) {
+        let CancelledDispatch { out, sent, copy, outcome, .. } = ending;
         if out.left() {
             let never_ran = matches!(
                 outcome.status,
@@ -271,9 +279,9 @@
     }
 }
 
-impl Pages {
-    fn begin(rows: Vec<u8>, all: u32, bill: Option<ActualCost>, report: Option<LoadReport>) -> Pages {
-        Pages { rows, early: Vec::new(), next: 1, asked: 1, all: all.max(1), bill, report }
+impl ResultPages {
+    fn begin(rows: Vec<u8>, all: u32, bill: Option<ActualCost>, report: Option<LoadReport>) -> ResultPages {
+        ResultPages { rows, early: Vec::new(), next: 1, asked: 1, all: all.max(1), bill, report }
     }
 
     /// The bytes that it holds.
--- a/crates/server/src/workers.rs
+++ b/crates/server/src/job/worker_pool.rs
@@ -2,7 +2,8 @@
 //! and ending a thread costs a gateway with part of a core more than the job. The one that waits since the shortest time
 //! gets the next job, so that those that a burst has left over end.
 
-use crate::job::JobTask;
+use crate::job::task::JobTask;
+use crate::lifecycle::threads::{self, STACK_BYTES};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -40,7 +41,7 @@
             None => task,
         };
         let workers = self.clone();
-        crate::thread("job", crate::STACK, move || workers.work(task))
+        threads::spawn("job", STACK_BYTES, Box::new(move || workers.work(task)))
     }
 
     fn work(&self, task: JobTask) {
--- /dev/null
+++ b/crates/server/src/lifecycle/mod.rs
@@ -0,0 +1,6 @@
+//! Start, clock and graceful shutdown of the process.
+
+pub mod clock;
+pub mod shutdown;
+pub mod startup;
+pub mod threads;
--- a/crates/server/src/service/shutdown.rs
+++ b/crates/server/src/lifecycle/shutdown.rs
@@ -1,8 +1,8 @@
 //! A planned stop, and its sequence: not well at once; new connections and requests for a second; no new
 //! connections; answers to all that was taken; the end of each connection, in order; the end of the program.
 
-use crate::module::Module;
-use crate::service::clock;
+use crate::decision::controller_thread::ControllerHandle;
+use crate::lifecycle::clock;
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::OnceLock;
 use std::sync::atomic::Ordering::SeqCst;
@@ -14,7 +14,7 @@
 
 /// When each step of a stop ends.
 #[derive(Clone, Copy)]
-pub struct Steps {
+pub struct ShutdownSchedule {
     /// Until then new connections are accepted, and those that rest are kept.
     pub coming: Timestamp,
     /// By then all that was taken has its answer.
@@ -24,23 +24,24 @@
 }
 
 #[derive(Default)]
-pub struct Health(OnceLock<Steps>);
+pub struct ShutdownState(OnceLock<ShutdownSchedule>);
 
-impl Health {
+impl ShutdownState {
     pub fn is_well(&self) -> bool {
         self.0.get().is_none()
     }
     /// The steps of the stop under way, if one is.
-    pub fn stopping(&self) -> Option<Steps> {
+    pub fn stopping(&self) -> Option<ShutdownSchedule> {
         self.0.get().copied()
     }
 }
 
 /// Begins the stop. Told once more, it changes nothing.
-pub fn begin(module: &Module, health: &Health, longest_wait: TimeDelta) {
+pub fn begin(module: &ControllerHandle, health: &ShutdownState, longest_wait: TimeDelta) {
     let told = clock::now();
     let answered = told + longest_wait.min(LONGEST) + AFTER;
-    let steps = Steps { coming: (told + COMING).min(answered), answered, over: answered + LEAVING };
+    let steps =
+        ShutdownSchedule { coming: (told + COMING).min(answered), answered, over: answered + LEAVING };
     if health.0.set(steps).is_ok() {
         module.stopping(answered);
         tracing::info!("stopping with {} jobs open", module.open.load(SeqCst));
--- a/crates/server/src/memory/budget.rs
+++ b/crates/server/src/limits/mod.rs
@@ -1,7 +1,7 @@
 //! Budgets of bytes, threads and descriptors, derived from the limits told at the start. A lease gives back what
 //! it holds when it is dropped.
 
-use crate::service::config::Limits;
+use crate::config::Limits;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// What an idle program holds, and what the allocator keeps beside what is in use.
@@ -21,7 +21,7 @@
 const LEAST_LIST: usize = 1024 * 1024;
 
 /// What each part of the program may use.
-pub struct Shares {
+pub struct ResourceQuotas {
     /// Client connections: more than the third that clients hold, so that others can be let in to be turned away.
     pub clients: usize,
     /// Connections to all engines, and to one.
@@ -34,13 +34,13 @@
     pub list_line: usize,
 }
 
-impl Shares {
-    pub fn of(limits: Limits) -> Shares {
+impl ResourceQuotas {
+    pub fn of(limits: Limits) -> ResourceQuotas {
         let clients = limits.sockets * 2 / 5;
         let engines = limits.sockets.saturating_sub(clients + SPARE_SOCKETS);
         let connections = (clients + engines) * CONNECTION_BYTES;
         let memory = (limits.memory_mb * 1024 * 1024).saturating_sub(IDLE_BYTES + connections);
-        Shares {
+        ResourceQuotas {
             clients,
             engines,
             engine: (engines / ENGINES).clamp(4, 48),
@@ -51,32 +51,32 @@
     }
 }
 
-pub struct Budget {
+pub struct ResourceBudget {
     most: usize,
     used: Mutex<usize>,
 }
 
 /// A part of a budget.
-pub struct Lease {
-    budget: Arc<Budget>,
+pub struct Permit {
+    budget: Arc<ResourceBudget>,
     amount: usize,
 }
 
-impl Budget {
-    pub fn new(most: usize) -> Arc<Budget> {
-        Arc::new(Budget { most, used: Mutex::new(0) })
+impl ResourceBudget {
+    pub fn new(most: usize) -> Arc<ResourceBudget> {
+        Arc::new(ResourceBudget { most, used: Mutex::new(0) })
     }
     fn used(&self) -> MutexGuard<'_, usize> {
         // A panic ends the program, so that nobody sees what a panic left behind.
         self.used.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    pub fn lease(self: &Arc<Self>, amount: usize) -> Option<Lease> {
-        let mut lease = Lease { budget: self.clone(), amount: 0 };
+    pub fn lease(self: &Arc<Self>, amount: usize) -> Option<Permit> {
+        let mut lease = Permit { budget: self.clone(), amount: 0 };
         lease.grow_to(amount).then_some(lease)
     }
 }
 
-impl Lease {
+impl Permit {
     /// Holds so much from now on, if the budget allows it.
     pub fn grow_to(&mut self, amount: usize) -> bool {
         let more = amount.saturating_sub(self.amount);
@@ -97,7 +97,7 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.shrink_to(0);
     }
--- /dev/null
+++ b/crates/server/src/server.rs
@@ -0,0 +1,82 @@
+//! Puts the parts of the service together: starts every thread, then waits for signals.
+
+use crate::client::{acceptor, connection};
+use crate::config::{Config, reload};
+use crate::decision::controller_thread::ControllerHandle;
+use crate::discovery::event_bus;
+use crate::engine::registry::EngineRegistry;
+use crate::lifecycle::startup::retry_transient_errors;
+use crate::lifecycle::threads::{self, STACK_BYTES};
+use crate::lifecycle::{clock, shutdown};
+use crate::limits::{ResourceBudget, ResourceQuotas};
+use crossbeam_channel::{bounded, select};
+use signal_hook::consts::SIGHUP;
+use signal_hook::iterator::Signals;
+use std::net::TcpListener;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::SeqCst;
+use std::time::Duration;
+
+/// Signals that wait to be handled.
+const SIGNAL_QUEUE: usize = 16;
+
+/// Reads a variable of the environment.
+pub fn environment(name: &str) -> Option<String> {
+    std::env::var(name).ok()
+}
+
+/// Runs the service until a stop has come to its end.
+///
+/// # Errors
+/// What the system or the configuration keeps from starting, or a signal thread that ended.
+pub fn run(mut signals: Signals, mut config: Config) -> Result<(), String> {
+    let cannot = |what: &'static str| move |e: std::io::Error| format!("cannot {what}: {e}");
+    let (types, rules) = (config.types(), config.repeat_rules());
+    let shares = ResourceQuotas::of(config.limits);
+    let (sockets, terms) = (ResourceBudget::new(shares.engines), config.terms(shares.engine));
+    let owners = EngineRegistry::start(terms, sockets, clock::now, threads::spawn)
+        .map_err(cannot("start the engines' thread"))?;
+    let module = ControllerHandle::start(
+        config.settings.clone(),
+        config.seed,
+        std::mem::take(&mut config.known),
+        owners,
+    )
+    .map_err(cannot("start the module's thread"))?;
+    let health = Arc::new(shutdown::ShutdownState::default());
+    let shared = connection::Shared::new(module.clone(), health.clone(), types, rules, &shares);
+    let listener = retry_transient_errors(|| TcpListener::bind(config.listen))
+        .map_err(|e| format!("field listen: cannot listen on {}: {e}", config.listen))?;
+    let listens = listener.local_addr().map_err(cannot("listen"))?;
+    let clients = acceptor::Acceptor::new(shared, listener).map_err(cannot("listen"))?;
+    let ((left, all_left), (heard, signal)) = (bounded(1), bounded(SIGNAL_QUEUE));
+    let serve = move || {
+        clients.run();
+        let _ = left.send(());
+    };
+    threads::spawn_required("clients", STACK_BYTES, serve).map_err(cannot("start a thread"))?;
+    let bus = Arc::new(event_bus::EventBusFollower::new(config.bus, shares.list_line));
+    let (follower, teller, offset, seed) = (bus.clone(), module.clone(), config.offset, config.seed);
+    threads::spawn_required("event bus", STACK_BYTES, move || follower.follow(&teller, offset, seed))
+        .map_err(cannot("start a thread"))?;
+    let listen = move || signals.forever().take_while(|signal| heard.send(*signal).is_ok()).for_each(drop);
+    threads::spawn_required("signals", STACK_BYTES, listen).map_err(cannot("start a thread"))?;
+    tracing::info!("{} listens on {listens}", config.name);
+    let longest_wait = config.longest_wait();
+    let mut reload = reload::ConfigReloader::new(config, bus);
+    // Signals are heard to the end: a stop takes seconds, and the event bus may move meanwhile.
+    loop {
+        let again = reload.again().unwrap_or(Duration::from_secs(3600));
+        select! {
+            recv(signal) -> signal => match signal {
+                Ok(SIGHUP) => reload.begin(Config::read(environment)),
+                Ok(_) => shutdown::begin(&module, &health, longest_wait),
+                Err(_) => return Err("the thread that waits for signals has ended".to_string()),
+            },
+            recv(all_left) -> _ => break,
+            default(again) => reload.read(Config::read(environment)),
+        }
+    }
+    tracing::info!("stopped with {} jobs open", module.open.load(SeqCst));
+    Ok(())
+}
--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/owners.rs
@@ -2,51 +2,34 @@
 
 #[allow(dead_code)] // each test file uses a part of them
 mod helpers;
-#[allow(dead_code)] // the program uses what these tests don't
-#[path = "../src/memory/mod.rs"]
-mod memory;
-#[allow(dead_code)]
-#[path = "../src/service"]
-mod service {
-    pub mod clock;
-    pub mod config;
-}
-#[allow(dead_code)]
-#[path = "../src/startup.rs"]
-mod startup;
-#[allow(dead_code)]
-#[path = "../src/wire/mod.rs"]
-mod wire;
-
 use expect_test::expect;
 use helpers::Crowded;
-use memory::budget::Budget;
-use memory::clients::CancelToken;
-use memory::dispatch_ledger::{DispatchLedger, RepeatRules};
-use memory::engines::{ConnectionSettings, DispatchHandle, Engine, Request};
-use memory::owners::Owners;
 use pebblevane::time::TimeDelta;
-use service::clock;
+use pebblevane_server::client::session::CancellationToken;
+use pebblevane_server::engine::handle::{ConnectionSettings, DispatchHandle, EngineHandle, Request};
+use pebblevane_server::engine::registry::EngineRegistry;
+use pebblevane_server::job::dispatch_ledger::{DispatchLedger, RetrySemantics};
+use pebblevane_server::lifecycle::clock;
+use pebblevane_server::lifecycle::threads;
+use pebblevane_server::limits::ResourceBudget;
 use std::io::Read;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::Duration;
 
-const STACK: usize = 64 * 1024;
-
 /// Threads with such a name can't be made while this is set.
 const REFUSED: &str = "dial refused";
 static REFUSES: AtomicBool = AtomicBool::new(false);
 
-fn thread(name: &str, stack: usize, what: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
+fn spawn_or_refuse(name: &str, stack_bytes: usize, body: Box<dyn FnOnce() + Send>) -> std::io::Result<()> {
     if name == REFUSED && REFUSES.load(SeqCst) {
         return Err(std::io::ErrorKind::WouldBlock.into());
     }
-    std::thread::Builder::new().name(name.to_string()).stack_size(stack).spawn(what).map(drop)
+    threads::spawn(name, stack_bytes, body)
 }
 
 /// Owners that wait long for a connection and have a few of them.
-fn start_owners() -> Arc<Owners> {
+fn start_owners() -> Arc<EngineRegistry> {
     let terms = ConnectionSettings {
         streams: 32,
         dial: Duration::from_secs(9),
@@ -55,7 +38,7 @@
         connections: 8,
         reports: false,
     };
-    Owners::start(terms, Budget::new(8), clock::now).unwrap()
+    EngineRegistry::start(terms, ResourceBudget::new(8), clock::now, spawn_or_refuse).unwrap()
 }
 
 /// What waits for a connection is looked at once more when that has come up: what nobody wants any more, or what had to
@@ -63,12 +46,12 @@
 #[test]
 fn the_last_look_before_the_first_byte_knows_what_may_not_leave() {
     let owners = start_owners();
-    let rules = RepeatRules::RunOnce;
+    let rules = RetrySemantics::RunOnce;
     let mut trace = String::new();
     for what in ["wanted", "left", "late"] {
         let crowded = Crowded::start();
-        let engine = Engine::new(&owners, "e0", crowded.address.parse().unwrap());
-        let wanted = Arc::new(CancelToken::default());
+        let engine = EngineHandle::new(&owners, "e0", crowded.address.parse().unwrap());
+        let wanted = Arc::new(CancellationToken::default());
         let far = clock::now() + TimeDelta(60_000_000);
         let request = Request {
             id: "0123456789abcdef".into(),
@@ -117,14 +100,14 @@
     let far = clock::now() + TimeDelta(60_000_000);
     let owners = start_owners();
     let crowded = Crowded::start();
-    let engine = Engine::new(&owners, "refused", crowded.address.parse().unwrap());
+    let engine = EngineHandle::new(&owners, "refused", crowded.address.parse().unwrap());
     let request = |id: &str| Request {
         id: id.into(),
         class: "load".into(),
         ends: far,
         begin_by: far,
-        wanted: Arc::new(CancelToken::default()),
-        ledger: Arc::new(DispatchLedger::new(id, RepeatRules::RunOnce, far)),
+        wanted: Arc::new(CancellationToken::default()),
+        ledger: Arc::new(DispatchLedger::new(id, RetrySemantics::RunOnce, far)),
         rank: None,
         statement: b"select 1".as_slice().into(),
     };
@@ -134,7 +117,7 @@
         given_up.recv_timeout(Duration::from_secs(5))
             == Err(crossbeam_channel::RecvTimeoutError::Disconnected)
     };
-    let behind = Engine::new(&owners, "behind", crowded.address.parse().unwrap());
+    let behind = EngineHandle::new(&owners, "behind", crowded.address.parse().unwrap());
     assert!(ended(behind.send(request("0000000000000002")).give_up()));
     REFUSES.store(true, SeqCst);
     let second = engine.send(request("0000000000000003"));
--- a/crates/server/tests/start_clock.rs
+++ b/crates/server/tests/start_clock.rs
@@ -1,18 +1,9 @@
 //! Starts of engines, stamped by wall clocks that are stepped, on the monotonic clock.
 
-#[allow(dead_code)] // the program uses what these tests don't
-#[path = "../src/service"]
-mod service {
-    pub mod start_clock;
-}
-#[allow(dead_code)]
-#[path = "../src/wire/mod.rs"]
-mod wire;
-
 use expect_test::expect;
 use pebblevane::time::Timestamp;
-use service::start_clock::StartClock;
-use wire::bus::UnixTime;
+use pebblevane_server::codec::event_bus::UnixTime;
+use pebblevane_server::discovery::start_clock::StartClock;
 
 const SECOND: i64 = 1_000_000;
 /// What the wall clock shows over the monotonic one before any step.
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -1,10 +1,6 @@
 //! What is decoded from outside bytes: the wire's modules alone, without the program.
 
-#[allow(dead_code)] // the program uses what these tests don't
-#[path = "../src/wire/mod.rs"]
-mod wire;
-
-use wire::{bus, client, engine, sql};
+use pebblevane_server::codec::{client, engine, event_bus, sql};
 
 /// A generator of chance numbers (xorshift), the same for each run.
 struct Chance(u64);
@@ -60,7 +56,7 @@
         let bytes = chance.spoil(answer.to_vec());
         let mut rest = &bytes[..];
         while let Ok(Some((length, _, word))) = engine::next(rest) {
-            if let engine::Word::Hit { page, .. } | engine::Word::Part { page, .. } = word {
+            if let engine::EngineMessage::Hit { page, .. } | engine::EngineMessage::Part { page, .. } = word {
                 let text = String::from_utf8(page).unwrap();
                 assert!(text.is_empty() || text.ends_with('\n'));
                 assert!(text.lines().all(|row| row.split('\t').count() == 3));
@@ -69,7 +65,7 @@
             rest = &rest[length..];
         }
         let bytes = chance.spoil(event.to_vec());
-        events += usize::from(bus::line(&String::from_utf8_lossy(&bytes)).is_ok());
+        events += usize::from(event_bus::line(&String::from_utf8_lossy(&bytes)).is_ok());
     }
     // Some come through, or nothing was tried.
     assert!(jobs > 1000 && pages > 1000 && events > 1000, "{jobs} {pages} {events}");
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -2,24 +2,24 @@
 
 use pebblevane::interface::*;
 use pebblevane::time::*;
-use pebblevane_adapter_common::{Fields, Told};
+use pebblevane_adapter_common::{FieldResult, Fields};
 use serde_json::Value as Json;
 
 /// What the wire's objects stand for.
 pub trait Wire {
-    fn verdict(&self) -> Told<DispatchStatus>;
+    fn verdict(&self) -> FieldResult<DispatchStatus>;
     /// The load report, as an object or as a list of pairs; values that are no numbers are passed over.
     fn report(&self) -> Option<LoadReport>;
-    fn job(&self) -> Told<Job>;
-    fn outcome(&self) -> Told<DispatchResult>;
+    fn job(&self) -> FieldResult<Job>;
+    fn outcome(&self) -> FieldResult<DispatchResult>;
     /// A note on a dispatch; none if it is of a sort not known here.
-    fn note(&self) -> Told<Option<ProgressUpdate>>;
+    fn note(&self) -> FieldResult<Option<ProgressUpdate>>;
     /// One entry of an engine list; `number` maps the engine's name to its index.
-    fn listing(&self, number: impl FnOnce(&str) -> EngineId) -> Told<Endpoint>;
+    fn listing(&self, number: impl FnOnce(&str) -> EngineId) -> FieldResult<Endpoint>;
 }
 
 impl Wire for Fields<'_> {
-    fn verdict(&self) -> Told<DispatchStatus> {
+    fn verdict(&self) -> FieldResult<DispatchStatus> {
         Ok(match self.text("Verdict")? {
             "success" => DispatchStatus::Completed,
             "failure" => DispatchStatus::Failed,
@@ -52,7 +52,7 @@
         })
     }
 
-    fn job(&self) -> Told<Job> {
+    fn job(&self) -> FieldResult<Job> {
         let flags = self.whole_or_zero("Flags")?;
         let memory = self.number_or("MemMb", 0.0)?;
         let key = match self.get("Relation") {
@@ -79,7 +79,7 @@
         })
     }
 
-    fn outcome(&self) -> Told<DispatchResult> {
+    fn outcome(&self) -> FieldResult<DispatchResult> {
         let used = self.whole_or_zero("UsedUp")?;
         Ok(DispatchResult {
             status: self.verdict()?,
@@ -94,7 +94,7 @@
         })
     }
 
-    fn note(&self) -> Told<Option<ProgressUpdate>> {
+    fn note(&self) -> FieldResult<Option<ProgressUpdate>> {
         let amount = self.number_or("Amount", 0.0)?;
         Ok(match (self.whole("Sort")?, amount as u64) {
             (1, _) => Some(ProgressUpdate::CompletedFraction(amount)),
@@ -105,7 +105,7 @@
         })
     }
 
-    fn listing(&self, number: impl FnOnce(&str) -> EngineId) -> Told<Endpoint> {
+    fn listing(&self, number: impl FnOnce(&str) -> EngineId) -> FieldResult<Endpoint> {
         let name = self.text("Engine")?;
         let ready = self.number_or("ReadyAt", 0.0)?;
         Ok(Endpoint {
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -5,7 +5,7 @@
 use pebblevane::controller::AdmissionController;
 use pebblevane::interface::*;
 use pebblevane::time::*;
-use pebblevane_adapter_common::{Engines, Fields, Told, settings};
+use pebblevane_adapter_common::{EngineNumbers, FieldResult, Fields, settings};
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, HashMap};
 
@@ -19,7 +19,7 @@
     manager: String,
     logic: AdmissionController,
     reservations: usize,
-    engines: Engines,
+    engines: EngineNumbers,
     jobs: HashMap<u32, JobId>,
     requests: BTreeMap<JobId, u32>,
     taken: u32,
@@ -41,7 +41,7 @@
 
 impl Host {
     /// Answers one batch; an error names the batch and the field that is wrong.
-    pub fn batch(&mut self, line: &str) -> Told<String> {
+    pub fn batch(&mut self, line: &str) -> FieldResult<String> {
         let batch: Json = serde_json::from_str(line).map_err(|e| format!("the batch is not JSON: {e}"))?;
         let fields = Fields { name: "batch", json: &batch };
         let turn = fields.whole("turn")?;
@@ -61,7 +61,7 @@
         Ok(json!({"turn": turn, "steps": steps}).to_string())
     }
 
-    fn event(&mut self, now: Timestamp, event: Fields, steps: &mut Vec<Json>) -> Told<()> {
+    fn event(&mut self, now: Timestamp, event: Fields, steps: &mut Vec<Json>) -> FieldResult<()> {
         if event.name == "Directory" {
             event.list("Members")?;
             self.tables.insert(event.whole_or_zero("Table")?, event.json["Members"].clone());
@@ -100,7 +100,7 @@
             manager: manager.to_string(),
             logic,
             reservations,
-            engines: Engines::default(),
+            engines: EngineNumbers::default(),
             jobs: HashMap::new(),
             requests: BTreeMap::new(),
             taken: 0,
@@ -109,7 +109,12 @@
     }
 
     /// Decodes an event into the call that it stands for; none if there is nothing to call.
-    fn call(&mut self, now: Timestamp, event: Fields, tables: &HashMap<u64, Json>) -> Told<Option<Actions>> {
+    fn call(
+        &mut self,
+        now: Timestamp,
+        event: Fields,
+        tables: &HashMap<u64, Json>,
+    ) -> FieldResult<Option<Actions>> {
         let job = match event.name {
             "Reply" | "Expired" | "Progress" | "HeadReceived" => {
                 match self.jobs.get(&(event.whole("RequestId")? as u32)) {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,9 +1,5 @@
 //! Every decision of the gateway: which job goes to which engine, when, and what is throttled.
 //!
-//! How to call it: [`AdmissionController::new`] takes the settings and a seed; then [`AdmissionController::engines_changed`] tells the
-//! engine list, [`AdmissionController::take`] hands over a job, [`AdmissionController::settle`] and [`AdmissionController::progress`] say how a
-//! dispatch fares, [`AdmissionController::probed`] how a probe came out, and [`AdmissionController::wake`] is due at the time last asked
-//! for; [`AdmissionController::stopping`] announces the end. Each returns a [`Actions`], to be carried out in its order.
 //! `docs/design.md` tells why.
 
 use crate::interface::*;
