--- a/crates/server/src/client/acceptor.rs
+++ b/crates/server/src/client/acceptor.rs
@@ -2,11 +2,11 @@
 
 use crate::client::arrival_time::{ArrivalTimeEstimator, PollWait};
 use crate::client::connection::{ClientConnection, ClosingConnection, End, IdleLimits, Shared};
-use crate::client::session::ClientSession;
 use crate::lifecycle::clock;
 use crate::lifecycle::shutdown::ShutdownSchedule;
 use crate::lifecycle::startup::retry_transient_errors;
 use crate::limits::Permit;
+use crate::session::client_session::ClientSession;
 use crate::telemetry::counters;
 use crate::telemetry::invariants::{self, Invariant};
 use mio::unix::SourceFd;
--- a/crates/server/src/client/connection.rs
+++ b/crates/server/src/client/connection.rs
@@ -1,15 +1,16 @@
 //! A client connection as it is read: its messages, the admission of jobs, and when it is of no more use.
 
-use crate::client::responder::Responder;
-use crate::client::session::{ClientJobIds, ClientSession};
 use crate::codec::client::{self as wire, ClientRequest, Frame, Message, Reply};
 use crate::codec::sql;
+use crate::config::retry_semantics::RetrySemantics;
 use crate::decision::controller_thread::{BACK_IN, ControllerHandle};
-use crate::job::dispatch_ledger::{DispatchLedger, RetrySemantics};
+use crate::engine::dispatch_ledger::DispatchLedger;
 use crate::job::task::{AdmittedJob, USUAL_RESULT};
 use crate::lifecycle::clock;
 use crate::lifecycle::shutdown::ShutdownState;
 use crate::limits::{Permit, ResourceBudget, ResourceQuotas};
+use crate::session::client_session::{ClientJobIds, ClientSession};
+use crate::session::responder::Responder;
 use crate::telemetry::counters;
 use pebblevane::interface::*;
 use pebblevane::time::*;
--- a/crates/server/src/client/mod.rs
+++ b/crates/server/src/client/mod.rs
@@ -1,7 +1,5 @@
-//! Client connections, from accept to close, and the way of each answer.
+//! Client connections: accepting, reading and closing them, and the admission of jobs.
 
 pub mod acceptor;
 pub mod arrival_time;
 pub mod connection;
-pub mod responder;
-pub mod session;
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -1,13 +1,15 @@
 //! The configuration, checked before anything starts.
 
-pub mod reload;
+pub mod connection_settings;
+pub mod retry_semantics;
 
 use crate::codec::event_bus::{self, Event};
-use crate::engine::handle::ConnectionSettings;
-use crate::job::dispatch_ledger::RetrySemantics;
+use crate::limits::Limits;
+use connection_settings::ConnectionSettings;
 use pebblevane::settings::Settings;
 use pebblevane::time::TimeDelta;
 use pebblevane_adapter_common::{FieldResult, Fields, settings};
+use retry_semantics::RetrySemantics;
 use serde_json::Value as Json;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,13 +31,6 @@
     pub settings: Settings,
 }
 
-/// What the program may use.
-#[derive(Clone, Copy, PartialEq)]
-pub struct Limits {
-    pub sockets: usize,
-    pub memory_mb: usize,
-}
-
 impl Config {
     pub fn read(var: impl Fn(&str) -> Option<String>) -> FieldResult<Config> {
         let path = var("NODE_CONFIG").ok_or("NODE_CONFIG is not set, the path of a file is wanted")?;
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -2,17 +2,18 @@
 //! each `Actions` is carried out in its order before the next call. What the engine list tells, a planned stop and
 //! clients that leave don't wait behind those. It decides nothing.
 
-use crate::client::responder::Responder;
 use crate::codec::client::Reply;
 use crate::codec::event_bus::{Event, UnixTime};
+use crate::discovery::event_bus::EndpointListener;
 use crate::discovery::start_clock::StartClock;
+use crate::engine::dispatch_ledger::DispatchLedger;
 use crate::engine::handle::EngineHandle;
 use crate::engine::registry::EngineRegistry;
-use crate::job::dispatch_ledger::DispatchLedger;
 use crate::job::task::{AdmittedJob, JobTask};
 use crate::job::worker_pool::Workers;
 use crate::lifecycle::clock;
 use crate::lifecycle::threads;
+use crate::session::responder::Responder;
 use crate::telemetry::counters;
 use crossbeam_channel::{Receiver, Sender, bounded, select};
 use pebblevane::controller::AdmissionController;
@@ -165,12 +166,6 @@
         // Where too many calls wait, the thread is awake and looks before the next of them.
         let _ = self.calls.try_send(ControllerEvent::Wakeup);
     }
-    pub fn listed(&self, event: Event, complete: Option<Timestamp>) {
-        let _ = self.urgent.send(ControllerEvent::Listed { event, complete });
-    }
-    pub fn list_lost(&self) {
-        let _ = self.urgent.send(ControllerEvent::ListLost);
-    }
     pub fn stopping(&self, by: Timestamp) {
         let _ = self.urgent.send(ControllerEvent::Stopping { by });
     }
@@ -181,6 +176,16 @@
     }
 }
 
+impl EndpointListener for ControllerHandle {
+    fn endpoints_changed(&self, event: Event, complete: Option<Timestamp>) {
+        let _ = self.urgent.send(ControllerEvent::Listed { event, complete });
+    }
+
+    fn connection_lost(&self) {
+        let _ = self.urgent.send(ControllerEvent::ListLost);
+    }
+}
+
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     // A panic ends the program, so that nobody sees what a panic left behind.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
--- a/crates/server/src/discovery/event_bus.rs
+++ b/crates/server/src/discovery/event_bus.rs
@@ -1,8 +1,7 @@
 //! Follows the event bus: connects, asks for what comes after the last event it has, and reads on. A gap, a
 //! connection that falls silent or one that ends leads to a new one, and so does a new address.
 
-use crate::codec::event_bus::{self, Line};
-use crate::decision::controller_thread::ControllerHandle;
+use crate::codec::event_bus::{self, Event, Line};
 use crate::lifecycle::clock;
 use crate::telemetry::counters;
 use crossbeam_channel::{Receiver, Sender, bounded};
@@ -20,6 +19,14 @@
 const PAUSE_MS: u64 = 50;
 const LONGEST_PAUSE_MS: u64 = 800;
 
+/// Whoever is told what the event bus brings.
+pub trait EndpointListener {
+    /// The endpoint list has changed; `complete` is when it was last known to be complete before that.
+    fn endpoints_changed(&self, event: Event, complete: Option<Timestamp>);
+    /// The connection to the event bus was lost.
+    fn connection_lost(&self);
+}
+
 /// Where the bus is, and the connection to it. The address may change while the program runs.
 pub struct EventBusFollower {
     at: Mutex<At>,
@@ -68,15 +75,15 @@
         Ok(stream)
     }
 
-    pub fn follow(&self, module: &ControllerHandle, mut last: u64, seed: u64) {
+    pub fn follow(&self, listener: &impl EndpointListener, mut last: u64, seed: u64) {
         let mut spread = seed | 1;
         let (mut pause, mut gap, mut complete) = (PAUSE_MS, None, None);
         loop {
             let (before, begun) = (last, Instant::now());
-            let why = self.listen(module, self.connect(last), &mut last, &mut gap, &mut complete);
+            let why = self.listen(listener, self.connect(last), &mut last, &mut gap, &mut complete);
             self.at().stream = None;
             tracing::info!("event bus: {why}; the last event is {last}");
-            module.list_lost();
+            listener.connection_lost();
             // A connection that served for a while is made anew at once: what it would have told counts as told soon.
             let served = last > before || begun.elapsed() > SILENCE;
             pause = if served { PAUSE_MS } else { (pause * 2).min(LONGEST_PAUSE_MS) };
@@ -92,7 +99,7 @@
     /// Reads one connection to its end; says why it ended. `complete` is when the list was last known to be complete.
     fn listen(
         &self,
-        module: &ControllerHandle,
+        listener: &impl EndpointListener,
         connected: std::io::Result<TcpStream>,
         last: &mut u64,
         gap: &mut Option<u64>,
@@ -126,7 +133,7 @@
                         counters::ODD_EVENTS.add();
                         tracing::warn!("event bus: an entry of event {last} is passed over: {why}");
                     }
-                    module.listed(event, *complete);
+                    listener.endpoints_changed(event, *complete);
                 }
                 Err(why) => {
                     counters::ODD_EVENTS.add();
--- a/crates/server/src/engine/handle.rs
+++ b/crates/server/src/engine/handle.rs
@@ -1,38 +1,23 @@
 //! Handles on engines: sending to one, giving up, and what a job hears of its dispatch. An engine's owner does the
 //! rest (`owner.rs`).
 
-use crate::client::session::ClientLiveness;
 use crate::codec::engine::EngineMessage;
+use crate::engine::dispatch_ledger::DispatchLedger;
 use crate::engine::pool::EnginePool;
 use crate::engine::registry::EngineRegistry;
 use crate::engine::socket_poller::ConnectionEvent;
-use crate::job::dispatch_ledger::DispatchLedger;
 use crate::limits::Permit;
+use crate::session::client_session::ClientLiveness;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use pebblevane::interface::*;
 use pebblevane::time::*;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU8, AtomicU64, Ordering::SeqCst};
-use std::time::Duration;
 
 // A channel takes memory for all that it may hold once it has gone round, so that bounds are no larger than bursts.
 const WORDS: usize = 32; // words of an engine that wait for one job
 
-/// What the settings say of connections.
-#[derive(Clone, Copy)]
-pub struct ConnectionSettings {
-    pub streams: usize,
-    pub dial: Duration,
-    pub idle: Duration,
-    /// Notes come this often on what is out, if at all.
-    pub notes: Option<Duration>,
-    /// Connections to one engine.
-    pub connections: usize,
-    /// Probes ask for a load report.
-    pub reports: bool,
-}
-
 /// Whether a dispatch has left this program: the last check before its first byte goes out.
 #[derive(Default)]
 pub struct SendGate {
--- a/crates/server/src/engine/pool.rs
+++ b/crates/server/src/engine/pool.rs
@@ -6,10 +6,10 @@
 //! ends all that is out on it.
 
 use crate::codec::engine::{self as wire, EngineMessage};
+use crate::config::connection_settings::ConnectionSettings;
 use crate::engine::connection::{EngineConnection, SPENT};
 use crate::engine::handle::{
-    ConnectionSettings, DROPPED, DispatchEvent, EndpointUpdate, HealthCheckCallback, PoolCommand, QUEUED,
-    Request, SENT, SendGate,
+    DROPPED, DispatchEvent, EndpointUpdate, HealthCheckCallback, PoolCommand, QUEUED, Request, SENT, SendGate,
 };
 use crate::engine::socket_poller::{ConnectionEvent, ReadHalf, SocketPoller};
 use crate::lifecycle::threads::{STACK_BYTES, SpawnThread};
--- a/crates/server/src/engine/registry.rs
+++ b/crates/server/src/engine/registry.rs
@@ -1,7 +1,8 @@
 //! The one thread of all engines' owners. A thread an engine costs little in one program, but a fleet of
 //! hundreds of gateways and engines on one machine runs out of thread numbers.
 
-use crate::engine::handle::{ConnectionSettings, DispatchEvent, EndpointUpdate, PoolCommand};
+use crate::config::connection_settings::ConnectionSettings;
+use crate::engine::handle::{DispatchEvent, EndpointUpdate, PoolCommand};
 use crate::engine::pool::{EnginePool, PoolContext};
 use crate::engine::socket_poller::SocketPoller;
 use crate::lifecycle::threads::SpawnThread;
--- a/crates/server/src/job/mod.rs
+++ b/crates/server/src/job/mod.rs
@@ -1,5 +1,4 @@
-//! A job of which something is sent: its thread, and the ledger of its dispatches.
+//! A job of which something is sent: its task and the threads that run such tasks.
 
-pub mod dispatch_ledger;
 pub mod task;
 pub mod worker_pool;
--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -1,13 +1,13 @@
 //! A job's life, from the client's request to its answer.
 
-use crate::client::responder::Responder;
 use crate::codec::client::Reply;
 use crate::codec::engine::EngineMessage;
 use crate::decision::controller_thread::{ControllerHandle, JobCommand};
+use crate::engine::dispatch_ledger::DispatchLedger;
 use crate::engine::handle::{DispatchEvent, DispatchHandle, Request};
-use crate::job::dispatch_ledger::DispatchLedger;
 use crate::lifecycle::clock;
 use crate::limits::Permit;
+use crate::session::responder::Responder;
 use crate::telemetry::counters;
 use crossbeam_channel::{Receiver, never, select};
 use pebblevane::interface::*;
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -11,4 +11,5 @@
 pub mod lifecycle;
 pub mod limits;
 pub mod server;
+pub mod session;
 pub mod telemetry;
--- a/crates/server/src/lifecycle/shutdown.rs
+++ b/crates/server/src/lifecycle/shutdown.rs
@@ -1,11 +1,9 @@
 //! A planned stop, and its sequence: not well at once; new connections and requests for a second; no new
 //! connections; answers to all that was taken; the end of each connection, in order; the end of the program.
 
-use crate::decision::controller_thread::ControllerHandle;
 use crate::lifecycle::clock;
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::OnceLock;
-use std::sync::atomic::Ordering::SeqCst;
 
 const COMING: TimeDelta = TimeDelta(1_000_000); // new jobs may still come for so long after the signal
 const AFTER: TimeDelta = TimeDelta(400_000); // so long after the longest wait every job has its answer: a kill may follow
@@ -34,16 +32,13 @@
     pub fn stopping(&self) -> Option<ShutdownSchedule> {
         self.0.get().copied()
     }
-}
 
-/// Begins the stop. Told once more, it changes nothing.
-pub fn begin(module: &ControllerHandle, health: &ShutdownState, longest_wait: TimeDelta) {
-    let told = clock::now();
-    let answered = told + longest_wait.min(LONGEST) + AFTER;
-    let steps =
-        ShutdownSchedule { coming: (told + COMING).min(answered), answered, over: answered + LEAVING };
-    if health.0.set(steps).is_ok() {
-        module.stopping(answered);
-        tracing::info!("stopping with {} jobs open", module.open.load(SeqCst));
+    /// Begins the stop and says when its steps end; none if it has begun before.
+    pub fn begin(&self, longest_wait: TimeDelta) -> Option<ShutdownSchedule> {
+        let now = clock::now();
+        let answered = now + longest_wait.min(LONGEST) + AFTER;
+        let schedule =
+            ShutdownSchedule { coming: (now + COMING).min(answered), answered, over: answered + LEAVING };
+        self.0.set(schedule).is_ok().then_some(schedule)
     }
 }
--- a/crates/server/src/limits/mod.rs
+++ b/crates/server/src/limits/mod.rs
@@ -1,7 +1,6 @@
 //! Budgets of bytes, threads and descriptors, derived from the limits told at the start. A lease gives back what
 //! it holds when it is dropped.
 
-use crate::config::Limits;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// What an idle program holds, and what the allocator keeps beside what is in use.
@@ -20,6 +19,13 @@
 const LIST_PART: usize = 16;
 const LEAST_LIST: usize = 1024 * 1024;
 
+/// What the program may use.
+#[derive(Clone, Copy, PartialEq)]
+pub struct Limits {
+    pub sockets: usize,
+    pub memory_mb: usize,
+}
+
 /// What each part of the program may use.
 pub struct ResourceQuotas {
     /// Client connections: more than the third that clients hold, so that others can be let in to be turned away.
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server/mod.rs
@@ -1,7 +1,9 @@
 //! Puts the parts of the service together: starts every thread, then waits for signals.
 
+pub mod reload;
+
 use crate::client::{acceptor, connection};
-use crate::config::{Config, reload};
+use crate::config::Config;
 use crate::decision::controller_thread::ControllerHandle;
 use crate::discovery::event_bus;
 use crate::engine::registry::EngineRegistry;
@@ -57,7 +59,7 @@
     threads::spawn_required("clients", STACK_BYTES, serve).map_err(cannot("start a thread"))?;
     let bus = Arc::new(event_bus::EventBusFollower::new(config.bus, shares.list_line));
     let (follower, teller, offset, seed) = (bus.clone(), module.clone(), config.offset, config.seed);
-    threads::spawn_required("event bus", STACK_BYTES, move || follower.follow(&teller, offset, seed))
+    threads::spawn_required("event bus", STACK_BYTES, move || follower.follow(&*teller, offset, seed))
         .map_err(cannot("start a thread"))?;
     let listen = move || signals.forever().take_while(|signal| heard.send(*signal).is_ok()).for_each(drop);
     threads::spawn_required("signals", STACK_BYTES, listen).map_err(cannot("start a thread"))?;
@@ -70,7 +72,12 @@
         select! {
             recv(signal) -> signal => match signal {
                 Ok(SIGHUP) => reload.begin(Config::read(environment)),
-                Ok(_) => shutdown::begin(&module, &health, longest_wait),
+                Ok(_) => {
+                    if let Some(schedule) = health.begin(longest_wait) {
+                        module.stopping(schedule.answered);
+                        tracing::info!("stopping with {} jobs open", module.open.load(SeqCst));
+                    }
+                }
                 Err(_) => return Err("the thread that waits for signals has ended".to_string()),
             },
             recv(all_left) -> _ => break,
--- a/crates/server/src/client/responder.rs
+++ b/crates/server/src/session/responder.rs
@@ -1,8 +1,8 @@
 //! The one way of a request to its one answer, whoever gives it: the module, the job's thread or whoever admits jobs.
 
-use crate::client::session::{CancellationToken, ClientJobId, ClientLiveness, ClientSession};
 use crate::codec::client::Reply;
 use crate::lifecycle::clock;
+use crate::session::client_session::{CancellationToken, ClientJobId, ClientLiveness, ClientSession};
 use crate::telemetry::counters;
 use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::interface::JobId;
