--- a/crates/server/src/client/acceptor.rs
+++ b/crates/server/src/client/acceptor.rs
@@ -194,7 +194,7 @@
             };
             if let Err(e) = entered {
                 // A connection that has ended already, or no descriptor is free: what waits is tried again soon.
-                tracing::debug!("clients: cannot accept: {e}");
+                tracing::debug!(reason = %e, "accepting a client failed");
                 self.crowded = true;
                 return;
             }
@@ -263,7 +263,7 @@
     /// The one place where a connection ends at once: where the client has ended it, or gets no more time.
     fn cut(&mut self, number: usize, why: &str) {
         let Some(connection) = self.all.remove(&number) else { return };
-        tracing::debug!("clients: a connection ended: {why}");
+        tracing::debug!(connection = number, reason = why, "client connection ended");
         let _ = self.poll.registry().deregister(&mut SourceFd(&connection.client.stream.as_raw_fd()));
         self.give_up(&connection.client);
         connection.client.cut();
@@ -274,7 +274,7 @@
     /// unread bytes resets the connection with all that is still on its way.
     fn close(&mut self, number: usize, why: &str) {
         let Some(connection) = self.all.get_mut(&number).filter(|it| it.closing.is_none()) else { return };
-        tracing::debug!("clients: a connection is closed: {why}");
+        tracing::debug!(connection = number, reason = why, "closing client connection");
         connection.closing = Some(ClosingConnection { ended: None, left: LINGER_BYTES });
         connection.pauses_until = None;
         (connection.bytes, connection.owes) = (Vec::new(), None);
--- a/crates/server/src/client/connection.rs
+++ b/crates/server/src/client/connection.rs
@@ -301,7 +301,7 @@
         ..Job::default()
     };
     let deadline = arrived + ask.left;
-    tracing::debug!("job {}: taken, {:.0} ms left", ask.id, (deadline - clock::now()).as_millis_f64());
+    tracing::debug!(job = %ask.id, left_ms = (deadline - clock::now()).as_millis_f64(), "job submitted");
     let admitted = AdmittedJob {
         responder: Arc::new(Responder::new(client.clone(), ask.message, &ask.id, taken, deadline)),
         ledger: Arc::new(DispatchLedger::new(&ask.id, shared.rules[ask.reservation], deadline)),
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -307,7 +307,7 @@
     /// Carries out what was decided at this time.
     fn carry_out(&mut self, now: Timestamp, decided: Actions) {
         if decided != (Actions { next_timer: decided.next_timer, ..Actions::default() }) {
-            tracing::trace!("{decided:?}");
+            tracing::trace!(actions = ?decided, "controller actions");
         }
         for DispatchId { job, attempt } in decided.cancellations {
             if let Some(open) = self.jobs.get(&job) {
@@ -341,7 +341,7 @@
             self.probe(engine);
         }
         for line in decided.log {
-            tracing::info!("module: {line}");
+            tracing::info!(line, "controller");
         }
         for id in decided.released_jobs {
             if let Some(open) = self.jobs.remove(&id) {
@@ -412,7 +412,7 @@
         let mut named = Vec::new();
         for entry in event.engines {
             let Ok(address) = entry.address.parse::<SocketAddr>() else {
-                tracing::warn!("event bus: engine {} has the odd address {}", entry.name, entry.address);
+                tracing::warn!(engine = %entry.name, address = %entry.address, "endpoint with a malformed address ignored");
                 continue;
             };
             let id = self.numbers.number(&entry.name);
@@ -434,12 +434,8 @@
             let missing = self.engines.keys().copied().filter(|id| !named.contains(id));
             missing.collect::<Vec<EngineId>>().into_iter().for_each(|id| self.forget(id));
         }
-        tracing::info!(
-            "engine list: event {} with {} entries, {} engines running",
-            event.offset,
-            listings.len(),
-            self.engines.values().filter(|known| known.stage == LifecycleState::Running).count()
-        );
+        let running = self.engines.values().filter(|known| known.stage == LifecycleState::Running).count();
+        tracing::info!(event = event.offset, entries = listings.len(), running, "endpoint list changed");
         let decided = self.logic.endpoints_changed(now, event.complete, listings);
         self.carry_out(now, decided);
     }
@@ -496,7 +492,7 @@
                 match workers.start(task) {
                     Ok(()) => self.stage = JobStage::Started(steps),
                     Err(e) => {
-                        tracing::warn!("no thread for a job: {e}");
+                        tracing::warn!(job = id.0, reason = %e, "no thread for a job");
                         counters::AT_LIMIT.add();
                         self.answered = true;
                         self.responder.answer(&Reply::Throttled(BACK_IN));
@@ -526,7 +522,7 @@
     fn tell(&self, step: JobCommand) {
         let JobStage::Started(steps) = &self.stage else { return };
         if steps.try_send(step).is_err() {
-            tracing::debug!("a step for a job that has ended");
+            tracing::debug!("command for a job that has ended");
         }
     }
 }
--- a/crates/server/src/discovery/event_bus.rs
+++ b/crates/server/src/discovery/event_bus.rs
@@ -82,7 +82,7 @@
             let (before, begun) = (last, Instant::now());
             let why = self.listen(listener, self.connect(last), &mut last, &mut gap, &mut complete);
             self.at().stream = None;
-            tracing::info!("event bus: {why}; the last event is {last}");
+            tracing::info!(reason = %why, last_event = last, "event bus connection lost");
             listener.connection_lost();
             // A connection that served for a while is made anew at once: what it would have told counts as told soon.
             let served = last > before || begun.elapsed() > SILENCE;
@@ -131,13 +131,13 @@
                     *last = event.offset;
                     for why in &event.odd {
                         counters::ODD_EVENTS.add();
-                        tracing::warn!("event bus: an entry of event {last} is passed over: {why}");
+                        tracing::warn!(event = *last, reason = %why, "malformed endpoint ignored");
                     }
                     listener.endpoints_changed(event, *complete);
                 }
                 Err(why) => {
                     counters::ODD_EVENTS.add();
-                    tracing::warn!("event bus: a line is passed over: {why}");
+                    tracing::warn!(reason = %why, "malformed event bus line ignored");
                 }
             }
         }
--- a/crates/server/src/discovery/start_clock.rs
+++ b/crates/server/src/discovery/start_clock.rs
@@ -37,10 +37,7 @@
             Some(last) if (offset.0 - last.0).abs() <= STEP.0 => *last = offset,
             last => {
                 if last.is_some() {
-                    tracing::info!(
-                        "the wall clock was stepped: {} ms over the monotonic clock",
-                        offset.as_millis_f64()
-                    );
+                    tracing::info!(offset_ms = offset.as_millis_f64(), "wall clock stepped");
                 }
                 self.offsets.push_back(offset);
             }
--- a/crates/server/src/engine/pool.rs
+++ b/crates/server/src/engine/pool.rs
@@ -29,7 +29,8 @@
 const AT_ONCE: Duration = Duration::from_millis(20); // before most answers: a spoilt one is no sign of a stale connection
 const FRESH: Duration = Duration::from_millis(20); // a rest of so long harms no connection
 const STALE: Duration = Duration::from_secs(10); // without a stale connection, longer rests are tried again
-const TELL: Duration = Duration::from_secs(5); // pace of log lines on one engine's connections
+/// Least time between two log lines on one engine's connections.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What all owners share.
 pub struct PoolContext {
@@ -269,7 +270,7 @@
                 let now = (context.now)();
                 let over = !request.wanted.still_wanted() || now >= request.begin_by;
                 if over || !self.open.load(SeqCst) || !gate.pass(SENT) {
-                    tracing::debug!("job {}: kept back from engine {}", request.id, self.name);
+                    tracing::debug!(job = %request.id, engine = %self.name, "dispatch withheld");
                     gate.pass(DROPPED);
                     return self.lose(number);
                 }
@@ -278,7 +279,7 @@
                     return self.lose(number);
                 }
                 gate.left.store(true, SeqCst);
-                tracing::debug!("job {}: leaves for engine {} on connection {key}", request.id, self.name);
+                tracing::debug!(job = %request.id, engine = %self.name, connection = key, "dispatch sent");
                 let limit_ms = ((request.ends - now).as_millis_f64().floor() as i64).max(1);
                 wire::request(&request.id, &request.class, limit_ms, request.rank, &request.statement)
             }
@@ -355,7 +356,7 @@
         match dialed {
             Ok(()) => self.dialing += 1,
             Err(e) => {
-                self.tell(|name, rest| format!("engine {name}: no thread to connect with: {e}{rest}"));
+                self.log_connection_fault("no thread to connect with", 0, &e);
                 return false;
             }
         }
@@ -384,7 +385,7 @@
             self.connect(stream, lease, context).map_err(|e| format!("it can't be read: {e}"))
         });
         if let Err(why) = connected {
-            self.tell(|name, rest| format!("engine {name}: cannot connect: {why}{rest}"));
+            self.log_connection_fault("connecting failed", 0, &why);
             if self.dialing == 0 {
                 self.share(context);
                 std::mem::take(&mut self.waiting).into_iter().for_each(|number| self.lose(number));
@@ -554,7 +555,7 @@
                 self.stale_at = Instant::now();
             }
             let open = connection.ids.len();
-            self.tell(|name, rest| format!("engine {name}: lost a connection with {open} open: {why}{rest}"));
+            self.log_connection_fault("connection lost", open, &why);
         }
         let mut numbers: Vec<u64> = connection.ids.into_values().collect();
         numbers.sort_unstable();
@@ -567,18 +568,15 @@
         }
     }
 
-    /// One line a while on an engine's troubles, with a count of those that were left out.
-    fn tell(&mut self, line: impl Fn(&str, &str) -> String) {
-        if self.told.is_some_and(|told| told.elapsed() < TELL) {
+    /// Logs at most one line in [`LOG_INTERVAL`] about this engine's connections, with a count of those left out.
+    fn log_connection_fault(&mut self, fault: &str, in_flight: usize, reason: &dyn std::fmt::Display) {
+        if self.told.is_some_and(|told| told.elapsed() < LOG_INTERVAL) {
             self.untold += 1;
             return;
         }
-        let rest = match std::mem::take(&mut self.untold) {
-            0 => String::new(),
-            untold => format!("; {untold} such lines were left out before"),
-        };
+        let suppressed = std::mem::take(&mut self.untold);
         self.told = Some(Instant::now());
-        tracing::info!("{}", line(&self.name, &rest));
+        tracing::info!(engine = %self.name, fault, in_flight, %reason, suppressed, "engine connection fault");
     }
 
     pub fn time_out(&mut self, now: Instant, context: &PoolContext) {
--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -241,7 +241,7 @@
     ) {
         let (copy, sent) = (at.copy, at.sent);
         let took = clock::now() - sent;
-        tracing::debug!("job {}: dispatch {copy} ended: {verdict:?}", self.job.name);
+        tracing::debug!(job = %self.job.name, attempt = copy, status = ?verdict, "dispatch finished");
         let outcome = DispatchResult {
             status: verdict,
             elapsed: took,
--- a/crates/server/src/server/mod.rs
+++ b/crates/server/src/server/mod.rs
@@ -63,7 +63,7 @@
         .map_err(cannot("start a thread"))?;
     let listen = move || signals.forever().take_while(|signal| heard.send(*signal).is_ok()).for_each(drop);
     threads::spawn_required("signals", STACK_BYTES, listen).map_err(cannot("start a thread"))?;
-    tracing::info!("{} listens on {listens}", config.name);
+    tracing::info!(name = %config.name, address = %listens, "listening for clients");
     let longest_wait = config.longest_wait();
     let mut reload = reload::ConfigReloader::new(config, bus);
     // Signals are heard to the end: a stop takes seconds, and the event bus may move meanwhile.
@@ -75,7 +75,7 @@
                 Ok(_) => {
                     if let Some(schedule) = health.begin(longest_wait) {
                         module.stopping(schedule.answered);
-                        tracing::info!("stopping with {} jobs open", module.open.load(SeqCst));
+                        tracing::info!(open_jobs = module.open.load(SeqCst), "graceful shutdown started");
                     }
                 }
                 Err(_) => return Err("the thread that waits for signals has ended".to_string()),
@@ -84,6 +84,6 @@
             default(again) => reload.read(Config::read(environment)),
         }
     }
-    tracing::info!("stopped with {} jobs open", module.open.load(SeqCst));
+    tracing::info!(open_jobs = module.open.load(SeqCst), "graceful shutdown finished");
     Ok(())
 }
--- a/crates/server/src/server/reload.rs
+++ b/crates/server/src/server/reload.rs
@@ -45,7 +45,7 @@
                 let (since, known) =
                     self.odd.take().map_or((Instant::now(), None), |(at, why)| (at, Some(why)));
                 if known.as_ref() != Some(&why) {
-                    tracing::warn!("reload: the old configuration stays: {why}");
+                    tracing::warn!(reason = %why, "configuration reload failed, keeping the previous one");
                 }
                 self.odd = Some((since, why)).filter(|_| since.elapsed() < PATIENCE);
             }
@@ -61,9 +61,9 @@
             ("settings", new.settings.0 != config.settings.0),
         ];
         for (field, _) in left.iter().filter(|(_, changed)| *changed) {
-            tracing::warn!("reload: field {field} has changed, which takes effect at the next start only");
+            tracing::warn!(field, "changed setting takes effect at the next start");
         }
-        tracing::info!("reload: the event bus is at {}", new.bus);
+        tracing::info!(event_bus = %new.bus, "configuration reloaded");
         self.bus.move_to(new.bus);
         config.bus = new.bus;
     }
--- a/crates/server/src/session/responder.rs
+++ b/crates/server/src/session/responder.rs
@@ -55,12 +55,7 @@
         let answered = self.client.answer(self.message, reply);
         if answered {
             let late = clock::now() - self.deadline;
-            tracing::debug!(
-                "job {}: answered {}, {:.1} ms past its time",
-                self.id,
-                reply.kind(),
-                late.as_millis_f64()
-            );
+            tracing::debug!(job = %self.id, answer = reply.kind(), overdue_ms = late.as_millis_f64(), "job answered");
             if late > TimeDelta(0) {
                 counters::LATE_ANSWERS.add();
             }
@@ -77,7 +72,7 @@
     fn still_wanted(&self) -> bool {
         let owed = self.job.get().is_some_and(|job| self.client.waits_for(self.message, *job));
         if owed && self.client.has_withdrawn(self.message) {
-            tracing::debug!("job {}: withdrawn by what is not read yet", self.id);
+            tracing::debug!(job = %self.id, "job cancelled by unread bytes");
             self.client.forget(self.message);
         }
         !self.wanted.is_cancelled()
--- a/crates/server/src/telemetry/invariants.rs
+++ b/crates/server/src/telemetry/invariants.rs
@@ -41,7 +41,7 @@
 /// Counts a violation and says whose job it concerns, or what was under way.
 pub fn violated(invariant: Invariant, by: &str) {
     VIOLATIONS[invariant as usize].fetch_add(1, Relaxed);
-    tracing::error!("invariant {invariant:?} violated by {by}");
+    tracing::error!(?invariant, subject = by, "invariant violated");
 }
 
 pub fn violations() -> u64 {
