--- a/crates/server/src/codec/engine.rs
+++ b/crates/server/src/codec/engine.rs
@@ -1,135 +1,310 @@
-//! The line protocol of the engines.
+//! Encoding of requests to engines and parsing of their messages.
+//!
+//! A message of an engine is a line `<id> <kind> <fields> <payload length>`, the payload and a line end. The words of
+//! the protocol appear in this module only.
 
 use pebblevane::interface::{ActualCost, LoadReport, ProgressUpdate};
 use pebblevane::time::TimeDelta;
+use thiserror::Error;
 
-const LONGEST_LINE: usize = 4096;
-const LONGEST_PAGE: usize = 6_000;
-const COLUMNS: usize = 3;
+const MAX_LINE_BYTES: usize = 4096;
+const MAX_PAYLOAD_BYTES: usize = 6_000;
+const COLUMNS_PER_ROW: usize = 3;
+const LINE_END: &[u8] = b"\r\n";
 
-pub fn request(id: &str, class: &str, limit_ms: i64, rank: Option<u8>, statement: &[u8]) -> Vec<u8> {
-    let urgency = rank.map(|rank| format!(",urgency={rank}")).unwrap_or_default();
-    let head = format!("REQ {id} cls={class},limit={limit_ms}{urgency} {}\r\n", statement.len());
-    [head.as_bytes(), statement, b"\r\n"].concat()
-}
+const KIND_REQUEST: &str = "REQ";
+const KIND_STOP: &str = "STOP";
+const KIND_FETCH: &str = "FETCH";
+const KIND_END: &str = "END";
+const KIND_STATUS: &str = "STAT";
+const KIND_HELLO: &str = "HELO";
 
-pub fn stop(id: &str) -> Vec<u8> {
-    format!("STOP {id}\r\n").into()
-}
+const KIND_HIT: &str = "HIT";
+const KIND_PART: &str = "PART";
+const KIND_INFO: &str = "INFO";
+const KIND_SHED: &str = "SHED";
+const KIND_FAULT: &str = "FAULT";
+const KIND_LATE: &str = "LATE";
+const KIND_PONG: &str = "PONG";
+const KIND_SICK: &str = "SICK";
 
-pub fn fetch(id: &str, page: u32) -> Vec<u8> {
-    format!("FETCH {id} {page}\r\n").into()
-}
+const FIELD_CLASS: &str = "cls";
+const FIELD_TIMEOUT_MS: &str = "limit";
+const FIELD_PRIORITY: &str = "urgency";
 
-pub fn end(id: &str) -> Vec<u8> {
-    format!("END {id}\r\n").into()
-}
+const FIELD_PAGE_COUNT: &str = "sheets";
+const FIELD_PAGE_NUMBER: &str = "sheet";
+const FIELD_WORK_MS: &str = "toil";
+const FIELD_MEMORY_MB: &str = "room";
+const FIELD_LOAD_REPORT: &str = "meter";
 
-/// Asks for a load report, or only whether the engine is well.
-pub fn probe(tag: &str, report: bool) -> Vec<u8> {
-    format!("{} {tag}\r\n", if report { "STAT" } else { "HELO" }).into()
+const FIELD_PROGRESS_KIND: &str = "tell";
+const FIELD_PROGRESS_VALUE: &str = "val";
+const PROGRESS_ADVANCE: &str = "advance";
+const PROGRESS_DISK: &str = "disk";
+const PROGRESS_STALL: &str = "stall";
+const STALL_FOR_MEMORY: f64 = 1.0;
+const STALL_FOR_BULK_LOAD: f64 = 2.0;
+
+const REPORT_JOBS_IN_FLIGHT: [&str; 2] = ["inflight", "concurrent"];
+const REPORT_PROCESSOR_UTILIZATION: [&str; 2] = ["util", "load_share"];
+const REPORT_MEMORY_UTILIZATION: [&str; 1] = ["x0"];
+
+/// What a health check asks of an engine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HealthCheckKind {
+    /// Whether the engine answers at all.
+    Liveness,
+    /// A load report as well.
+    LoadReport,
 }
 
-/// An answer, without the id that it is for.
+/// A message of an engine, without the id of the request that it answers.
 #[derive(Debug, PartialEq)]
 pub enum EngineMessage {
-    /// Page 0, the number of all pages, and work (ms) and memory (MB) that the job needed.
-    Hit {
+    /// The job has completed; the result's other pages can be fetched.
+    FirstPage {
+        /// Page 0: whole rows.
         page: Vec<u8>,
-        sheets: u32,
-        bill: Option<ActualCost>,
-        report: Option<LoadReport>,
+        /// Number of pages of the result, this one included.
+        page_count: u32,
+        /// What the job cost, if the engine says so.
+        actual_cost: Option<ActualCost>,
+        /// The engine's load, if it reports one.
+        load_report: Option<LoadReport>,
     },
-    Part {
+    /// A page that was fetched.
+    FurtherPage {
+        /// Whole rows.
         page: Vec<u8>,
-        sheet: u32,
+        /// Position of the page in the result; the first page has 0.
+        page_number: u32,
     },
-    Info(Option<ProgressUpdate>),
-    Shed(Option<LoadReport>),
-    Fault(Option<LoadReport>),
-    Late(Option<LoadReport>),
-    Pong(Option<LoadReport>),
-    Sick(Option<LoadReport>),
-}
-
-/// The first answer with its id, and how many bytes it takes; none if it has not come whole. What can't become
-/// an answer is told as soon as it shows.
-pub fn next(bytes: &[u8]) -> Result<Option<(usize, String, EngineMessage)>, &'static str> {
-    let Some(end) = bytes.iter().take(LONGEST_LINE).position(|byte| *byte == b'\n') else {
-        return if bytes.len() < LONGEST_LINE { Ok(None) } else { Err("a line that does not end") };
+    /// The job makes progress; none if the update is of an unknown kind.
+    Progress(Option<ProgressUpdate>),
+    /// The engine lacks the capacity for the request and did not run it.
+    Overloaded(Option<LoadReport>),
+    /// The request failed; it may have run.
+    Failed(Option<LoadReport>),
+    /// The request came after its deadline and did not run.
+    Expired(Option<LoadReport>),
+    /// A health check found the engine healthy.
+    Healthy(Option<LoadReport>),
+    /// A health check found the engine unhealthy.
+    Unhealthy(Option<LoadReport>),
+}
+
+/// A message that was parsed from the bytes of a connection.
+#[derive(Debug, PartialEq)]
+pub struct ParsedMessage {
+    /// Bytes that the message takes on the wire.
+    pub length: usize,
+    /// The id of the request that it answers.
+    pub id: String,
+    /// The message itself.
+    pub message: EngineMessage,
+}
+
+/// Why the bytes of an engine can't be parsed. The connection is of no use after that.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum EngineProtocolError {
+    /// The line is longer than any line may be.
+    #[error("a line that does not end")]
+    UnterminatedLine,
+    /// The line isn't UTF-8 or doesn't end with CR LF.
+    #[error("a line that is no text")]
+    LineNotText,
+    /// The line doesn't consist of an id, a kind, fields and a length.
+    #[error("a line without four words")]
+    MalformedLine,
+    /// The payload's length is no number or beyond the limit.
+    #[error("a length that is odd or too long")]
+    InvalidLength,
+    /// The payload is not followed by a line end.
+    #[error("a payload that does not end where it should")]
+    UnterminatedPayload,
+    /// The payload isn't made of whole rows with the expected number of columns.
+    #[error("a payload that is not made of whole rows")]
+    MalformedRows,
+    /// The number of pages is no number.
+    #[error("an odd number of pages")]
+    InvalidPageCount,
+    /// A further page doesn't say which one it is.
+    #[error("a page without its number")]
+    MissingPageNumber,
+    /// The kind of the message is none that this program knows.
+    #[error("an unknown word")]
+    UnknownKind,
+}
+
+/// Encodes a request that times out at the engine after `timeout` (at least 1 ms).
+pub fn encode_request(
+    id: &str,
+    class: &str,
+    timeout: TimeDelta,
+    priority: Option<u8>,
+    statement: &[u8],
+) -> Vec<u8> {
+    let timeout_ms = (timeout.as_millis_f64().floor() as i64).max(1);
+    let priority = priority.map(|priority| format!(",{FIELD_PRIORITY}={priority}")).unwrap_or_default();
+    let length = statement.len();
+    let line = format!(
+        "{KIND_REQUEST} {id} {FIELD_CLASS}={class},{FIELD_TIMEOUT_MS}={timeout_ms}{priority} {length}\r\n"
+    );
+    [line.as_bytes(), statement, LINE_END].concat()
+}
+
+/// Encodes the cancellation of a request that has not completed.
+pub fn encode_stop(id: &str) -> Vec<u8> {
+    format!("{KIND_STOP} {id}\r\n").into()
+}
+
+/// Encodes the request for a further page of a result.
+pub fn encode_fetch(id: &str, page_number: u32) -> Vec<u8> {
+    format!("{KIND_FETCH} {id} {page_number}\r\n").into()
+}
+
+/// Encodes that a result is not needed any more.
+pub fn encode_end(id: &str) -> Vec<u8> {
+    format!("{KIND_END} {id}\r\n").into()
+}
+
+/// Encodes a health check under this id.
+pub fn encode_health_check(id: &str, kind: HealthCheckKind) -> Vec<u8> {
+    let word = match kind {
+        HealthCheckKind::Liveness => KIND_HELLO,
+        HealthCheckKind::LoadReport => KIND_STATUS,
+    };
+    format!("{word} {id}\r\n").into()
+}
+
+/// Parses the first message; none if it has not arrived in full.
+///
+/// # Errors
+/// Bytes that can't become a message, as soon as that shows.
+pub fn parse_message(bytes: &[u8]) -> Result<Option<ParsedMessage>, EngineProtocolError> {
+    let Some(line_length) = bytes.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n') else {
+        let too_long = bytes.len() >= MAX_LINE_BYTES;
+        return if too_long { Err(EngineProtocolError::UnterminatedLine) } else { Ok(None) };
     };
-    let line = bytes[..end].strip_suffix(b"\r").and_then(|line| std::str::from_utf8(line).ok());
-    let words: Vec<&str> = line.ok_or("a line that is no text")?.split(' ').collect();
-    let [id, word, fields, length] = words[..] else { return Err("a line without four words") };
-    let length = length.parse::<usize>().ok().filter(|length| *length <= LONGEST_PAGE);
-    let all = end + 1 + length.ok_or("a length that is odd or too long")? + 2;
-    let Some(payload) = bytes.get(end + 1..all) else { return Ok(None) };
-    let page = payload.strip_suffix(b"\r\n").ok_or("a payload that does not end where it should")?;
+    let line = parse_line(&bytes[..line_length])?;
+    let payload_start = line_length + 1;
+    let length = payload_start + line.payload_length + LINE_END.len();
+    let Some(payload) = bytes.get(payload_start..length) else { return Ok(None) };
+    let page = payload.strip_suffix(LINE_END).ok_or(EngineProtocolError::UnterminatedPayload)?;
     if !is_page(page) {
-        return Err("a payload that is not made of whole rows");
+        return Err(EngineProtocolError::MalformedRows);
     }
-    let page = page.to_vec();
-    let get = |name: &str| {
-        let fields = fields.split(',').filter_map(|field| field.split_once('='));
-        fields.into_iter().find(|(told, _)| *told == name).map(|(_, value)| value)
-    };
-    let number = |name: &str| get(name).and_then(|value| value.parse::<f64>().ok()).filter(|x| x.is_finite());
-    let report = || get("meter").and_then(report);
-    let word = match word {
-        "HIT" => EngineMessage::Hit {
-            page,
-            sheets: match get("sheets") {
-                None => 1,
-                Some(told) => told.parse().map_err(|_| "an odd number of pages")?,
-            },
-            bill: number("toil").zip(number("room")).map(|(work_ms, memory_mb)| ActualCost {
-                work: TimeDelta::from_millis_f64(work_ms),
-                memory_mb,
-            }),
-            report: report(),
-        },
-        "PART" => {
-            let sheet = get("sheet").and_then(|told| told.parse().ok());
-            EngineMessage::Part { page, sheet: sheet.ok_or("a page without its number")? }
-        }
-        "INFO" => EngineMessage::Info(match (get("tell"), number("val")) {
-            (Some("advance"), Some(share)) => Some(ProgressUpdate::CompletedFraction(share)),
-            (Some("disk"), Some(missing)) => Some(ProgressUpdate::SpillingToDisk(missing)),
-            (Some("stall"), Some(1.0)) => Some(ProgressUpdate::WaitingForMemory),
-            (Some("stall"), Some(2.0)) => Some(ProgressUpdate::WaitingForBulkLoad),
+    let message = parse_body(line.kind, &line.fields, page)?;
+    Ok(Some(ParsedMessage { length, id: line.id.to_string(), message }))
+}
+
+/// The four parts of a message's line.
+struct Line<'a> {
+    id: &'a str,
+    kind: &'a str,
+    fields: Fields<'a>,
+    payload_length: usize,
+}
+
+/// The fields of a line, as in `sheets=2,toil=12.5`.
+struct Fields<'a>(&'a str);
+
+impl<'a> Fields<'a> {
+    fn text(&self, name: &str) -> Option<&'a str> {
+        let mut pairs = self.0.split(',').filter_map(|pair| pair.split_once('='));
+        pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
+    }
+
+    fn number(&self, name: &str) -> Option<f64> {
+        let value = self.text(name)?.parse::<f64>().ok()?;
+        value.is_finite().then_some(value)
+    }
+
+    fn load_report(&self) -> Option<LoadReport> {
+        self.text(FIELD_LOAD_REPORT).and_then(parse_load_report)
+    }
+
+    fn actual_cost(&self) -> Option<ActualCost> {
+        let work_ms = self.number(FIELD_WORK_MS)?;
+        let memory_mb = self.number(FIELD_MEMORY_MB)?;
+        Some(ActualCost { work: TimeDelta::from_millis_f64(work_ms), memory_mb })
+    }
+
+    fn page_count(&self) -> Result<u32, EngineProtocolError> {
+        let Some(count) = self.text(FIELD_PAGE_COUNT) else { return Ok(1) };
+        count.parse().map_err(|_| EngineProtocolError::InvalidPageCount)
+    }
+
+    fn page_number(&self) -> Result<u32, EngineProtocolError> {
+        let number = self.text(FIELD_PAGE_NUMBER).and_then(|number| number.parse().ok());
+        number.ok_or(EngineProtocolError::MissingPageNumber)
+    }
+
+    fn progress(&self) -> Option<ProgressUpdate> {
+        let value = self.number(FIELD_PROGRESS_VALUE)?;
+        match self.text(FIELD_PROGRESS_KIND)? {
+            PROGRESS_ADVANCE => Some(ProgressUpdate::CompletedFraction(value)),
+            PROGRESS_DISK => Some(ProgressUpdate::SpillingToDisk(value)),
+            PROGRESS_STALL if value == STALL_FOR_MEMORY => Some(ProgressUpdate::WaitingForMemory),
+            PROGRESS_STALL if value == STALL_FOR_BULK_LOAD => Some(ProgressUpdate::WaitingForBulkLoad),
             _ => None,
-        }),
-        "SHED" => EngineMessage::Shed(report()),
-        "FAULT" => EngineMessage::Fault(report()),
-        "LATE" => EngineMessage::Late(report()),
-        "PONG" => EngineMessage::Pong(report()),
-        "SICK" => EngineMessage::Sick(report()),
-        _ => return Err("an unknown word"),
-    };
-    Ok(Some((all, id.to_string(), word)))
+        }
+    }
+}
+
+fn parse_line(line: &[u8]) -> Result<Line<'_>, EngineProtocolError> {
+    let text = line.strip_suffix(b"\r").and_then(|line| std::str::from_utf8(line).ok());
+    let text = text.ok_or(EngineProtocolError::LineNotText)?;
+    let parts: Vec<&str> = text.split(' ').collect();
+    let [id, kind, fields, length] = parts[..] else { return Err(EngineProtocolError::MalformedLine) };
+    let length = length.parse::<usize>().ok().filter(|length| *length <= MAX_PAYLOAD_BYTES);
+    let payload_length = length.ok_or(EngineProtocolError::InvalidLength)?;
+    Ok(Line { id, kind, fields: Fields(fields), payload_length })
+}
+
+fn parse_body(kind: &str, fields: &Fields, page: &[u8]) -> Result<EngineMessage, EngineProtocolError> {
+    Ok(match kind {
+        KIND_HIT => EngineMessage::FirstPage {
+            page: page.to_vec(),
+            page_count: fields.page_count()?,
+            actual_cost: fields.actual_cost(),
+            load_report: fields.load_report(),
+        },
+        KIND_PART => EngineMessage::FurtherPage { page: page.to_vec(), page_number: fields.page_number()? },
+        KIND_INFO => EngineMessage::Progress(fields.progress()),
+        KIND_SHED => EngineMessage::Overloaded(fields.load_report()),
+        KIND_FAULT => EngineMessage::Failed(fields.load_report()),
+        KIND_LATE => EngineMessage::Expired(fields.load_report()),
+        KIND_PONG => EngineMessage::Healthy(fields.load_report()),
+        KIND_SICK => EngineMessage::Unhealthy(fields.load_report()),
+        _ => return Err(EngineProtocolError::UnknownKind),
+    })
 }
 
-/// Whole rows of text, a tab between columns and a line feed after each row.
+/// Whether these are whole rows of text, with a tab between columns and a line feed after each row.
 fn is_page(page: &[u8]) -> bool {
-    let row = |row: &str| {
-        let columns = row.strip_suffix('\n').map(|row| row.split('\t').collect::<Vec<&str>>());
-        columns.is_some_and(|columns| {
-            columns.len() == COLUMNS && !columns.iter().any(|text| text.chars().any(char::is_control))
-        })
+    std::str::from_utf8(page).is_ok_and(|text| text.split_inclusive('\n').all(is_row))
+}
+
+fn is_row(row: &str) -> bool {
+    let Some(row) = row.strip_suffix('\n') else { return false };
+    let columns: Vec<&str> = row.split('\t').collect();
+    columns.len() == COLUMNS_PER_ROW && !columns.iter().any(|column| column.chars().any(char::is_control))
+}
+
+/// Parses a load report as in `inflight:7;util:0.61`; none if it holds no numbers.
+fn parse_load_report(text: &str) -> Option<LoadReport> {
+    let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
+    let numbers = pairs.filter_map(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
+    let numbers: Vec<(&str, f64)> = numbers.filter(|(_, value)| value.is_finite()).collect();
+    let value = |names: &[&str]| {
+        let number = numbers.iter().find(|(name, _)| names.contains(name));
+        number.map(|(_, value)| *value)
     };
-    std::str::from_utf8(page).is_ok_and(|text| text.split_inclusive('\n').all(row))
-}
-
-/// A load report as in `inflight:7;util:0.61`; none if it holds no numbers.
-fn report(fields: &str) -> Option<LoadReport> {
-    let pairs = fields.split(';').filter_map(|pair| pair.split_once(':'));
-    let values = pairs.filter_map(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
-    let values: Vec<(&str, f64)> = values.filter(|(_, value)| value.is_finite()).collect();
-    let value =
-        |names: &[&str]| values.iter().find(|(name, _)| names.contains(name)).map(|(_, value)| *value);
-    (!values.is_empty()).then(|| LoadReport {
-        jobs_in_flight: value(&["inflight", "concurrent"]),
-        processor_utilization: value(&["util", "load_share"]),
-        memory_utilization: value(&["x0"]),
+    (!numbers.is_empty()).then(|| LoadReport {
+        jobs_in_flight: value(&REPORT_JOBS_IN_FLIGHT),
+        processor_utilization: value(&REPORT_PROCESSOR_UTILIZATION),
+        memory_utilization: value(&REPORT_MEMORY_UTILIZATION),
     })
 }
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -7,7 +7,7 @@
 use crate::discovery::event_bus::EndpointListener;
 use crate::discovery::start_clock::StartClock;
 use crate::engine::dispatch_ledger::DispatchLedger;
-use crate::engine::handle::EngineHandle;
+use crate::engine::handle::{EngineHandle, HealthCheckResult};
 use crate::engine::registry::EngineRegistry;
 use crate::job::task::{AdmittedJob, JobTask};
 use crate::job::worker_pool::Workers;
@@ -368,24 +368,21 @@
     }
 
     fn probe(&mut self, id: EngineId) {
-        let outcome = |verdict: DispatchStatus, report: Option<LoadReport>, took: TimeDelta| DispatchResult {
-            status: verdict,
-            elapsed: took,
+        let outcome = |result: HealthCheckResult| DispatchResult {
+            status: result.status,
+            elapsed: result.elapsed,
             job_finished: false,
             engine_reachable: false,
             actual_cost: None,
-            load_report: report,
+            load_report: result.load_report,
         };
         let handle = self.handle.clone();
-        let told = move |verdict: DispatchStatus, report: Option<LoadReport>, took: TimeDelta| {
-            handle.call(ControllerEvent::HealthCheckCallback {
-                engine: id,
-                outcome: outcome(verdict, report, took),
-            });
+        let told = move |result: HealthCheckResult| {
+            handle.call(ControllerEvent::HealthCheckCallback { engine: id, outcome: outcome(result) });
         };
-        let taken = self.engines.get(&id).is_some_and(|known| known.engine.probe(Box::new(told)));
+        let taken = self.engines.get(&id).is_some_and(|known| known.engine.check_health(Box::new(told)));
         if !taken {
-            let outcome = outcome(DispatchStatus::TimedOut, None, TimeDelta::default());
+            let outcome = outcome(HealthCheckResult::unanswered(DispatchStatus::TimedOut));
             let now = clock::now();
             let decided = self.logic.health_check_finished(now, id, outcome);
             self.carry_out(now, decided);
@@ -453,7 +450,7 @@
         if let Some(known) = self.engines.get_mut(&id).filter(same) {
             let before = known.started.map(|start| start.stamp);
             if let Some(start) = started.filter(|start| before != Some(start.stamp)) {
-                known.engine.restarted(start.at);
+                known.engine.engine_restarted(start.at);
             }
             (known.started, known.stage) = (started, stage);
         } else {
@@ -462,12 +459,12 @@
             for old in
                 self.engines.values().filter(|old| old.address == address && stage == LifecycleState::Running)
             {
-                old.engine.gone();
+                old.engine.engine_removed();
             }
             let engine = EngineHandle::new(&self.owners, self.numbers.name(id), address);
             self.engines.insert(id, KnownEngine { engine, address, started, stage });
         }
-        self.engines[&id].engine.open(stage == LifecycleState::Running);
+        self.engines[&id].engine.set_accepts_dispatches(stage == LifecycleState::Running);
         if stage == LifecycleState::Gone {
             self.forget(id);
         }
@@ -476,7 +473,7 @@
     /// Nothing is sent there any more; what is still out there ends by itself.
     fn forget(&mut self, id: EngineId) {
         if let Some(old) = self.engines.remove(&id) {
-            old.engine.gone();
+            old.engine.engine_removed();
         }
     }
 }
@@ -508,7 +505,7 @@
         match answer {
             FinalAnswer::Rejected { retry_after } => {
                 counters::THROTTLED.add();
-                self.ledger.throttled();
+                self.ledger.check_rejection();
                 self.responder.answer(&Reply::Throttled(retry_after));
             }
             FinalAnswer::Cancelled => {
--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -9,6 +9,15 @@
 /// An engine may be told so much more time than the client has left.
 const DEADLINE_SLACK: TimeDelta = TimeDelta(150_000);
 
+/// Whether an engine may have run a dispatch that was sent to it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Execution {
+    /// Its end proves that it never ran.
+    NeverRan,
+    /// It may have run, at least in part.
+    MayHaveRun,
+}
+
 pub struct DispatchLedger {
     id: Box<str>,
     rules: RetrySemantics,
@@ -36,7 +45,7 @@
     }
 
     /// A dispatch is about to leave that tells its engine this deadline. Says whether it may, and enters it if so.
-    pub fn leaves(&self, now: Timestamp, deadline: Timestamp) -> bool {
+    pub fn try_record_send(&self, now: Timestamp, deadline: Timestamp) -> bool {
         let mut entries = self.entries();
         let first = entries.may_have_run;
         let broken = match self.rules {
@@ -56,22 +65,22 @@
     }
 
     /// Not a byte of it has left after all.
-    pub fn stayed(&self) {
+    pub fn record_unsent(&self) {
         let mut entries = self.entries();
         entries.out = entries.out.saturating_sub(1);
     }
 
     /// A dispatch that had left has ended.
-    pub fn ended(&self, sent: Timestamp, may_have_run: bool) {
+    pub fn record_end(&self, sent: Timestamp, execution: Execution) {
         let mut entries = self.entries();
         entries.out = entries.out.saturating_sub(1);
-        if may_have_run {
+        if execution == Execution::MayHaveRun {
             entries.may_have_run.get_or_insert(sent);
         }
     }
 
     /// The job is about to be answered as throttled, which says that trying again is harmless.
-    pub fn throttled(&self) {
+    pub fn check_rejection(&self) {
         let entries = self.entries();
         let may_have_run = entries.out > 0 || entries.may_have_run.is_some();
         let harmless = match self.rules {
--- a/crates/server/src/engine/handle.rs
+++ b/crates/server/src/engine/handle.rs
@@ -40,36 +40,58 @@
 /// What a job hears of its dispatch.
 #[derive(Debug)]
 pub enum DispatchEvent {
-    EngineMessage(EngineMessage),
-    /// The dispatch ended with its connection, or never had one; and whether the engine has taken a new
-    /// connection since.
-    Lost(DispatchStatus, bool),
+    Message(EngineMessage),
+    /// The dispatch ended with its connection, or was never sent.
+    Lost {
+        /// `ConnectionLost` or `Unreachable`.
+        status: DispatchStatus,
+        /// The engine is not at fault: it has accepted a new connection since, or the dispatch was withheld here.
+        engine_reachable: bool,
+    },
 }
 
 /// A dispatch as the engine is to read it.
-pub struct Request {
+pub struct EngineRequest {
     pub id: Box<str>,
     pub class: Arc<str>,
     /// When the dispatch times out.
-    pub ends: Timestamp,
+    pub deadline: Timestamp,
     /// Its first byte leaves before this or never.
     pub begin_by: Timestamp,
-    pub wanted: Arc<dyn ClientLiveness>,
+    pub liveness: Arc<dyn ClientLiveness>,
     pub ledger: Arc<DispatchLedger>,
-    pub rank: Option<u8>,
+    pub priority: Option<u8>,
     pub statement: Arc<[u8]>,
 }
 
-/// Takes how a probe came out, and its time from the first byte written to the last one read.
-pub type HealthCheckCallback = Box<dyn FnOnce(DispatchStatus, Option<LoadReport>, TimeDelta) + Send>;
+/// How a health check ended.
+#[derive(Clone, Copy, Debug)]
+pub struct HealthCheckResult {
+    /// `Completed` if the engine is healthy.
+    pub status: DispatchStatus,
+    /// The engine's load, if it reported one.
+    pub load_report: Option<LoadReport>,
+    /// Time from the first byte written to the last one read; zero without an answer.
+    pub elapsed: TimeDelta,
+}
+
+impl HealthCheckResult {
+    /// The result of a check that got no answer.
+    pub fn unanswered(status: DispatchStatus) -> HealthCheckResult {
+        HealthCheckResult { status, load_report: None, elapsed: TimeDelta::default() }
+    }
+}
+
+/// Is called once with the result of a health check.
+pub type HealthCheckCallback = Box<dyn FnOnce(HealthCheckResult) + Send>;
 
 /// What an engine's owner is to do.
 pub enum PoolCommand {
     Send {
         number: u64,
-        request: Request,
+        request: EngineRequest,
         gate: Arc<SendGate>,
-        words: Sender<DispatchEvent>,
+        events: Sender<DispatchEvent>,
     },
     Probe {
         number: u64,
@@ -117,7 +139,7 @@
     number: u64,
     engine: Arc<EngineHandle>,
     gate: Arc<SendGate>,
-    pub words: Receiver<DispatchEvent>,
+    pub events: Receiver<DispatchEvent>,
 }
 
 impl EngineHandle {
@@ -129,58 +151,58 @@
     }
 
     /// Whether dispatches may leave; one that still waits then never does, and its job is told at once.
-    pub fn open(&self, open: bool) {
-        if self.open.swap(open, SeqCst) && !open {
+    pub fn set_accepts_dispatches(&self, accepts: bool) {
+        if self.open.swap(accepts, SeqCst) && !accepts {
             self.owners.tell(self.key, |news| news.closed = true);
         }
     }
 
-    pub fn send(self: &Arc<Self>, request: Request) -> DispatchHandle {
-        let (words, heard) = bounded(WORDS);
+    pub fn send(self: &Arc<Self>, request: EngineRequest) -> DispatchHandle {
+        let (event_sender, events) = bounded(WORDS);
         let (number, gate) = (self.numbers.fetch_add(1, SeqCst), Arc::new(SendGate::default()));
-        let order = PoolCommand::Send { number, request, gate: gate.clone(), words };
+        let order = PoolCommand::Send { number, request, gate: gate.clone(), events: event_sender };
         self.owners.order(self.key, order);
-        DispatchHandle { number, engine: self.clone(), gate, words: heard }
+        DispatchHandle { number, engine: self.clone(), gate, events }
     }
 
     /// Sends a probe; `told` is handed its result. Says whether the engine's owner could take it.
-    pub fn probe(&self, told: HealthCheckCallback) -> bool {
+    pub fn check_health(&self, told: HealthCheckCallback) -> bool {
         let number = self.numbers.fetch_add(1, SeqCst);
         self.owners.try_order(self.key, PoolCommand::Probe { number, told })
     }
 
-    pub fn restarted(&self, at: Timestamp) {
+    pub fn engine_restarted(&self, at: Timestamp) {
         self.owners.tell(self.key, |news| news.restarted = Some(at));
     }
 
-    pub fn gone(&self) {
+    pub fn engine_removed(&self) {
         self.open.store(false, SeqCst);
         self.owners.tell(self.key, |news| (news.closed, news.gone) = (true, true));
     }
 }
 
 impl DispatchHandle {
-    pub fn fetch(&self, page: u32) {
+    pub fn fetch_page(&self, page: u32) {
         self.engine.owners.order(self.engine.key, PoolCommand::Fetch { number: self.number, page });
     }
     /// Keeps it from leaving if it has not yet; says whether that came in time.
-    pub fn withhold(&self) -> bool {
+    pub fn forbid_sending(&self) -> bool {
         // Whatever happens, it does not leave from now on.
         self.gate.state.swap(DROPPED, SeqCst) != SENT
     }
     /// Whether a byte of it may have left.
-    pub fn left(&self) -> bool {
+    pub fn may_have_been_sent(&self) -> bool {
         self.gate.left.load(SeqCst)
     }
     /// Keeps it from leaving if it has not yet, and changes nothing if it has; says which.
-    pub fn keep_back(&self) -> bool {
+    pub fn withhold_if_queued(&self) -> bool {
         self.gate.pass(DROPPED)
     }
 }
 
 impl DispatchHandle {
     /// Gives it up. What is returned ends once that is written: the job's next dispatch must not overtake it.
-    pub fn give_up(&self) -> Receiver<()> {
+    pub fn cancel(&self) -> Receiver<()> {
         let (done, given_up) = bounded(0);
         self.engine
             .owners
@@ -191,7 +213,7 @@
 
 impl Drop for DispatchHandle {
     fn drop(&mut self) {
-        self.withhold();
+        let _ = self.forbid_sending();
         self.engine.owners.order(self.engine.key, PoolCommand::GiveUp { number: self.number, done: None });
     }
 }
--- a/crates/server/src/engine/pool.rs
+++ b/crates/server/src/engine/pool.rs
@@ -5,11 +5,12 @@
 //! A dispatch has a connection to itself as long as the descriptors allow it, for whatever spoils a connection
 //! ends all that is out on it.
 
-use crate::codec::engine::{self as wire, EngineMessage};
+use crate::codec::engine::{self as wire, EngineMessage, HealthCheckKind};
 use crate::config::connection_settings::ConnectionSettings;
 use crate::engine::connection::{EngineConnection, SPENT};
 use crate::engine::handle::{
-    DROPPED, DispatchEvent, EndpointUpdate, HealthCheckCallback, PoolCommand, QUEUED, Request, SENT, SendGate,
+    DROPPED, DispatchEvent, EndpointUpdate, EngineRequest, HealthCheckCallback, HealthCheckResult,
+    PoolCommand, QUEUED, SENT, SendGate,
 };
 use crate::engine::socket_poller::{ConnectionEvent, ReadHalf, SocketPoller};
 use crate::lifecycle::threads::{STACK_BYTES, SpawnThread};
@@ -83,7 +84,7 @@
 }
 
 enum What {
-    Dispatch { request: Request, gate: Arc<SendGate>, words: Sender<DispatchEvent> },
+    Dispatch { request: EngineRequest, gate: Arc<SendGate>, events: Sender<DispatchEvent> },
     Probe(Option<HealthCheckCallback>),
 }
 
@@ -174,14 +175,16 @@
 
     pub fn carry_out(&mut self, order: PoolCommand, context: &PoolContext) {
         match order {
-            PoolCommand::Send { number, request, gate, words } => {
+            PoolCommand::Send { number, request, gate, events } => {
                 let id = request.id.clone();
-                self.enter(number, id, What::Dispatch { request, gate, words }, context);
+                self.enter(number, id, What::Dispatch { request, gate, events }, context);
             }
             PoolCommand::Probe { number, told } => {
                 self.enter(number, format!("p{number}").into(), What::Probe(Some(told)), context);
             }
-            PoolCommand::Fetch { number, page } => self.plain(number, |id| wire::fetch(id, page), context),
+            PoolCommand::Fetch { number, page } => {
+                self.plain(number, |id| wire::encode_fetch(id, page), context)
+            }
             PoolCommand::GiveUp { number, done } => {
                 self.give_up(number, context);
                 drop(done);
@@ -268,22 +271,34 @@
         let bytes = match &entry.what {
             What::Dispatch { request, gate, .. } => {
                 let now = (context.now)();
-                let over = !request.wanted.still_wanted() || now >= request.begin_by;
+                let over = !request.liveness.still_wanted() || now >= request.begin_by;
                 if over || !self.open.load(SeqCst) || !gate.pass(SENT) {
                     tracing::debug!(job = %request.id, engine = %self.name, "dispatch withheld");
                     gate.pass(DROPPED);
                     return self.lose(number);
                 }
-                if !request.ledger.leaves(now, request.ends) {
+                if !request.ledger.try_record_send(now, request.deadline) {
                     gate.state.store(DROPPED, SeqCst);
                     return self.lose(number);
                 }
                 gate.left.store(true, SeqCst);
                 tracing::debug!(job = %request.id, engine = %self.name, connection = key, "dispatch sent");
-                let limit_ms = ((request.ends - now).as_millis_f64().floor() as i64).max(1);
-                wire::request(&request.id, &request.class, limit_ms, request.rank, &request.statement)
+                wire::encode_request(
+                    &request.id,
+                    &request.class,
+                    request.deadline - now,
+                    request.priority,
+                    &request.statement,
+                )
+            }
+            What::Probe(_) => {
+                let kind = if context.terms.reports {
+                    HealthCheckKind::LoadReport
+                } else {
+                    HealthCheckKind::Liveness
+                };
+                wire::encode_health_check(&entry.id, kind)
             }
-            What::Probe(_) => wire::probe(&entry.id, context.terms.reports),
         };
         if connection.ids.is_empty() {
             connection.rested = connection.used.then(|| connection.since.elapsed());
@@ -311,7 +326,7 @@
                     let next = if again { QUEUED } else { DROPPED };
                     let _ = gate.state.compare_exchange(SENT, next, SeqCst, SeqCst);
                     gate.left.store(false, SeqCst);
-                    request.ledger.stayed();
+                    request.ledger.record_unsent();
                 }
                 self.lost(key, &format!("it takes nothing: {e}"), context);
                 if again {
@@ -378,8 +393,11 @@
     fn dialed(&mut self, dialed: Result<(TcpStream, Permit), String>, context: &PoolContext) {
         self.dialing -= 1;
         let taken = dialed.is_ok();
-        for words in std::mem::take(&mut self.doubtful) {
-            let _ = words.try_send(DispatchEvent::Lost(DispatchStatus::ConnectionLost, taken));
+        for events in std::mem::take(&mut self.doubtful) {
+            let _ = events.try_send(DispatchEvent::Lost {
+                status: DispatchStatus::ConnectionLost,
+                engine_reachable: taken,
+            });
         }
         let connected = dialed.and_then(|(stream, lease)| {
             self.connect(stream, lease, context).map_err(|e| format!("it can't be read: {e}"))
@@ -433,37 +451,37 @@
         match &mut entry.what {
             What::Probe(told) => {
                 let (verdict, report) = match word {
-                    EngineMessage::Pong(report) => (DispatchStatus::Completed, report),
-                    EngineMessage::Sick(report) | EngineMessage::Fault(report) => {
+                    EngineMessage::Healthy(report) => (DispatchStatus::Completed, report),
+                    EngineMessage::Unhealthy(report) | EngineMessage::Failed(report) => {
                         (DispatchStatus::Failed, report)
                     }
-                    EngineMessage::Shed(report) => (DispatchStatus::Overloaded, report),
+                    EngineMessage::Overloaded(report) => (DispatchStatus::Overloaded, report),
                     _ => return,
                 };
                 if let Some(told) = told.take() {
-                    told(
-                        verdict,
-                        report,
-                        TimeDelta(at.saturating_duration_since(entry.sent).as_micros() as i64),
-                    );
+                    told(HealthCheckResult {
+                        status: verdict,
+                        load_report: report,
+                        elapsed: TimeDelta(at.saturating_duration_since(entry.sent).as_micros() as i64),
+                    });
                 }
                 self.leave(number, false);
             }
-            What::Dispatch { words, .. } => {
+            What::Dispatch { events, .. } => {
                 let ends = match &word {
-                    EngineMessage::Hit { sheets, .. } => {
+                    EngineMessage::FirstPage { page_count, .. } => {
                         if std::mem::replace(&mut entry.headed, true) {
                             return counters::STRAY_WORDS.add();
                         }
-                        *sheets <= 1
+                        *page_count <= 1
                     }
-                    EngineMessage::Info(None) => return,
-                    EngineMessage::Info(_) | EngineMessage::Part { .. } => false,
+                    EngineMessage::Progress(None) => return,
+                    EngineMessage::Progress(_) | EngineMessage::FurtherPage { .. } => false,
                     _ => true,
                 };
-                let done = matches!(word, EngineMessage::Hit { .. });
+                let done = matches!(word, EngineMessage::FirstPage { .. });
                 // A job that can't keep up with a flood of notes misses some; its own time-out ends it.
-                if words.try_send(DispatchEvent::EngineMessage(word)).is_err() {
+                if events.try_send(DispatchEvent::Message(word)).is_err() {
                     counters::STRAY_WORDS.add();
                 }
                 if ends {
@@ -508,7 +526,7 @@
             return self.lost(key, "what was out there was given up", context);
         }
         if left {
-            self.plain(number, if headed { wire::end } else { wire::stop }, context);
+            self.plain(number, if headed { wire::encode_end } else { wire::encode_stop }, context);
         }
         self.leave(number, left);
     }
@@ -523,13 +541,16 @@
     fn lose(&mut self, number: u64) {
         let Some(entry) = self.leave(number, true) else { return };
         match entry.what {
-            What::Dispatch { words, gate, .. } => {
+            What::Dispatch { events, gate, .. } => {
                 if entry.connection.is_none() {
                     // What was kept back says nothing of its engine.
                     let kept = gate.state.load(SeqCst) == DROPPED;
-                    let _ = words.try_send(DispatchEvent::Lost(DispatchStatus::Unreachable, kept));
+                    let _ = events.try_send(DispatchEvent::Lost {
+                        status: DispatchStatus::Unreachable,
+                        engine_reachable: kept,
+                    });
                 } else {
-                    self.doubtful.push(words);
+                    self.doubtful.push(events);
                 }
             }
             What::Probe(told) => {
@@ -538,7 +559,7 @@
                 } else {
                     DispatchStatus::Unreachable
                 };
-                told.into_iter().for_each(|told| told(verdict, None, TimeDelta::default()));
+                told.into_iter().for_each(|told| told(HealthCheckResult::unanswered(verdict)));
             }
         }
     }
@@ -548,7 +569,7 @@
         let _ = connection.stream.shutdown(Shutdown::Both);
         counters::LOST_CONNECTIONS.add();
         if !connection.ids.is_empty() {
-            // One that ends at the first words after a rest was stale: others that rest as long may be, too.
+            // One that ends at the first events after a rest was stale: others that rest as long may be, too.
             let at_once = connection.heard <= connection.since && connection.since.elapsed() < AT_ONCE;
             if let Some(rested) = connection.rested.filter(|_| at_once) {
                 self.fresh_for = self.fresh_for.min((rested / 2).max(FRESH));
@@ -562,8 +583,11 @@
         numbers.into_iter().for_each(|number| self.lose(number));
         // A process that has died takes no new connection: that tells its end from a connection's.
         if !self.doubtful.is_empty() && self.dialing == 0 && !self.dial_once(context) {
-            for words in std::mem::take(&mut self.doubtful) {
-                let _ = words.try_send(DispatchEvent::Lost(DispatchStatus::ConnectionLost, false));
+            for events in std::mem::take(&mut self.doubtful) {
+                let _ = events.try_send(DispatchEvent::Lost {
+                    status: DispatchStatus::ConnectionLost,
+                    engine_reachable: false,
+                });
             }
         }
     }
@@ -598,7 +622,7 @@
                 What::Probe(told) if entry.connection.is_some() => {
                     told.take()
                         .into_iter()
-                        .for_each(|told| told(DispatchStatus::TimedOut, None, TimeDelta::default()));
+                        .for_each(|told| told(HealthCheckResult::unanswered(DispatchStatus::TimedOut)));
                     self.leave(number, true);
                 }
                 _ => self.lose(number),
--- a/crates/server/src/engine/registry.rs
+++ b/crates/server/src/engine/registry.rs
@@ -2,7 +2,7 @@
 //! hundreds of gateways and engines on one machine runs out of thread numbers.
 
 use crate::config::connection_settings::ConnectionSettings;
-use crate::engine::handle::{DispatchEvent, EndpointUpdate, PoolCommand};
+use crate::engine::handle::{DispatchEvent, EndpointUpdate, HealthCheckResult, PoolCommand};
 use crate::engine::pool::{EnginePool, PoolContext};
 use crate::engine::socket_poller::SocketPoller;
 use crate::lifecycle::threads::SpawnThread;
@@ -144,10 +144,13 @@
         }
         // The engine has gone: what is ordered now never leaves.
         match order {
-            PoolCommand::Send { words, .. } => {
-                drop(words.try_send(DispatchEvent::Lost(DispatchStatus::Unreachable, false)))
+            PoolCommand::Send { events, .. } => drop(events.try_send(DispatchEvent::Lost {
+                status: DispatchStatus::Unreachable,
+                engine_reachable: false,
+            })),
+            PoolCommand::Probe { told, .. } => {
+                told(HealthCheckResult::unanswered(DispatchStatus::Unreachable))
             }
-            PoolCommand::Probe { told, .. } => told(DispatchStatus::Unreachable, None, TimeDelta::default()),
             _ => {}
         }
     }
--- a/crates/server/src/engine/socket_poller.rs
+++ b/crates/server/src/engine/socket_poller.rs
@@ -68,9 +68,9 @@
             self.since = Instant::now();
             let since = self.since;
             let mut done = 0;
-            while let Some((length, id, word)) = wire::next(&self.bytes[done..])? {
-                done += length;
-                (self.tell)(ConnectionEvent::EngineMessage(id, word, since));
+            while let Some(parsed) = wire::parse_message(&self.bytes[done..]).map_err(|e| e.to_string())? {
+                done += parsed.length;
+                (self.tell)(ConnectionEvent::EngineMessage(parsed.id, parsed.message, since));
             }
             self.bytes.drain(..done);
             if self.bytes.is_empty() {
--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -3,8 +3,8 @@
 use crate::codec::client::Reply;
 use crate::codec::engine::EngineMessage;
 use crate::decision::controller_thread::{ControllerHandle, JobCommand};
-use crate::engine::dispatch_ledger::DispatchLedger;
-use crate::engine::handle::{DispatchEvent, DispatchHandle, Request};
+use crate::engine::dispatch_ledger::{DispatchLedger, Execution};
+use crate::engine::handle::{DispatchEvent, DispatchHandle, EngineRequest};
 use crate::lifecycle::clock;
 use crate::limits::Permit;
 use crate::session::responder::Responder;
@@ -99,7 +99,7 @@
     /// Whether it waits for a connection past the time by which it has to begin: then it never leaves.
     fn waits_too_long(&mut self) -> bool {
         let late = self.begin_by.take_if(|begin_by| *begin_by <= clock::now());
-        late.is_some() && self.out.keep_back()
+        late.is_some() && self.out.withhold_if_queued()
     }
 }
 
@@ -117,7 +117,7 @@
         let mut running: Option<InFlightDispatch> = None;
         loop {
             let (nothing, nobody) = (never(), never());
-            let words = running.as_ref().map_or(&nothing, |running| &running.out.words);
+            let words = running.as_ref().map_or(&nothing, |running| &running.out.events);
             let given_up = self.ending.as_ref().map_or(&nobody, |ending| &ending.given_up);
             let due = running
                 .as_ref()
@@ -136,13 +136,13 @@
                         let (id, class) = (self.job.name.clone(), self.job.class.clone());
                         let (statement, wanted) = (self.job.statement.clone(), self.job.responder.clone());
                         let ledger = self.job.ledger.clone();
-                        let request = Request { id, class, ends, begin_by, wanted, ledger, rank, statement };
+                        let request = EngineRequest { id, class, deadline: ends, begin_by, liveness: wanted, ledger, priority: rank, statement };
                         let (out, begin_by) = (engine.send(request), Some(begin_by));
                         running = Some(InFlightDispatch { out, copy, begun: false, sent, ends, begin_by, result: None });
                     }
                     Ok(JobCommand::Recall { copy }) => {
                         if let Some(recalled) = running.take_if(|running| running.copy == copy) {
-                            let never_left = recalled.out.withhold();
+                            let never_left = recalled.out.forbid_sending();
                             let verdict = if never_left { DispatchStatus::Unreachable } else { DispatchStatus::Cancelled };
                             // What was kept back says nothing of its engine.
                             self.end(recalled, verdict, never_left, None, None);
@@ -153,30 +153,30 @@
                 recv(words) -> heard => {
                     let Some(mut at) = running.take() else { continue };
                     match heard {
-                        Ok(DispatchEvent::EngineMessage(EngineMessage::Info(note))) => {
+                        Ok(DispatchEvent::Message(EngineMessage::Progress(note))) => {
                             at.begun |= matches!(note, Some(ProgressUpdate::CompletedFraction(_) | ProgressUpdate::SpillingToDisk(_)));
                             note.into_iter().for_each(|note| self.module.progress(self.id, at.copy, note));
                             running = Some(at);
                         }
-                        Ok(DispatchEvent::EngineMessage(EngineMessage::Hit { page, sheets, bill, report })) => {
-                            at.result = Some(ResultPages::begin(page, sheets, bill, report));
+                        Ok(DispatchEvent::Message(EngineMessage::FirstPage { page, page_count, actual_cost, load_report })) => {
+                            at.result = Some(ResultPages::begin(page, page_count, actual_cost, load_report));
                             running = self.collect(at);
                         }
-                        Ok(DispatchEvent::EngineMessage(EngineMessage::Part { page, sheet })) => {
+                        Ok(DispatchEvent::Message(EngineMessage::FurtherPage { page, page_number })) => {
                             if let Some(pages) = &mut at.result {
-                                pages.add(page, sheet);
+                                pages.add(page, page_number);
                             }
                             running = self.collect(at);
                         }
                         // Neither proves that nothing ran where the engine has said otherwise before.
-                        Ok(DispatchEvent::EngineMessage(EngineMessage::Shed(report) | EngineMessage::Late(report))) if at.has_begun() => {
+                        Ok(DispatchEvent::Message(EngineMessage::Overloaded(report) | EngineMessage::Expired(report))) if at.has_begun() => {
                             self.settle(at, DispatchStatus::Failed, None, report);
                         }
-                        Ok(DispatchEvent::EngineMessage(EngineMessage::Shed(report))) => self.settle(at, DispatchStatus::Overloaded, None, report),
-                        Ok(DispatchEvent::EngineMessage(EngineMessage::Late(report))) => self.settle(at, DispatchStatus::Expired, None, report),
-                        Ok(DispatchEvent::EngineMessage(EngineMessage::Fault(report))) => self.settle(at, DispatchStatus::Failed, None, report),
-                        Ok(DispatchEvent::Lost(verdict, lively)) => self.end(at, verdict, lively, None, None),
-                        Ok(DispatchEvent::EngineMessage(EngineMessage::Pong(_) | EngineMessage::Sick(_))) => running = Some(at),
+                        Ok(DispatchEvent::Message(EngineMessage::Overloaded(report))) => self.settle(at, DispatchStatus::Overloaded, None, report),
+                        Ok(DispatchEvent::Message(EngineMessage::Expired(report))) => self.settle(at, DispatchStatus::Expired, None, report),
+                        Ok(DispatchEvent::Message(EngineMessage::Failed(report))) => self.settle(at, DispatchStatus::Failed, None, report),
+                        Ok(DispatchEvent::Lost { status, engine_reachable }) => self.end(at, status, engine_reachable, None, None),
+                        Ok(DispatchEvent::Message(EngineMessage::Healthy(_) | EngineMessage::Unhealthy(_))) => running = Some(at),
                         Err(_) => self.settle(at, DispatchStatus::ConnectionLost, None, None),
                     }
                 },
@@ -186,7 +186,7 @@
                     } else if let Some(waits) = running.take_if(|running| running.waits_too_long()) {
                         self.end(waits, DispatchStatus::Unreachable, true, None, None);
                     } else if let Some(late) = running.take_if(|running| running.ends <= clock::now()) {
-                        let never_left = late.out.withhold();
+                        let never_left = late.out.forbid_sending();
                         let verdict = if never_left { DispatchStatus::Unreachable } else { DispatchStatus::TimedOut };
                         self.settle(late, verdict, None, None);
                     }
@@ -206,7 +206,7 @@
         }
         if pages.next < pages.all {
             while pages.asked < pages.all && pages.asked < pages.next + AHEAD {
-                at.out.fetch(pages.asked);
+                at.out.fetch_page(pages.asked);
                 pages.asked += 1;
             }
             return Some(at);
@@ -259,7 +259,7 @@
         );
         // Nothing orders what is written to two engines: this one is to read it before another has the job. The job
         // hears its answer meanwhile.
-        let given_up = if open { at.out.give_up() } else { never() };
+        let given_up = if open { at.out.cancel() } else { never() };
         let until = clock::now() + if open { GIVEN_UP } else { TimeDelta::default() };
         let ending = CancelledDispatch { given_up, until, out: at.out, sent, copy, outcome };
         if open { self.ending = Some(ending) } else { self.told(ending) }
@@ -267,12 +267,13 @@
 
     fn told(&self, ending: CancelledDispatch) {
         let CancelledDispatch { out, sent, copy, outcome, .. } = ending;
-        if out.left() {
+        if out.may_have_been_sent() {
             let never_ran = matches!(
                 outcome.status,
                 DispatchStatus::Overloaded | DispatchStatus::Unreachable | DispatchStatus::Expired
             );
-            self.job.ledger.ended(sent, !never_ran);
+            let execution = if never_ran { Execution::NeverRan } else { Execution::MayHaveRun };
+            self.job.ledger.record_end(sent, execution);
         }
         drop(out);
         self.module.settle(self.id, copy, outcome);
--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/owners.rs
@@ -8,7 +8,7 @@
 use pebblevane_server::config::connection_settings::ConnectionSettings;
 use pebblevane_server::config::retry_semantics::RetrySemantics;
 use pebblevane_server::engine::dispatch_ledger::DispatchLedger;
-use pebblevane_server::engine::handle::{DispatchHandle, EngineHandle, Request};
+use pebblevane_server::engine::handle::{DispatchHandle, EngineHandle, EngineRequest};
 use pebblevane_server::engine::registry::EngineRegistry;
 use pebblevane_server::lifecycle::clock;
 use pebblevane_server::lifecycle::threads;
@@ -55,14 +55,14 @@
         let engine = EngineHandle::new(&owners, "e0", crowded.address.parse().unwrap());
         let wanted = Arc::new(CancellationToken::default());
         let far = clock::now() + TimeDelta(60_000_000);
-        let request = Request {
+        let request = EngineRequest {
             id: "0123456789abcdef".into(),
             class: "load".into(),
-            ends: far,
+            deadline: far,
             begin_by: if what == "late" { clock::now() + TimeDelta(100_000) } else { far },
-            wanted: wanted.clone(),
+            liveness: wanted.clone(),
             ledger: Arc::new(DispatchLedger::new("0123456789abcdef", rules, far)),
-            rank: None,
+            priority: None,
             statement: b"select 1".as_slice().into(),
         };
         let out: DispatchHandle = engine.send(request);
@@ -75,11 +75,11 @@
         let heard = if what == "wanted" {
             "out".to_string()
         } else {
-            format!("{:?}", out.words.recv_timeout(Duration::from_secs(20)).unwrap())
+            format!("{:?}", out.events.recv_timeout(Duration::from_secs(20)).unwrap())
         };
         let mut word = [0; 3];
         let read = if what == "wanted" { stream.read(&mut word).unwrap() } else { 0 };
-        engine.gone();
+        engine.engine_removed();
         drop(out);
         if what != "wanted" {
             // Its owner is over with the job, and closes the connection on which nothing was ever written.
@@ -89,8 +89,8 @@
     }
     expect![[r#"
         wanted: out, "REQ" read
-        left: Lost(Unreachable, true), "" read
-        late: Lost(Unreachable, true), "" read
+        left: Lost { status: Unreachable, engine_reachable: true }, "" read
+        late: Lost { status: Unreachable, engine_reachable: true }, "" read
     "#]]
     .assert_eq(&trace);
 }
@@ -103,14 +103,14 @@
     let owners = start_owners();
     let crowded = Crowded::start();
     let engine = EngineHandle::new(&owners, "refused", crowded.address.parse().unwrap());
-    let request = |id: &str| Request {
+    let request = |id: &str| EngineRequest {
         id: id.into(),
         class: "load".into(),
-        ends: far,
+        deadline: far,
         begin_by: far,
-        wanted: Arc::new(CancellationToken::default()),
+        liveness: Arc::new(CancellationToken::default()),
         ledger: Arc::new(DispatchLedger::new(id, RetrySemantics::RunOnce, far)),
-        rank: None,
+        priority: None,
         statement: b"select 1".as_slice().into(),
     };
     let first = engine.send(request("0000000000000001"));
@@ -120,10 +120,10 @@
             == Err(crossbeam_channel::RecvTimeoutError::Disconnected)
     };
     let behind = EngineHandle::new(&owners, "behind", crowded.address.parse().unwrap());
-    assert!(ended(behind.send(request("0000000000000002")).give_up()));
+    assert!(ended(behind.send(request("0000000000000002")).cancel()));
     REFUSES.store(true, SeqCst);
     let second = engine.send(request("0000000000000003"));
-    assert!(ended(second.give_up()), "the owners do nothing else");
+    assert!(ended(second.cancel()), "the owners do nothing else");
     REFUSES.store(false, SeqCst);
-    assert!(ended(first.give_up()));
+    assert!(ended(first.cancel()));
 }
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -1,5 +1,6 @@
 //! What is decoded from outside bytes: the wire's modules alone, without the program.
 
+use pebblevane_server::codec::engine::EngineMessage;
 use pebblevane_server::codec::{client, engine, event_bus, sql};
 
 /// A generator of chance numbers (xorshift), the same for each run.
@@ -55,14 +56,16 @@
         }
         let bytes = chance.spoil(answer.to_vec());
         let mut rest = &bytes[..];
-        while let Ok(Some((length, _, word))) = engine::next(rest) {
-            if let engine::EngineMessage::Hit { page, .. } | engine::EngineMessage::Part { page, .. } = word {
+        while let Ok(Some(parsed)) = engine::parse_message(rest) {
+            if let EngineMessage::FirstPage { page, .. } | EngineMessage::FurtherPage { page, .. } =
+                parsed.message
+            {
                 let text = String::from_utf8(page).unwrap();
                 assert!(text.is_empty() || text.ends_with('\n'));
                 assert!(text.lines().all(|row| row.split('\t').count() == 3));
                 pages += 1;
             }
-            rest = &rest[length..];
+            rest = &rest[parsed.length..];
         }
         let bytes = chance.spoil(event.to_vec());
         events += usize::from(event_bus::line(&String::from_utf8_lossy(&bytes)).is_ok());
