--- a/crates/server/src/client/acceptor.rs
+++ b/crates/server/src/client/acceptor.rs
@@ -98,7 +98,7 @@
             let until = |number: &usize| self.all.get(number).and_then(|connection| connection.pauses_until);
             let pauses = self.paused.iter().filter_map(until);
             let pauses = pauses.map(|until| until.saturating_duration_since(Instant::now())).min();
-            let stopping = self.shared.health.stopping();
+            let stopping = self.shared.health.schedule();
             let wait = if self.crowded || stopping.is_some() { CROWDED } else { LOOK };
             let wait = pauses.map_or(wait, |pause| pause.min(wait));
             let began = clock::now();
@@ -148,7 +148,7 @@
 
     /// Takes the next steps of a stop; says whether it is over.
     fn stop(&mut self, steps: &ShutdownSchedule, now: Timestamp) -> bool {
-        if now < steps.coming {
+        if now < steps.accept_until {
             return false;
         }
         if self.listener.is_some() {
@@ -164,22 +164,22 @@
             } else {
                 // At the end nobody waits for the rest of a message, or for a first one.
                 let useless = |it: &ClientConnection| {
-                    it.rests() && !it.fresh || now >= steps.answered && it.client.rests()
+                    it.rests() && !it.fresh || now >= steps.answered_by && it.client.rests()
                 };
                 if useless(connection) {
                     self.retire(number, useless, "the program stops");
                 }
             }
         }
-        self.all.is_empty() || now >= steps.over
+        self.all.is_empty() || now >= steps.exit_at
     }
 
     fn accept(&mut self) {
         self.crowded = false;
         loop {
-            let lease = self.shared.sockets.lease(1).or_else(|| {
+            let lease = self.shared.sockets.acquire(1).or_else(|| {
                 self.make_room();
-                self.shared.sockets.lease(1)
+                self.shared.sockets.acquire(1)
             });
             let Some(lease) = lease else {
                 self.crowded = true;
@@ -204,7 +204,7 @@
     fn enter(&mut self, stream: TcpStream, lease: Permit) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         stream.set_nonblocking(true)?;
-        let none = || self.shared.bytes.lease(0).ok_or(ErrorKind::OutOfMemory);
+        let none = || self.shared.bytes.acquire(0).ok_or(ErrorKind::OutOfMemory);
         let (held, out) = (none()?, none()?);
         let number = self.numbers.next().expect("numbers do not end");
         self.poll.registry().register(&mut SourceFd(&stream.as_raw_fd()), Token(number), BOTH)?;
@@ -289,7 +289,7 @@
         self.read(number);
         let Some(connection) = self.all.get(&number).filter(|connection| useless(connection)) else { return };
         if !connection.client.rests() {
-            invariants::violated(Invariant::ClosedAtRest, why);
+            invariants::violated(Invariant::ClosedOnlyWhenIdle, why);
         }
         self.close(number, why);
     }
@@ -308,7 +308,7 @@
 
     fn give_up(&self, client: &ClientSession) {
         for job in client.forget_all() {
-            counters::LEFT.add();
+            counters::JOBS_ABANDONED.increment();
             self.shared.module.gone(job);
         }
     }
@@ -346,7 +346,7 @@
         let mut useless: Vec<((bool, Duration), usize)> = useless.collect();
         useless.sort_unstable_by(|a, b| b.cmp(a));
         for (_, number) in useless.into_iter().take(ROOM.min(CLOSING.saturating_sub(closing))) {
-            counters::MADE_ROOM.add();
+            counters::CONNECTIONS_EVICTED.increment();
             self.retire(number, |connection| rank(connection).is_some(), "it makes room");
         }
     }
--- a/crates/server/src/client/connection.rs
+++ b/crates/server/src/client/connection.rs
@@ -57,9 +57,9 @@
             types,
             rules,
             names: Arc::default(),
-            sockets: ResourceBudget::new(shares.clients),
-            bytes: ResourceBudget::new(shares.bytes),
-            jobs: ResourceBudget::new(shares.jobs),
+            sockets: ResourceBudget::new(shares.client_connections),
+            bytes: ResourceBudget::new(shares.buffer_bytes),
+            jobs: ResourceBudget::new(shares.open_jobs),
         }
     }
 }
@@ -187,7 +187,7 @@
         let (mut done, mut messages, mut broken) = (0, Vec::new(), None);
         loop {
             match wire::frame(&self.bytes[done..]) {
-                Frame::Whole(length) => {
+                Frame::Complete(length) => {
                     let message = wire::decode(&self.bytes[done..done + length], &shared.types);
                     done += length;
                     let Some(message) = message else {
@@ -211,11 +211,11 @@
             }
         }
         for (at, message) in messages.into_iter().enumerate() {
-            if let Message::Job(ask) = &message
-                && taken_back.get(&ask.message).is_some_and(|later| *later > at)
-                && !self.client.is_open(ask.message)
+            if let Message::Submit(ask) = &message
+                && taken_back.get(&ask.request_id).is_some_and(|later| *later > at)
+                && !self.client.is_open(ask.request_id)
             {
-                counters::LEFT.add();
+                counters::JOBS_ABANDONED.increment();
                 continue;
             }
             let used = handle(shared, &self.client, message, arrived)?;
@@ -250,7 +250,7 @@
 ) -> Result<bool, End> {
     // Whatever were answered under the number of an open request would be taken for that one's answer.
     let number = match &message {
-        Message::Job(ask) => Some(ask.message),
+        Message::Submit(ask) => Some(ask.request_id),
         Message::IsWell(id) | Message::Unusable(id, _) => Some(*id),
         Message::Forget(_) | Message::Other => None,
     };
@@ -258,17 +258,17 @@
         return Err("a message id that is open already".into());
     }
     match message {
-        Message::Job(ask) => return Ok(take(shared, client, ask, arrived)),
+        Message::Submit(ask) => return Ok(take(shared, client, ask, arrived)),
         Message::Forget(ids) => {
             for job in ids.into_iter().filter_map(|id| client.forget(id)) {
-                counters::LEFT.add();
+                counters::JOBS_ABANDONED.increment();
                 shared.module.gone(job);
             }
         }
-        Message::IsWell(id) => client.write(id, &Reply::Well(shared.health.is_well())),
+        Message::IsWell(id) => client.write(id, &Reply::Health(shared.health.is_healthy())),
         Message::Unusable(id, why) => {
-            counters::UNUSABLE.add();
-            client.write(id, &Reply::Failed(&why));
+            counters::INVALID_REQUESTS.increment();
+            client.write(id, &Reply::Failed { reason: &why });
             return Ok(false);
         }
         Message::Other => return Ok(false),
@@ -278,44 +278,44 @@
 
 /// Hands a job to the module and to a thread of its own; says whether it could.
 fn take(shared: &Shared, client: &Arc<ClientSession>, ask: ClientRequest, arrived: Timestamp) -> bool {
-    let Some(taken) = shared.names.take(&ask.id) else {
-        counters::UNUSABLE.add();
-        client.write(ask.message, &Reply::Failed("field i is that of an open request"));
+    let Some(taken) = shared.names.take(&ask.job_id) else {
+        counters::INVALID_REQUESTS.increment();
+        client.write(ask.request_id, &Reply::Failed { reason: "field i is that of an open request" });
         return false;
     };
-    let place = client.has_room().then(|| shared.jobs.lease(1)).flatten();
-    let bytes = shared.bytes.lease(ask.statement.len() + USUAL_RESULT);
+    let place = client.has_room().then(|| shared.jobs.acquire(1)).flatten();
+    let bytes = shared.bytes.acquire(ask.statement.len() + USUAL_RESULT);
     let Some((place, bytes)) = place.zip(bytes) else {
         // The one answer that the program gives by itself, for a job that the module never saw.
-        counters::AT_LIMIT.add();
-        client.write(ask.message, &Reply::Throttled(BACK_IN));
+        counters::LOCAL_LIMIT_REJECTIONS.increment();
+        client.write(ask.request_id, &Reply::Rejected { retry_after: BACK_IN });
         return false;
     };
     let job = Job {
-        class: ask.reservation,
-        time_left: ask.left,
-        cost: ask.cost,
+        class: ask.class,
+        time_left: ask.client_timeout,
+        cost: ask.estimated_cost,
         memory_mb: ask.memory_mb,
         table_group: sql::group(&ask.statement).unwrap_or(0),
-        is_retry: ask.repeat,
+        is_retry: ask.is_retry,
         ..Job::default()
     };
-    let deadline = arrived + ask.left;
-    tracing::debug!(job = %ask.id, left_ms = (deadline - clock::now()).as_millis_f64(), "job submitted");
+    let deadline = arrived + ask.client_timeout;
+    tracing::debug!(job = %ask.job_id, left_ms = (deadline - clock::now()).as_millis_f64(), "job submitted");
     let admitted = AdmittedJob {
-        responder: Arc::new(Responder::new(client.clone(), ask.message, &ask.id, taken, deadline)),
-        ledger: Arc::new(DispatchLedger::new(&ask.id, shared.rules[ask.reservation], deadline)),
-        name: ask.id,
-        class: shared.classes[ask.reservation].clone(),
+        responder: Arc::new(Responder::new(client.clone(), ask.request_id, &ask.job_id, taken, deadline)),
+        ledger: Arc::new(DispatchLedger::new(&ask.job_id, shared.rules[ask.class], deadline)),
+        name: ask.job_id,
+        class: shared.classes[ask.class].clone(),
         statement: ask.statement.into(),
         bytes,
         _place: place,
     };
     let taken = shared.module.take(job, arrived, admitted);
     if taken {
-        counters::TAKEN.add()
+        counters::JOBS_ADMITTED.increment()
     } else {
-        counters::AT_LIMIT.add()
+        counters::LOCAL_LIMIT_REJECTIONS.increment()
     }
     taken
 }
--- a/crates/server/src/codec/client.rs
+++ b/crates/server/src/codec/client.rs
@@ -15,7 +15,7 @@
 /// What the bytes at hand hold.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
-    Whole(usize),
+    Complete(usize),
     Partial,
     Broken(&'static str),
 }
@@ -23,7 +23,7 @@
 /// One message of a client.
 #[derive(Debug, PartialEq)]
 pub enum Message {
-    Job(ClientRequest),
+    Submit(ClientRequest),
     Forget(Vec<u32>),
     IsWell(u32),
     /// It can be read but not used.
@@ -35,13 +35,13 @@
 /// A job as the client words it.
 #[derive(Debug, PartialEq)]
 pub struct ClientRequest {
-    pub message: u32,
+    pub request_id: u32,
     /// Goes on to the engines unchanged.
-    pub id: Box<str>,
-    pub reservation: usize,
-    pub left: TimeDelta,
-    pub repeat: bool,
-    pub cost: Option<TimeDelta>,
+    pub job_id: Box<str>,
+    pub class: usize,
+    pub client_timeout: TimeDelta,
+    pub is_retry: bool,
+    pub estimated_cost: Option<TimeDelta>,
     pub memory_mb: Option<f64>,
     pub statement: Box<[u8]>,
 }
@@ -54,7 +54,7 @@
     loop {
         while open[depth] == 0 {
             if depth == 0 {
-                return Frame::Whole(at);
+                return Frame::Complete(at);
             }
             depth -= 1;
         }
@@ -107,7 +107,7 @@
 
 /// Whether one of these messages, the last of which may be cut, takes a request back.
 pub fn takes_back(mut bytes: &[u8], request: u32) -> bool {
-    while let Frame::Whole(length) = frame(bytes) {
+    while let Frame::Complete(length) = frame(bytes) {
         if matches!(decode(&bytes[..length], &[]), Some(Message::Forget(taken)) if taken.contains(&request)) {
             return true;
         }
@@ -134,7 +134,7 @@
                 return unusable(format!("unknown reservation type {}", method.escape_debug()));
             };
             match ask(rest, message, reservation) {
-                Ok(ask) => Some(Message::Job(ask)),
+                Ok(ask) => Some(Message::Submit(ask)),
                 Err(why) => unusable(why),
             }
         }
@@ -181,12 +181,12 @@
     let statement =
         statement.and_then(|length| rest.get(..length as usize)).ok_or_else(|| off("the body"))?;
     Ok(ClientRequest {
-        message,
-        id: id.ok_or_else(|| off("field i"))?,
-        reservation,
-        left: TimeDelta::from_millis_f64(left.ok_or_else(|| off("field d"))?),
-        repeat,
-        cost: cost.map(TimeDelta::from_millis_f64),
+        request_id: message,
+        job_id: id.ok_or_else(|| off("field i"))?,
+        class: reservation,
+        client_timeout: TimeDelta::from_millis_f64(left.ok_or_else(|| off("field d"))?),
+        is_retry: repeat,
+        estimated_cost: cost.map(TimeDelta::from_millis_f64),
         memory_mb: memory.filter(|memory| *memory > 0.0),
         statement: statement.into(),
     })
@@ -200,26 +200,27 @@
 
 /// How an answer to a job reads.
 pub enum Reply<'a> {
-    Done(&'a [u8]),
-    Throttled(TimeDelta),
-    Failed(&'a str),
-    Well(bool),
+    Completed { rows: &'a [u8] },
+    Rejected { retry_after: TimeDelta },
+    Failed { reason: &'a str },
+    Health(bool),
 }
 
 impl Reply<'_> {
     /// Its sort in a word, for the log.
     pub fn kind(&self) -> &'static str {
         match self {
-            Reply::Done(_) => "done",
-            Reply::Throttled(_) => "throttled",
-            Reply::Failed(_) => "failed",
-            Reply::Well(_) => "well",
+            Reply::Completed { .. } => "done",
+            Reply::Rejected { .. } => "throttled",
+            Reply::Failed { .. } => "failed",
+            Reply::Health(_) => "well",
         }
     }
 }
 
 pub fn encode(message: u32, reply: &Reply) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(if let Reply::Done(rows) = reply { rows.len() + 32 } else { 64 });
+    let mut bytes =
+        Vec::with_capacity(if let Reply::Completed { rows } = reply { rows.len() + 32 } else { 64 });
     // A Vec takes every write.
     let _ = write(&mut bytes, message, reply);
     bytes
@@ -229,30 +230,30 @@
     encode::write_array_len(to, 4)?;
     encode::write_uint(to, 1)?;
     encode::write_uint(to, u64::from(message))?;
-    if let Reply::Done(_) | Reply::Well(_) = reply {
+    if let Reply::Completed { .. } | Reply::Health(_) = reply {
         encode::write_nil(to)?;
     }
     encode::write_array_len(to, 2)?;
     match reply {
-        Reply::Done(rows) => encode::write_bin(to, rows)?,
-        Reply::Well(well) => encode::write_bool(to, *well)?,
-        Reply::Throttled(_) => encode::write_str(to, "Busy")?,
-        Reply::Failed(_) => encode::write_str(to, "Failed")?,
+        Reply::Completed { rows } => encode::write_bin(to, rows)?,
+        Reply::Health(healthy) => encode::write_bool(to, *healthy)?,
+        Reply::Rejected { .. } => encode::write_str(to, "Busy")?,
+        Reply::Failed { .. } => encode::write_str(to, "Failed")?,
     }
     match reply {
-        Reply::Throttled(pause) if pause.0 > 0 => {
+        Reply::Rejected { retry_after } if retry_after.0 > 0 => {
             encode::write_map_len(to, 1)?;
             encode::write_str(to, "w")?;
-            encode::write_str(to, &format!("{:.0}", pause.as_millis_f64().ceil()))?;
+            encode::write_str(to, &format!("{:.0}", retry_after.as_millis_f64().ceil()))?;
         }
-        Reply::Failed(why) if !why.is_empty() => {
+        Reply::Failed { reason } if !reason.is_empty() => {
             encode::write_map_len(to, 1)?;
             encode::write_str(to, "why")?;
-            encode::write_str(to, why)?;
+            encode::write_str(to, reason)?;
         }
         _ => drop(encode::write_map_len(to, 0)?),
     }
-    if let Reply::Throttled(_) | Reply::Failed(_) = reply {
+    if let Reply::Rejected { .. } | Reply::Failed { .. } = reply {
         encode::write_nil(to)?;
     }
     Ok(())
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -143,12 +143,12 @@
         let responder = admitted.responder.clone();
         let mut next = locked(&self.next);
         let id = JobId(*next);
-        responder.open(id);
+        responder.register(id);
         self.open.fetch_add(1, SeqCst);
         let call = ControllerEvent::Take { id, job, arrived, admitted: Box::new(admitted) };
         if self.calls.try_send(call).is_err() {
             self.open.fetch_sub(1, SeqCst);
-            responder.answer(&Reply::Throttled(BACK_IN));
+            responder.respond(&Reply::Rejected { retry_after: BACK_IN });
             return false;
         }
         *next += 1;
@@ -240,7 +240,7 @@
 impl ControllerThread {
     fn run(mut self, inbox: &Receiver<ControllerEvent>, news: &Receiver<ControllerEvent>) {
         loop {
-            let wait = self.wake.map_or(Duration::from_secs(3600), clock::until);
+            let wait = self.wake.map_or(Duration::from_secs(3600), clock::duration_until);
             let call = news.try_recv().ok().or_else(|| {
                 select! {
                     recv(news) -> call => call.ok(),
@@ -276,7 +276,7 @@
                 let stage = JobStage::Waiting(admitted);
                 let open = OpenJob { stage, responder, ledger, answered: false, copies: 0 };
                 // Its client has left while it waited here: the module never hears of it.
-                if open.responder.is_over() {
+                if open.responder.is_finished() {
                     self.handle.open.fetch_sub(1, SeqCst);
                     return;
                 }
@@ -287,7 +287,7 @@
             ControllerEvent::Settle { id, copy, mut outcome } => {
                 let Some(open) = self.jobs.get_mut(&id) else { return };
                 // A client that has left is not waited for, whether or not that was told yet.
-                open.answered |= open.responder.is_over();
+                open.answered |= open.responder.is_finished();
                 open.answered |= outcome.status == DispatchStatus::Completed;
                 outcome.job_finished = open.answered;
                 self.logic.dispatch_finished(now, id, copy, outcome)
@@ -493,9 +493,9 @@
                     Ok(()) => self.stage = JobStage::Started(steps),
                     Err(e) => {
                         tracing::warn!(job = id.0, reason = %e, "no thread for a job");
-                        counters::AT_LIMIT.add();
+                        counters::LOCAL_LIMIT_REJECTIONS.increment();
                         self.answered = true;
-                        self.responder.answer(&Reply::Throttled(BACK_IN));
+                        self.responder.respond(&Reply::Rejected { retry_after: BACK_IN });
                     }
                 }
             }
@@ -507,13 +507,13 @@
     fn answer(&self, answer: FinalAnswer) {
         match answer {
             FinalAnswer::Rejected { retry_after } => {
-                counters::THROTTLED.add();
+                counters::JOBS_REJECTED.increment();
                 self.ledger.throttled();
-                self.responder.answer(&Reply::Throttled(retry_after));
+                self.responder.respond(&Reply::Rejected { retry_after });
             }
             FinalAnswer::Cancelled => {
-                counters::CANCELLED.add();
-                self.responder.answer(&Reply::Failed("cancelled"));
+                counters::JOBS_CANCELLED.increment();
+                self.responder.respond(&Reply::Failed { reason: "cancelled" });
             }
         }
     }
--- a/crates/server/src/discovery/event_bus.rs
+++ b/crates/server/src/discovery/event_bus.rs
@@ -130,13 +130,13 @@
                 Ok(Line::Event(event)) => {
                     *last = event.offset;
                     for why in &event.odd {
-                        counters::ODD_EVENTS.add();
+                        counters::MALFORMED_EVENTS.increment();
                         tracing::warn!(event = *last, reason = %why, "malformed endpoint ignored");
                     }
                     listener.endpoints_changed(event, *complete);
                 }
                 Err(why) => {
-                    counters::ODD_EVENTS.add();
+                    counters::MALFORMED_EVENTS.increment();
                     tracing::warn!(reason = %why, "malformed event bus line ignored");
                 }
             }
--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -40,11 +40,11 @@
         let mut entries = self.entries();
         let first = entries.may_have_run;
         let broken = match self.rules {
-            _ if entries.out > 0 => Some(Invariant::OneDispatchOut),
-            _ if deadline > self.deadline + DEADLINE_SLACK => Some(Invariant::DeadlineWithinWait),
-            RetrySemantics::RunOnce if first.is_some() => Some(Invariant::RunOnce),
+            _ if entries.out > 0 => Some(Invariant::SingleDispatchInFlight),
+            _ if deadline > self.deadline + DEADLINE_SLACK => Some(Invariant::DeadlineWithinClientTimeout),
+            RetrySemantics::RunOnce if first.is_some() => Some(Invariant::RunOnceNotRetried),
             RetrySemantics::Keyed { window, .. } if first.is_some_and(|first| now >= first + window) => {
-                Some(Invariant::KeyedInWindow)
+                Some(Invariant::KeyedRetryWithinWindow)
             }
             _ => None,
         };
@@ -80,7 +80,7 @@
             RetrySemantics::RunOnce => false,
         };
         if may_have_run && !harmless {
-            invariants::violated(Invariant::ThrottledUnrun, &self.id);
+            invariants::violated(Invariant::RejectedOnlyIfHarmless, &self.id);
         }
     }
 }
--- a/crates/server/src/engine/handle.rs
+++ b/crates/server/src/engine/handle.rs
@@ -7,7 +7,7 @@
 use crate::engine::registry::EngineRegistry;
 use crate::engine::socket_poller::ConnectionEvent;
 use crate::limits::Permit;
-use crate::session::client_session::ClientLiveness;
+use crate::session::cancellation::ClientLiveness;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use pebblevane::interface::*;
 use pebblevane::time::*;
--- a/crates/server/src/engine/pool.rs
+++ b/crates/server/src/engine/pool.rs
@@ -123,7 +123,7 @@
         !self.waiting.is_empty()
             && self.dialing == 0
             && self.connections.len() < context.terms.connections
-            && context.sockets.lease(1).is_none()
+            && context.sockets.acquire(1).is_none()
     }
 
     /// Since when the connection has rested that has rested longest.
@@ -268,7 +268,7 @@
         let bytes = match &entry.what {
             What::Dispatch { request, gate, .. } => {
                 let now = (context.now)();
-                let over = !request.wanted.still_wanted() || now >= request.begin_by;
+                let over = !request.wanted.is_waiting() || now >= request.begin_by;
                 if over || !self.open.load(SeqCst) || !gate.pass(SENT) {
                     tracing::debug!(job = %request.id, engine = %self.name, "dispatch withheld");
                     gate.pass(DROPPED);
@@ -341,7 +341,7 @@
 
     /// Starts to make one more connection; says whether it could.
     fn dial_once(&mut self, context: &PoolContext) -> bool {
-        let Some(lease) = context.sockets.lease(1) else { return false };
+        let Some(lease) = context.sockets.acquire(1) else { return false };
         let (key, address, dial, orders) =
             (self.key, self.address, context.terms.dial, context.orders.clone());
         let dialed = (context.spawn_thread)(
@@ -426,7 +426,7 @@
         let Some(connection) = self.connections.get_mut(&connection) else { return };
         connection.heard = Instant::now();
         let Some(number) = connection.ids.get(id).copied() else {
-            counters::STRAY_WORDS.add();
+            counters::UNEXPECTED_ENGINE_MESSAGES.increment();
             return;
         };
         let Some(entry) = self.outs.get_mut(&number) else { return };
@@ -453,7 +453,7 @@
                 let ends = match &word {
                     EngineMessage::Hit { sheets, .. } => {
                         if std::mem::replace(&mut entry.headed, true) {
-                            return counters::STRAY_WORDS.add();
+                            return counters::UNEXPECTED_ENGINE_MESSAGES.increment();
                         }
                         *sheets <= 1
                     }
@@ -464,7 +464,7 @@
                 let done = matches!(word, EngineMessage::Hit { .. });
                 // A job that can't keep up with a flood of notes misses some; its own time-out ends it.
                 if words.try_send(DispatchEvent::EngineMessage(word)).is_err() {
-                    counters::STRAY_WORDS.add();
+                    counters::UNEXPECTED_ENGINE_MESSAGES.increment();
                 }
                 if ends {
                     self.leave(number, !done);
@@ -546,7 +546,7 @@
     fn lost(&mut self, connection: u64, why: &str, context: &PoolContext) {
         let Some(connection) = self.connections.remove(&connection) else { return };
         let _ = connection.stream.shutdown(Shutdown::Both);
-        counters::LOST_CONNECTIONS.add();
+        counters::ENGINE_CONNECTIONS_LOST.increment();
         if !connection.ids.is_empty() {
             // One that ends at the first words after a rest was stale: others that rest as long may be, too.
             let at_once = connection.heard <= connection.since && connection.since.elapsed() < AT_ONCE;
--- a/crates/server/src/engine/registry.rs
+++ b/crates/server/src/engine/registry.rs
@@ -159,7 +159,7 @@
         let resting = others.filter_map(|(other, owner)| Some((owner.rests_since()?, *other)));
         let Some((_, other)) = resting.min() else { return };
         self.owners.entry(other).and_modify(EnginePool::make_room);
-        counters::MADE_ROOM.add();
+        counters::CONNECTIONS_EVICTED.increment();
         let context = &self.context;
         self.owners.entry(key).and_modify(|owner| owner.assign_waiting(context));
     }
--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -123,7 +123,7 @@
                 .as_ref()
                 .map(InFlightDispatch::due)
                 .or(self.ending.as_ref().map(|ending| ending.until));
-            let wait = due.map_or(Duration::from_secs(3600), clock::until);
+            let wait = due.map_or(Duration::from_secs(3600), clock::duration_until);
             select! {
                 recv(given_up) -> _ => {
                     if let Some(ending) = &mut self.ending {
@@ -212,8 +212,8 @@
             return Some(at);
         }
         // Straight to the client: whoever answers first does, and the module hears that it was done.
-        if self.job.responder.answer(&Reply::Done(&pages.rows)) {
-            counters::DONE.add();
+        if self.job.responder.respond(&Reply::Completed { rows: &pages.rows }) {
+            counters::JOBS_COMPLETED.increment();
         }
         let (bill, report) = (pages.bill, pages.report);
         self.settle(at, DispatchStatus::Completed, bill, report);
--- a/crates/server/src/lifecycle/clock.rs
+++ b/crates/server/src/lifecycle/clock.rs
@@ -1,20 +1,21 @@
-//! The program's one clock: monotonic, whatever is done to the wall clock. Its zero means nothing; it begins late enough
-//! for a moment of zero to be long ago.
+//! The program's monotonic clock, unaffected by changes of the wall clock.
 
 use pebblevane::time::Timestamp;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-const FIRST: Timestamp = Timestamp(1_000_000_000_000);
+/// The time at which the clock starts: late enough that timestamp zero means "long ago".
+const CLOCK_START: Timestamp = Timestamp(1_000_000_000_000);
 
-static START: OnceLock<Instant> = OnceLock::new();
+static STARTED_AT: OnceLock<Instant> = OnceLock::new();
 
+/// The current time. The first call starts the clock.
 pub fn now() -> Timestamp {
-    let elapsed = START.get_or_init(Instant::now).elapsed();
-    Timestamp(FIRST.0 + elapsed.as_micros() as i64)
+    let elapsed = STARTED_AT.get_or_init(Instant::now).elapsed();
+    Timestamp(CLOCK_START.0 + elapsed.as_micros() as i64)
 }
 
-/// The time until then.
-pub fn until(at: Timestamp) -> Duration {
-    Duration::from_micros((at - now()).0.max(0) as u64)
+/// The time from now until `deadline`, zero if it has passed.
+pub fn duration_until(deadline: Timestamp) -> Duration {
+    Duration::from_micros((deadline - now()).0.max(0) as u64)
 }
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! Start, clock and graceful shutdown of the process.
+//! Startup, clock, threads and graceful shutdown of the process.
 
 pub mod clock;
 pub mod shutdown;
--- a/crates/server/src/lifecycle/shutdown.rs
+++ b/crates/server/src/lifecycle/shutdown.rs
@@ -1,44 +1,57 @@
-//! A planned stop, and its sequence: not well at once; new connections and requests for a second; no new
-//! connections; answers to all that was taken; the end of each connection, in order; the end of the program.
+//! The schedule of a graceful shutdown.
+//!
+//! Health checks fail from the start of the shutdown. For a second new connections and requests are still accepted;
+//! then the listener is closed and each connection once it is idle. When all admitted jobs have their answer, or the
+//! schedule is over, the process exits.
 
 use crate::lifecycle::clock;
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::OnceLock;
 
-const COMING: TimeDelta = TimeDelta(1_000_000); // new jobs may still come for so long after the signal
-const AFTER: TimeDelta = TimeDelta(400_000); // so long after the longest wait every job has its answer: a kill may follow
-const LONGEST: TimeDelta = TimeDelta(3_000_000); // but a kill counts no wait as longer than this
-const LEAVING: TimeDelta = TimeDelta(200_000); // for the last answers to leave: a kill comes 0.1 s later at the soonest
+/// How long new connections are accepted after the signal.
+const ACCEPT_WINDOW: TimeDelta = TimeDelta(1_000_000);
+/// After the longest client timeout, how much later every admitted job has its answer.
+const ANSWER_MARGIN: TimeDelta = TimeDelta(400_000);
+/// The longest client timeout that the schedule allows for.
+const MAX_CLIENT_TIMEOUT: TimeDelta = TimeDelta(3_000_000);
+/// How long the last answers may take to be read. The process is killed 0.1 s after that at the earliest.
+const FLUSH_WINDOW: TimeDelta = TimeDelta(200_000);
 
-/// When each step of a stop ends.
+/// When each step of a shutdown ends.
 #[derive(Clone, Copy)]
 pub struct ShutdownSchedule {
-    /// Until then new connections are accepted, and those that rest are kept.
-    pub coming: Timestamp,
-    /// By then all that was taken has its answer.
-    pub answered: Timestamp,
-    /// Then the program ends, whatever is still open.
-    pub over: Timestamp,
+    /// Until then new connections are accepted, and idle ones are kept.
+    pub accept_until: Timestamp,
+    /// By then every admitted job has its answer.
+    pub answered_by: Timestamp,
+    /// The process exits then, whatever is still open.
+    pub exit_at: Timestamp,
 }
 
+/// Whether the process is shutting down.
 #[derive(Default)]
 pub struct ShutdownState(OnceLock<ShutdownSchedule>);
 
 impl ShutdownState {
-    pub fn is_well(&self) -> bool {
+    /// What a health check is answered: false once a shutdown has begun.
+    pub fn is_healthy(&self) -> bool {
         self.0.get().is_none()
     }
-    /// The steps of the stop under way, if one is.
-    pub fn stopping(&self) -> Option<ShutdownSchedule> {
+
+    /// The schedule of the shutdown in progress, if one is.
+    pub fn schedule(&self) -> Option<ShutdownSchedule> {
         self.0.get().copied()
     }
 
-    /// Begins the stop and says when its steps end; none if it has begun before.
-    pub fn begin(&self, longest_wait: TimeDelta) -> Option<ShutdownSchedule> {
+    /// Begins the shutdown and returns its schedule, or `None` if it has begun before.
+    pub fn begin(&self, longest_client_timeout: TimeDelta) -> Option<ShutdownSchedule> {
         let now = clock::now();
-        let answered = now + longest_wait.min(LONGEST) + AFTER;
-        let schedule =
-            ShutdownSchedule { coming: (now + COMING).min(answered), answered, over: answered + LEAVING };
+        let answered_by = now + longest_client_timeout.min(MAX_CLIENT_TIMEOUT) + ANSWER_MARGIN;
+        let schedule = ShutdownSchedule {
+            accept_until: (now + ACCEPT_WINDOW).min(answered_by),
+            answered_by,
+            exit_at: answered_by + FLUSH_WINDOW,
+        };
         self.0.set(schedule).is_ok().then_some(schedule)
     }
 }
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -1,14 +1,14 @@
-//! Starting while the system refuses resources for a moment: descriptors, memory, threads, or an address that the
-//! process before this one still holds.
+//! Retrying at startup while the system temporarily refuses a resource: descriptors, memory, threads, or an address
+//! that the previous process still holds.
 
 use std::io::{Error, ErrorKind, Result};
 use std::time::{Duration, Instant};
 
-/// What is refused for longer ends the start: a restarted process has to be ready within 10 s.
-const RETRY_FOR: Duration = Duration::from_secs(6);
+/// A restarted process has to be ready within 10 s, so a longer refusal ends the startup.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(6);
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Linux's numbers of errors that may pass: EINTR, EAGAIN, ENOMEM, ENFILE, EMFILE and ENOBUFS.
+/// Linux error numbers that may be temporary: EINTR, EAGAIN, ENOMEM, ENFILE, EMFILE and ENOBUFS.
 const TRANSIENT_ERRNOS: [i32; 6] = [4, 11, 12, 23, 24, 105];
 
 fn is_transient(error: &Error) -> bool {
@@ -18,7 +18,7 @@
     by_number || by_kind
 }
 
-/// Tries until it succeeds, fails for good or has been refused for too long.
+/// Calls `attempt` until it succeeds, fails permanently or has failed for too long.
 ///
 /// # Errors
 /// The last error of `attempt`.
@@ -26,7 +26,7 @@
     let started = Instant::now();
     loop {
         match attempt() {
-            Err(error) if is_transient(&error) && started.elapsed() < RETRY_FOR => {
+            Err(error) if is_transient(&error) && started.elapsed() < RETRY_TIMEOUT => {
                 std::thread::sleep(RETRY_INTERVAL);
             }
             result => return result,
--- a/crates/server/src/lifecycle/threads.rs
+++ b/crates/server/src/lifecycle/threads.rs
@@ -1,34 +1,36 @@
-//! Starting threads. Each thread of the program serves to the program's end, unless its owner says otherwise, and is
-//! not joined: a panic in any of them ends the whole program.
+//! Starting threads.
+//!
+//! No thread is joined: each runs until the process exits, unless its owner says otherwise, and a panic in any of them
+//! aborts the process.
 
 use super::startup::retry_transient_errors;
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The stack of threads that need little.
+/// The stack size of threads with shallow calls and small buffers, in bytes.
 pub const STACK_BYTES: usize = 64 * 1024;
 
-/// Starts a thread of this name and stack size (bytes). Tests pass a function of this type that refuses.
+/// Starts a thread with this name and stack size in bytes. Tests pass a function of this type that fails.
 pub type SpawnThread = fn(&str, usize, Box<dyn FnOnce() + Send>) -> io::Result<()>;
 
-/// Starts a thread once.
+/// Starts a thread, in one attempt.
 ///
 /// # Errors
-/// What the system says where it refuses a thread; `body` is dropped then.
+/// The system's error if it refuses a thread; `body` is dropped then.
 pub fn spawn(name: &str, stack_bytes: usize, body: Box<dyn FnOnce() + Send>) -> io::Result<()> {
     std::thread::Builder::new().name(name.to_string()).stack_size(stack_bytes).spawn(body).map(drop)
 }
 
-/// Starts a thread that the program can't do without, and tries again while the system refuses it for the moment.
+/// Starts a thread that the program depends on, retrying while the system refuses it temporarily.
 ///
 /// # Errors
-/// What the system says where it refuses the thread for good, or for too long.
+/// The system's error if it refuses the thread permanently, or for too long.
 pub fn spawn_required(
     name: &str,
     stack_bytes: usize,
     body: impl FnOnce() + Send + 'static,
 ) -> io::Result<()> {
-    // An attempt that fails drops what it was given.
+    // A failed attempt drops its closure, so the body is shared and taken by the attempt that succeeds.
     let body = Arc::new(Mutex::new(Some(body)));
     retry_transient_errors(|| {
         let body = body.clone();
--- /dev/null
+++ b/crates/server/src/limits/budget.rs
@@ -0,0 +1,64 @@
+//! A budget of one resource, such as bytes, threads or descriptors, and the permits that hold parts of it.
+
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+/// An amount of one resource, of which [`Permit`]s hold parts.
+pub struct ResourceBudget {
+    capacity: usize,
+    in_use: Mutex<usize>,
+}
+
+/// A part of a budget, which is returned when this is dropped.
+#[must_use = "dropping a permit returns its part of the budget at once"]
+pub struct Permit {
+    budget: Arc<ResourceBudget>,
+    amount: usize,
+}
+
+impl ResourceBudget {
+    /// A budget of this capacity, in units of its resource.
+    pub fn new(capacity: usize) -> Arc<ResourceBudget> {
+        Arc::new(ResourceBudget { capacity, in_use: Mutex::new(0) })
+    }
+
+    /// Takes `amount` from the budget, or returns `None` if less is left. It never waits.
+    pub fn acquire(self: &Arc<Self>, amount: usize) -> Option<Permit> {
+        let mut permit = Permit { budget: self.clone(), amount: 0 };
+        permit.grow_to(amount).then_some(permit)
+    }
+
+    fn in_use(&self) -> MutexGuard<'_, usize> {
+        // A panic ends the process, so a poisoned lock is never observed.
+        self.in_use.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+impl Permit {
+    /// Raises the amount held to `amount` and returns true, or returns false and changes nothing if the budget has
+    /// less left. An amount that is held already is kept.
+    #[must_use = "false means that the amount was not granted"]
+    pub fn grow_to(&mut self, amount: usize) -> bool {
+        let additional = amount.saturating_sub(self.amount);
+        let budget = self.budget.clone();
+        let mut in_use = budget.in_use();
+        let granted = in_use.checked_add(additional).is_some_and(|total| total <= budget.capacity);
+        if granted {
+            *in_use += additional;
+            self.amount += additional;
+        }
+        granted
+    }
+
+    /// Returns what is held beyond `amount`.
+    pub fn shrink_to(&mut self, amount: usize) {
+        let excess = self.amount.saturating_sub(amount);
+        *self.budget.in_use() -= excess;
+        self.amount -= excess;
+    }
+}
+
+impl Drop for Permit {
+    fn drop(&mut self) {
+        self.shrink_to(0);
+    }
+}
--- /dev/null
+++ b/crates/server/src/limits/quotas.rs
@@ -0,0 +1,67 @@
+//! Divides the configured limits of descriptors and memory among the parts of the program.
+
+const MEBIBYTE: usize = 1024 * 1024;
+/// The memory of an idle process, including what the allocator holds in reserve.
+const IDLE_PROCESS_BYTES: usize = 8 * MEBIBYTE;
+/// The resident memory of a connection.
+const CONNECTION_BYTES: usize = 4 * 1024;
+/// The resident memory of an open job with its thread.
+const JOB_BYTES: usize = 28 * 1024;
+const MIN_OPEN_JOBS: usize = 64;
+const MAX_OPEN_JOBS: usize = 1536;
+const MIN_BUFFER_BYTES: usize = MEBIBYTE;
+/// Descriptors for the listener, the event bus, the log, a connection that is being accepted, and the C library.
+const RESERVED_SOCKETS: usize = 24;
+/// A single engine may have this fraction of the descriptors for engines.
+const ENGINE_SHARE_DIVISOR: usize = 6;
+const MIN_CONNECTIONS_PER_ENGINE: usize = 4;
+const MAX_CONNECTIONS_PER_ENGINE: usize = 48;
+/// A line of the event bus, which may hold the whole endpoint list, may have this fraction of the memory.
+const EVENT_LINE_MEMORY_DIVISOR: usize = 16;
+const MIN_EVENT_LINE_BYTES: usize = MEBIBYTE;
+
+/// What the process may use in total.
+#[derive(Clone, Copy, PartialEq)]
+pub struct Limits {
+    /// Open sockets.
+    pub sockets: usize,
+    /// Resident memory, in mebibytes.
+    pub memory_mb: usize,
+}
+
+/// What each part of the program may use.
+pub struct ResourceQuotas {
+    /// Client connections. This exceeds the third of the descriptors that clients hold by agreement, so that further
+    /// clients can be accepted and rejected.
+    pub client_connections: usize,
+    /// Connections to all engines together.
+    pub engine_connections: usize,
+    /// Connections to a single engine.
+    pub connections_per_engine: usize,
+    /// Jobs that are open at a time.
+    pub open_jobs: usize,
+    /// Bytes of statements, results, incomplete messages and answers that were not read yet.
+    pub buffer_bytes: usize,
+    /// Bytes of one line of the event bus.
+    pub event_line_bytes: usize,
+}
+
+impl ResourceQuotas {
+    /// Divides `limits` among the parts of the program.
+    pub fn from_limits(limits: Limits) -> ResourceQuotas {
+        let total_bytes = limits.memory_mb * MEBIBYTE;
+        let client_connections = limits.sockets * 2 / 5;
+        let engine_connections = limits.sockets.saturating_sub(client_connections + RESERVED_SOCKETS);
+        let connection_bytes = (client_connections + engine_connections) * CONNECTION_BYTES;
+        let available_bytes = total_bytes.saturating_sub(IDLE_PROCESS_BYTES + connection_bytes);
+        ResourceQuotas {
+            client_connections,
+            engine_connections,
+            connections_per_engine: (engine_connections / ENGINE_SHARE_DIVISOR)
+                .clamp(MIN_CONNECTIONS_PER_ENGINE, MAX_CONNECTIONS_PER_ENGINE),
+            open_jobs: (available_bytes / 2 / JOB_BYTES).clamp(MIN_OPEN_JOBS, MAX_OPEN_JOBS),
+            buffer_bytes: (available_bytes / 2).max(MIN_BUFFER_BYTES),
+            event_line_bytes: (total_bytes / EVENT_LINE_MEMORY_DIVISOR).max(MIN_EVENT_LINE_BYTES),
+        }
+    }
+}
--- a/crates/server/src/server/mod.rs
+++ b/crates/server/src/server/mod.rs
@@ -34,8 +34,9 @@
 pub fn run(mut signals: Signals, mut config: Config) -> Result<(), String> {
     let cannot = |what: &'static str| move |e: std::io::Error| format!("cannot {what}: {e}");
     let (types, rules) = (config.types(), config.repeat_rules());
-    let shares = ResourceQuotas::of(config.limits);
-    let (sockets, terms) = (ResourceBudget::new(shares.engines), config.terms(shares.engine));
+    let shares = ResourceQuotas::from_limits(config.limits);
+    let (sockets, terms) =
+        (ResourceBudget::new(shares.engine_connections), config.terms(shares.connections_per_engine));
     let owners = EngineRegistry::start(terms, sockets, clock::now, threads::spawn)
         .map_err(cannot("start the engines' thread"))?;
     let module = ControllerHandle::start(
@@ -57,7 +58,7 @@
         let _ = left.send(());
     };
     threads::spawn_required("clients", STACK_BYTES, serve).map_err(cannot("start a thread"))?;
-    let bus = Arc::new(event_bus::EventBusFollower::new(config.bus, shares.list_line));
+    let bus = Arc::new(event_bus::EventBusFollower::new(config.bus, shares.event_line_bytes));
     let (follower, teller, offset, seed) = (bus.clone(), module.clone(), config.offset, config.seed);
     threads::spawn_required("event bus", STACK_BYTES, move || follower.follow(&*teller, offset, seed))
         .map_err(cannot("start a thread"))?;
@@ -74,7 +75,7 @@
                 Ok(SIGHUP) => reload.begin(Config::read(environment)),
                 Ok(_) => {
                     if let Some(schedule) = health.begin(longest_wait) {
-                        module.stopping(schedule.answered);
+                        module.stopping(schedule.answered_by);
                         tracing::info!(open_jobs = module.open.load(SeqCst), "graceful shutdown started");
                     }
                 }
--- a/crates/server/src/session/client_session.rs
+++ b/crates/server/src/session/client_session.rs
@@ -2,12 +2,12 @@
 
 use crate::codec::client::{self as wire, Reply};
 use crate::limits::Permit;
+use crate::session::cancellation::CancellationToken;
 use crate::telemetry::counters;
 use pebblevane::interface::JobId;
 use std::collections::{HashMap, HashSet};
 use std::io::{ErrorKind, Write};
 use std::net::{Shutdown, TcpStream};
-use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
@@ -23,31 +23,6 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Whether a job is still wanted. Whoever hears that its client has left, or answers it, says so here at once;
-/// whoever is about to send something for it looks here last. So no queue in between can hold that back.
-#[derive(Debug, Default)]
-pub struct CancellationToken(AtomicBool);
-
-impl CancellationToken {
-    pub fn cancel(&self) {
-        self.0.store(true, SeqCst);
-    }
-    pub fn is_cancelled(&self) -> bool {
-        self.0.load(SeqCst)
-    }
-}
-
-/// Whether something is still to be sent for a job: the last look before its first byte.
-pub trait ClientLiveness: Send + Sync {
-    fn still_wanted(&self) -> bool;
-}
-
-impl ClientLiveness for CancellationToken {
-    fn still_wanted(&self) -> bool {
-        !self.is_cancelled()
-    }
-}
-
 /// A client connection. Answers go out whole, one after another, and nobody waits for the client to take them.
 pub struct ClientSession {
     pub stream: TcpStream,
@@ -224,7 +199,7 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock && self.since.elapsed() < WRITE => break,
                 _ => {
-                    counters::CUT_CLIENTS.add();
+                    counters::SLOW_CLIENTS_CUT_OFF.increment();
                     return self.give_up(to);
                 }
             }
@@ -233,7 +208,7 @@
         self.bytes.shrink_to(0);
         let kept = self.bytes.len();
         if !self.held.grow_to(kept) {
-            counters::CUT_CLIENTS.add();
+            counters::SLOW_CLIENTS_CUT_OFF.increment();
             return self.give_up(to);
         }
         self.held.shrink_to(kept);
--- a/crates/server/src/session/mod.rs
+++ b/crates/server/src/session/mod.rs
@@ -1,4 +1,5 @@
 //! What a client connection owes: its open requests and the way of each answer.
 
+pub mod cancellation;
 pub mod client_session;
 pub mod responder;
--- a/crates/server/src/session/responder.rs
+++ b/crates/server/src/session/responder.rs
@@ -2,7 +2,8 @@
 
 use crate::codec::client::Reply;
 use crate::lifecycle::clock;
-use crate::session::client_session::{CancellationToken, ClientJobId, ClientLiveness, ClientSession};
+use crate::session::cancellation::{CancellationToken, ClientLiveness};
+use crate::session::client_session::{ClientJobId, ClientSession};
 use crate::telemetry::counters;
 use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::interface::JobId;
@@ -38,26 +39,26 @@
     }
 
     /// From now on an answer is owed, until it is given or the client takes the request back.
-    pub fn open(&self, job: JobId) {
+    pub fn register(&self, job: JobId) {
         let _ = self.job.set(job);
         self.client.open(self.message, job, self.wanted.clone());
     }
 
     /// The job has its answer, or its client has left.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.wanted.is_cancelled()
     }
 
     /// Gives the answer, unless it has been given or the client has left; says whether it did. Whoever has it may ask
     /// again under the same id at once.
-    pub fn answer(&self, reply: &Reply) -> bool {
+    pub fn respond(&self, reply: &Reply) -> bool {
         drop(self.name.lock().unwrap_or_else(PoisonError::into_inner).take());
         let answered = self.client.answer(self.message, reply);
         if answered {
             let late = clock::now() - self.deadline;
             tracing::debug!(job = %self.id, answer = reply.kind(), overdue_ms = late.as_millis_f64(), "job answered");
             if late > TimeDelta(0) {
-                counters::LATE_ANSWERS.add();
+                counters::LATE_RESPONSES.increment();
             }
             if late > LOST_AFTER {
                 invariants::violated(Invariant::AnsweredInTime, &self.id);
@@ -69,7 +70,7 @@
 
 impl ClientLiveness for Responder {
     /// Also looks at what the client has sent and nobody has read yet.
-    fn still_wanted(&self) -> bool {
+    fn is_waiting(&self) -> bool {
         let owed = self.job.get().is_some_and(|job| self.client.waits_for(self.message, *job));
         if owed && self.client.has_withdrawn(self.message) {
             tracing::debug!(job = %self.id, "job cancelled by unread bytes");
--- a/crates/server/src/telemetry/counters.rs
+++ b/crates/server/src/telemetry/counters.rs
@@ -1,55 +1,73 @@
-//! What has happened since the start, told in the log at a slow pace.
+//! Event counters of the running process, written to the log at a fixed interval.
 
 use crate::telemetry::invariants;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// One count; the log names it.
-pub struct Counter(&'static str, AtomicU64);
+/// A count of events since the process started.
+pub struct Counter {
+    /// The name in the log line.
+    name: &'static str,
+    count: AtomicU64,
+}
 
-pub static TAKEN: Counter = Counter("taken", AtomicU64::new(0));
-pub static DONE: Counter = Counter("done", AtomicU64::new(0));
-pub static THROTTLED: Counter = Counter("throttled", AtomicU64::new(0));
-pub static CANCELLED: Counter = Counter("cancelled", AtomicU64::new(0));
-/// Clients that left before their answer.
-pub static LEFT: Counter = Counter("left", AtomicU64::new(0));
-/// Jobs that found one of the program's own limits reached.
-pub static AT_LIMIT: Counter = Counter("at_limit", AtomicU64::new(0));
-pub static UNUSABLE: Counter = Counter("unusable", AtomicU64::new(0));
-/// Idle connections, of clients and to engines, that made room for others.
-pub static MADE_ROOM: Counter = Counter("made_room", AtomicU64::new(0));
-pub static CUT_CLIENTS: Counter = Counter("cut_clients", AtomicU64::new(0));
-/// Words of engines that nobody waited for.
-pub static STRAY_WORDS: Counter = Counter("stray_words", AtomicU64::new(0));
-pub static LOST_CONNECTIONS: Counter = Counter("lost_connections", AtomicU64::new(0));
-pub static ODD_EVENTS: Counter = Counter("odd_events", AtomicU64::new(0));
-/// Answers that left after their client's wait.
-pub static LATE_ANSWERS: Counter = Counter("late_answers", AtomicU64::new(0));
+/// Jobs handed to the admission controller.
+pub static JOBS_ADMITTED: Counter = Counter::new("taken");
+/// Jobs answered with their complete result.
+pub static JOBS_COMPLETED: Counter = Counter::new("done");
+/// Jobs that the admission controller rejected.
+pub static JOBS_REJECTED: Counter = Counter::new("throttled");
+/// Jobs that the admission controller cancelled for good.
+pub static JOBS_CANCELLED: Counter = Counter::new("cancelled");
+/// Jobs whose client cancelled them, or disconnected, before their answer.
+pub static JOBS_ABANDONED: Counter = Counter::new("left");
+/// Jobs rejected because one of the program's own limits was reached.
+pub static LOCAL_LIMIT_REJECTIONS: Counter = Counter::new("at_limit");
+/// Requests that could be decoded but not used.
+pub static INVALID_REQUESTS: Counter = Counter::new("unusable");
+/// Idle connections, of clients and to engines, that were closed to make room for others.
+pub static CONNECTIONS_EVICTED: Counter = Counter::new("made_room");
+/// Clients whose connection was cut because they did not read their answers.
+pub static SLOW_CLIENTS_CUT_OFF: Counter = Counter::new("cut_clients");
+/// Engine messages that belong to no open dispatch.
+pub static UNEXPECTED_ENGINE_MESSAGES: Counter = Counter::new("stray_words");
+/// Connections to engines that were lost.
+pub static ENGINE_CONNECTIONS_LOST: Counter = Counter::new("lost_connections");
+/// Lines and endpoints of the event bus that could not be decoded.
+pub static MALFORMED_EVENTS: Counter = Counter::new("odd_events");
+/// Answers written after the client's timeout.
+pub static LATE_RESPONSES: Counter = Counter::new("late_answers");
 
+/// All counters, in the order of the log line.
 static ALL: [&Counter; 13] = [
-    &TAKEN,
-    &DONE,
-    &THROTTLED,
-    &CANCELLED,
-    &LEFT,
-    &AT_LIMIT,
-    &UNUSABLE,
-    &MADE_ROOM,
-    &CUT_CLIENTS,
-    &STRAY_WORDS,
-    &LOST_CONNECTIONS,
-    &ODD_EVENTS,
-    &LATE_ANSWERS,
+    &JOBS_ADMITTED,
+    &JOBS_COMPLETED,
+    &JOBS_REJECTED,
+    &JOBS_CANCELLED,
+    &JOBS_ABANDONED,
+    &LOCAL_LIMIT_REJECTIONS,
+    &INVALID_REQUESTS,
+    &CONNECTIONS_EVICTED,
+    &SLOW_CLIENTS_CUT_OFF,
+    &UNEXPECTED_ENGINE_MESSAGES,
+    &ENGINE_CONNECTIONS_LOST,
+    &MALFORMED_EVENTS,
+    &LATE_RESPONSES,
 ];
 
 impl Counter {
-    pub fn add(&self) {
-        self.1.fetch_add(1, Relaxed);
+    const fn new(name: &'static str) -> Counter {
+        Counter { name, count: AtomicU64::new(0) }
+    }
+
+    /// Counts one event.
+    pub fn increment(&self) {
+        self.count.fetch_add(1, Relaxed);
     }
 }
 
-/// All counts in one line.
+/// All counts in one line, as `name=count` pairs.
 pub fn line() -> String {
-    let parts: Vec<String> =
-        ALL.iter().map(|count| format!("{}={}", count.0, count.1.load(Relaxed))).collect();
-    format!("{} violations={}", parts.join(" "), invariants::violations())
+    let pairs: Vec<String> =
+        ALL.iter().map(|counter| format!("{}={}", counter.name, counter.count.load(Relaxed))).collect();
+    format!("{} violations={}", pairs.join(" "), invariants::violations())
 }
--- a/crates/server/src/telemetry/invariants.rs
+++ b/crates/server/src/telemetry/invariants.rs
@@ -1,49 +1,55 @@
-//! What must never happen, counted while the program runs. Each is looked for at the one place that every path passes,
-//! apart from the decisions that are to prevent it: a count other than zero is a fault of the program.
+//! Invariants that are checked while the program runs.
+//!
+//! Each is checked at the one place that every path passes, independently of the decisions that maintain it. A count
+//! other than zero is a fault of the program.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
+/// A property that holds unless the program has a fault. The rules are those of `docs/architecture.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A request that is still waited for has an answer (rule 1).
+    /// Every request whose client still waits gets an answer (rule 1).
     Answered,
-    /// An answer leaves before its request counts as lost (rule 1).
+    /// Every answer is written before its request counts as lost (rule 1).
     AnsweredInTime,
-    /// A connection is closed by choice only when nothing is open on it (rule 1).
-    ClosedAtRest,
-    /// A job has one dispatch out at a time (rule 2).
-    OneDispatchOut,
-    /// A run-once job goes out again only if it provably never ran (rule 2).
-    RunOnce,
-    /// A keyed job goes out again only within its window (rule 2).
-    KeyedInWindow,
-    /// A job that may have run is throttled only where running it again is harmless (rule 2).
-    ThrottledUnrun,
-    /// An engine is told no longer deadline than the client has left, with the slack that the terms allow.
-    DeadlineWithinWait,
+    /// The program closes a connection by choice only when no request is open on it (rule 1).
+    ClosedOnlyWhenIdle,
+    /// A job has at most one dispatch in flight (rule 2).
+    SingleDispatchInFlight,
+    /// A job that must run at most once is dispatched again only if it provably never ran (rule 2).
+    RunOnceNotRetried,
+    /// A job with an idempotency key is dispatched again only within the key's window (rule 2).
+    KeyedRetryWithinWindow,
+    /// A job that may have run is rejected only if running it again is harmless (rule 2).
+    RejectedOnlyIfHarmless,
+    /// The deadline sent to an engine is no later than the client's timeout, apart from the permitted slack.
+    DeadlineWithinClientTimeout,
 }
 
 impl Invariant {
+    /// All invariants.
     pub const ALL: [Invariant; 8] = [
         Invariant::Answered,
         Invariant::AnsweredInTime,
-        Invariant::ClosedAtRest,
-        Invariant::OneDispatchOut,
-        Invariant::RunOnce,
-        Invariant::KeyedInWindow,
-        Invariant::ThrottledUnrun,
-        Invariant::DeadlineWithinWait,
+        Invariant::ClosedOnlyWhenIdle,
+        Invariant::SingleDispatchInFlight,
+        Invariant::RunOnceNotRetried,
+        Invariant::KeyedRetryWithinWindow,
+        Invariant::RejectedOnlyIfHarmless,
+        Invariant::DeadlineWithinClientTimeout,
     ];
 }
 
+/// Violations of each invariant, indexed by its discriminant.
 static VIOLATIONS: [AtomicU64; Invariant::ALL.len()] = [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 
-/// Counts a violation and says whose job it concerns, or what was under way.
-pub fn violated(invariant: Invariant, by: &str) {
+/// Counts and logs a violation. `subject` is the client's id of the job, or the operation in progress.
+pub fn violated(invariant: Invariant, subject: &str) {
     VIOLATIONS[invariant as usize].fetch_add(1, Relaxed);
-    tracing::error!(?invariant, subject = by, "invariant violated");
+    tracing::error!(?invariant, subject, "invariant violated");
 }
 
+/// The number of violations since the process started, of all invariants.
 pub fn violations() -> u64 {
     VIOLATIONS.iter().map(|count| count.load(Relaxed)).sum()
 }
--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/owners.rs
@@ -13,7 +13,7 @@
 use pebblevane_server::lifecycle::clock;
 use pebblevane_server::lifecycle::threads;
 use pebblevane_server::limits::ResourceBudget;
-use pebblevane_server::session::client_session::CancellationToken;
+use pebblevane_server::session::cancellation::CancellationToken;
 use std::io::Read;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -45,10 +45,14 @@
     for _ in 0..30_000 {
         let bytes = chance.spoil(request.to_vec());
         let mut rest = &bytes[..];
-        while let client::Frame::Whole(length) = client::frame(rest) {
-            if let Some(client::Message::Job(ask)) = client::decode(&rest[..length], &types) {
-                assert!(ask.id.len() == 16 && ask.left.0 >= 0 && ask.statement.len() <= length);
-                sql::group(&ask.statement);
+        while let client::Frame::Complete(length) = client::frame(rest) {
+            if let Some(client::Message::Submit(request)) = client::decode(&rest[..length], &types) {
+                assert!(
+                    request.job_id.len() == 16
+                        && request.client_timeout.0 >= 0
+                        && request.statement.len() <= length
+                );
+                sql::group(&request.statement);
                 jobs += 1;
             }
             rest = &rest[length..];
