--- a/crates/server/src/client/acceptor.rs
+++ b/crates/server/src/client/acceptor.rs
@@ -309,7 +309,7 @@
     fn give_up(&self, client: &ClientSession) {
         for job in client.forget_all() {
             counters::LEFT.add();
-            self.shared.module.gone(job);
+            self.shared.module.client_disconnected(job);
         }
     }
 
--- a/crates/server/src/client/connection.rs
+++ b/crates/server/src/client/connection.rs
@@ -3,9 +3,9 @@
 use crate::codec::client::{self as wire, ClientRequest, Frame, Message, Reply};
 use crate::codec::sql;
 use crate::config::retry_semantics::RetrySemantics;
-use crate::decision::controller_thread::{BACK_IN, ControllerHandle};
+use crate::decision::{ControllerHandle, RETRY_AFTER};
 use crate::engine::dispatch_ledger::DispatchLedger;
-use crate::job::task::{AdmittedJob, USUAL_RESULT};
+use crate::job::{AdmittedJob, USUAL_RESULT_BYTES};
 use crate::lifecycle::clock;
 use crate::lifecycle::shutdown::ShutdownState;
 use crate::limits::{Permit, ResourceBudget, ResourceQuotas};
@@ -262,7 +262,7 @@
         Message::Forget(ids) => {
             for job in ids.into_iter().filter_map(|id| client.forget(id)) {
                 counters::LEFT.add();
-                shared.module.gone(job);
+                shared.module.client_disconnected(job);
             }
         }
         Message::IsWell(id) => client.write(id, &Reply::Well(shared.health.is_well())),
@@ -284,11 +284,11 @@
         return false;
     };
     let place = client.has_room().then(|| shared.jobs.lease(1)).flatten();
-    let bytes = shared.bytes.lease(ask.statement.len() + USUAL_RESULT);
+    let bytes = shared.bytes.lease(ask.statement.len() + USUAL_RESULT_BYTES);
     let Some((place, bytes)) = place.zip(bytes) else {
         // The one answer that the program gives by itself, for a job that the module never saw.
         counters::AT_LIMIT.add();
-        client.write(ask.message, &Reply::Throttled(BACK_IN));
+        client.write(ask.message, &Reply::Throttled(RETRY_AFTER));
         return false;
     };
     let job = Job {
@@ -305,13 +305,13 @@
     let admitted = AdmittedJob {
         responder: Arc::new(Responder::new(client.clone(), ask.message, &ask.id, taken, deadline)),
         ledger: Arc::new(DispatchLedger::new(&ask.id, shared.rules[ask.reservation], deadline)),
-        name: ask.id,
+        client_job_id: ask.id,
         class: shared.classes[ask.reservation].clone(),
         statement: ask.statement.into(),
-        bytes,
-        _place: place,
+        memory: bytes,
+        _job_slot: place,
     };
-    let taken = shared.module.take(job, arrived, admitted);
+    let taken = shared.module.submit(job, arrived, admitted);
     if taken {
         counters::TAKEN.add()
     } else {
--- a/crates/server/src/codec/event_bus.rs
+++ b/crates/server/src/codec/event_bus.rs
@@ -29,7 +29,7 @@
     pub complete: bool,
     pub engines: Vec<EndpointEntry>,
     /// What is wrong with entries that can't be used.
-    pub odd: Vec<String>,
+    pub malformed: Vec<String>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -37,9 +37,9 @@
     pub name: String,
     pub address: String,
     pub zone: String,
-    pub machine: String,
+    pub machine_type: String,
     pub cell: usize,
-    pub stage: LifecycleState,
+    pub lifecycle: LifecycleState,
     pub weight: f64,
     pub started: Option<UnixTime>,
 }
@@ -59,14 +59,14 @@
 pub fn event(json: &Json) -> FieldResult<Event> {
     let event = Fields { name: "event", json };
     let topology = event.object("topology")?;
-    let (mut engines, mut odd) = (Vec::new(), Vec::new());
+    let (mut engines, mut malformed) = (Vec::new(), Vec::new());
     for json in topology.list("instances")? {
         match entry(Fields { name: "instances", json }) {
             Ok(entry) => engines.push(entry),
-            Err(why) => odd.push(why),
+            Err(why) => malformed.push(why),
         }
     }
-    Ok(Event { offset: event.whole("offset")?, complete: topology.flag("reset")?, engines, odd })
+    Ok(Event { offset: event.whole("offset")?, complete: topology.flag("reset")?, engines, malformed })
 }
 
 fn entry(entry: Fields) -> FieldResult<EndpointEntry> {
@@ -75,9 +75,9 @@
         name: entry.text("instanceId")?.to_string(),
         address: entry.text("hostPort")?.to_string(),
         zone: entry.text("zone")?.to_string(),
-        machine: entry.text("machineType")?.to_string(),
+        machine_type: entry.text("machineType")?.to_string(),
         cell: entry.whole_or_zero("cell")? as usize,
-        stage: match entry.text("lifecycle")? {
+        lifecycle: match entry.text("lifecycle")? {
             "in_service" => LifecycleState::Running,
             "terminating" => LifecycleState::Draining,
             "terminated" => LifecycleState::Gone,
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -24,10 +24,10 @@
     pub listen: SocketAddr,
     pub seed: u64,
     pub limits: Limits,
-    pub bus: SocketAddr,
-    /// The number of the last event that `known` holds.
-    pub offset: u64,
-    pub known: Vec<Event>,
+    pub event_bus: SocketAddr,
+    /// The number of the last event that `initial_events` holds.
+    pub last_event: u64,
+    pub initial_events: Vec<Event>,
     pub settings: Settings,
 }
 
@@ -50,7 +50,7 @@
         let in_known = |why: String| format!("configuration: field known: {why}");
         let events = known.list("batch")?.iter().map(event_bus::event);
         let events = events.collect::<FieldResult<Vec<Event>>>().map_err(in_known)?;
-        if let Some(why) = events.iter().flat_map(|event| &event.odd).next() {
+        if let Some(why) = events.iter().flat_map(|event| &event.malformed).next() {
             return Err(in_known(why.clone()));
         }
         let limits = fields.object("limits")?;
@@ -74,26 +74,26 @@
                 sockets: at_least("sockets", FEWEST_SOCKETS)?,
                 memory_mb: at_least("memory_mb", LEAST_MEMORY_MB)?,
             },
-            bus: address("configuration", "bus", fields.text("bus")?)?,
-            offset: known.whole("offset")?,
-            known: events,
+            event_bus: address("configuration", "bus", fields.text("bus")?)?,
+            last_event: known.whole("offset")?,
+            initial_events: events,
             settings: flat,
         })
     }
 
-    pub fn types(&self) -> Vec<String> {
+    pub fn class_names(&self) -> Vec<String> {
         let types = 0..self.settings.entries("Classes", "Name");
         types.map(|i| self.settings.text(&format!("Classes.{i}.Name")).to_string()).collect()
     }
 
     /// What the settings say of repeating each type's jobs.
-    pub fn repeat_rules(&self) -> Vec<RetrySemantics> {
+    pub fn retry_semantics(&self) -> Vec<RetrySemantics> {
         let types = 0..self.settings.entries("Classes", "Name");
         types.map(|i| RetrySemantics::read(&self.settings, i)).collect()
     }
 
     /// How long a client waits at most, as far as the settings tell.
-    pub fn longest_wait(&self) -> TimeDelta {
+    pub fn longest_client_timeout(&self) -> TimeDelta {
         let types = 0..self.settings.entries("Classes", "Name");
         let waits = types.map(|i| self.settings.number(&format!("Classes.{i}.GiveUp")).unwrap_or(f64::MAX));
         TimeDelta::from_millis_f64(waits.fold(0.0, f64::max))
@@ -101,7 +101,7 @@
 
     /// How connections to engines are kept. One that has been idle nearly as long as engines allow is not
     /// used again, since its end may be under way.
-    pub fn terms(&self, connections: usize) -> ConnectionSettings {
+    pub fn connection_settings(&self, connections: usize) -> ConnectionSettings {
         let span = |name: &str, absent: f64| {
             let told = self.settings.number(name).filter(|ms| *ms > 0.0).unwrap_or(absent);
             Duration::from_micros((told * 1000.0) as u64)
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -32,7 +32,7 @@
 const MODULE_STACK: usize = 512 * 1024;
 const STEPS: usize = 32; // steps that wait for one job: more than its dispatches and recalls make
 /// Told to clients that meet one of the program's own limits: come back after this time.
-pub const BACK_IN: TimeDelta = TimeDelta(1_000_000);
+pub const RETRY_AFTER: TimeDelta = TimeDelta(1_000_000);
 
 /// What the module's thread is asked to do.
 enum ControllerEvent {
@@ -94,7 +94,7 @@
     left: Mutex<Vec<JobId>>,
     next: Mutex<u32>,
     /// Jobs taken and not yet released.
-    pub open: AtomicUsize,
+    pub open_jobs: AtomicUsize,
 }
 
 impl ControllerHandle {
@@ -107,8 +107,8 @@
     ) -> std::io::Result<Arc<ControllerHandle>> {
         let ((calls, inbox), (urgent, news)) = (bounded(CALLS), bounded(URGENT));
         let (ready, started) = bounded(1);
-        let (left, next, open) = (Mutex::default(), Mutex::default(), AtomicUsize::new(0));
-        let handle = Arc::new(ControllerHandle { calls, urgent, left, next, open });
+        let (left, next, open_jobs) = (Mutex::default(), Mutex::default(), AtomicUsize::new(0));
+        let handle = Arc::new(ControllerHandle { calls, urgent, left, next, open_jobs });
         let own = handle.clone();
         threads::spawn_required("module", MODULE_STACK, move || {
             let names = |list: &str| -> Vec<String> {
@@ -139,34 +139,34 @@
 
     /// Hands a job over, unless too many calls wait; its answer is owed from then on. Jobs are numbered in the order
     /// in which the module hears of them. Whoever reads all clients calls this, and is never held up by the module.
-    pub fn take(&self, job: Job, arrived: Timestamp, admitted: AdmittedJob) -> bool {
+    pub fn submit(&self, job: Job, arrived: Timestamp, admitted: AdmittedJob) -> bool {
         let responder = admitted.responder.clone();
         let mut next = locked(&self.next);
         let id = JobId(*next);
         responder.open(id);
-        self.open.fetch_add(1, SeqCst);
+        self.open_jobs.fetch_add(1, SeqCst);
         let call = ControllerEvent::Take { id, job, arrived, admitted: Box::new(admitted) };
         if self.calls.try_send(call).is_err() {
-            self.open.fetch_sub(1, SeqCst);
-            responder.answer(&Reply::Throttled(BACK_IN));
+            self.open_jobs.fetch_sub(1, SeqCst);
+            responder.answer(&Reply::Throttled(RETRY_AFTER));
             return false;
         }
         *next += 1;
         true
     }
-    pub fn settle(&self, id: JobId, copy: u32, outcome: DispatchResult) {
+    pub fn dispatch_finished(&self, id: JobId, copy: u32, outcome: DispatchResult) {
         self.call(ControllerEvent::Settle { id, copy, outcome });
     }
-    pub fn progress(&self, id: JobId, copy: u32, note: ProgressUpdate) {
+    pub fn dispatch_progress(&self, id: JobId, copy: u32, note: ProgressUpdate) {
         self.call(ControllerEvent::Progress { id, copy, note });
     }
     /// The client has left; the job's token says so already.
-    pub fn gone(&self, id: JobId) {
+    pub fn client_disconnected(&self, id: JobId) {
         locked(&self.left).push(id);
         // Where too many calls wait, the thread is awake and looks before the next of them.
         let _ = self.calls.try_send(ControllerEvent::Wakeup);
     }
-    pub fn stopping(&self, by: Timestamp) {
+    pub fn begin_shutdown(&self, by: Timestamp) {
         let _ = self.urgent.send(ControllerEvent::Stopping { by });
     }
 
@@ -277,7 +277,7 @@
                 let open = OpenJob { stage, responder, ledger, answered: false, copies: 0 };
                 // Its client has left while it waited here: the module never hears of it.
                 if open.responder.is_over() {
-                    self.handle.open.fetch_sub(1, SeqCst);
+                    self.handle.open_jobs.fetch_sub(1, SeqCst);
                     return;
                 }
                 job.time_left = job.time_left + (arrived - now);
@@ -346,7 +346,7 @@
         for id in decided.released_jobs {
             if let Some(open) = self.jobs.remove(&id) {
                 open.tell(JobCommand::Released);
-                self.handle.open.fetch_sub(1, SeqCst);
+                self.handle.open_jobs.fetch_sub(1, SeqCst);
             }
         }
         decided.forgotten_engines.into_iter().for_each(|engine| self.numbers.forget(engine));
@@ -402,7 +402,7 @@
             all.extend(event.engines.into_iter().map(|entry| (entry.name.clone(), entry)));
         }
         let engines = all.into_values().collect();
-        self.listed(clock::now(), Event { offset: 0, complete: true, engines, odd: vec![] }, None);
+        self.listed(clock::now(), Event { offset: 0, complete: true, engines, malformed: vec![] }, None);
     }
 
     fn listed(&mut self, now: Timestamp, event: Event, complete: Option<Timestamp>) {
@@ -418,13 +418,13 @@
             let id = self.numbers.number(&entry.name);
             named.push(id);
             let started = entry.started.map(|stamp| self.start_of(id, stamp, now, complete));
-            self.know(id, address, entry.stage, started);
+            self.know(id, address, entry.lifecycle, started);
             listings.push(Endpoint {
                 engine: id,
-                machine: position(&self.machines, &entry.machine).unwrap_or(usize::MAX),
+                machine: position(&self.machines, &entry.machine_type).unwrap_or(usize::MAX),
                 location: position(&self.zones, &entry.zone).unwrap_or(usize::MAX),
                 cell: entry.cell,
-                lifecycle: entry.stage,
+                lifecycle: entry.lifecycle,
                 started_at: started.map(|start| start.at),
                 capacity_hint: entry.weight,
                 name: entry.name,
@@ -495,7 +495,7 @@
                         tracing::warn!(job = id.0, reason = %e, "no thread for a job");
                         counters::AT_LIMIT.add();
                         self.answered = true;
-                        self.responder.answer(&Reply::Throttled(BACK_IN));
+                        self.responder.answer(&Reply::Throttled(RETRY_AFTER));
                     }
                 }
             }
--- a/crates/server/src/decision/mod.rs
+++ b/crates/server/src/decision/mod.rs
@@ -1,3 +1,5 @@
-//! The thread that owns the admission controller.
+//! The thread that owns the admission controller, and the handle by which others reach it.
 
-pub mod controller_thread;
+mod controller_thread;
+
+pub use controller_thread::{ControllerHandle, JobCommand, RETRY_AFTER};
--- a/crates/server/src/discovery/event_bus.rs
+++ b/crates/server/src/discovery/event_bus.rs
@@ -129,7 +129,7 @@
                 }
                 Ok(Line::Event(event)) => {
                     *last = event.offset;
-                    for why in &event.odd {
+                    for why in &event.malformed {
                         counters::ODD_EVENTS.add();
                         tracing::warn!(event = *last, reason = %why, "malformed endpoint ignored");
                     }
--- a/crates/server/src/job/mod.rs
+++ b/crates/server/src/job/mod.rs
@@ -2,3 +2,5 @@
 
 pub mod task;
 pub mod worker_pool;
+
+pub use task::{AdmittedJob, JobTask, USUAL_RESULT_BYTES};
--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::client::Reply;
 use crate::codec::engine::EngineMessage;
-use crate::decision::controller_thread::{ControllerHandle, JobCommand};
+use crate::decision::{ControllerHandle, JobCommand};
 use crate::engine::dispatch_ledger::DispatchLedger;
 use crate::engine::handle::{DispatchEvent, DispatchHandle, Request};
 use crate::lifecycle::clock;
@@ -18,7 +18,7 @@
 /// The longest result, as the protocol says, and the pages that are asked for ahead.
 const LONGEST_RESULT: usize = 48_000;
 /// So much of a result is set aside beforehand; what comes past it is counted as it comes.
-pub const USUAL_RESULT: usize = 4_096;
+pub const USUAL_RESULT_BYTES: usize = 4_096;
 /// Within this time an engine reads that a dispatch is given up, or that its connection has ended.
 const READ: TimeDelta = TimeDelta(5_000);
 /// A job waits so long for its dispatch to be given up.
@@ -29,24 +29,24 @@
 /// A job as it was admitted: what is needed to send it and to answer it, and what it holds of the program's limits.
 pub struct AdmittedJob {
     /// The client's own id of the job.
-    pub name: Box<str>,
+    pub client_job_id: Box<str>,
     pub class: Arc<str>,
     pub statement: Arc<[u8]>,
     pub responder: Arc<Responder>,
     pub ledger: Arc<DispatchLedger>,
     /// The bytes that the job may keep.
-    pub bytes: Permit,
+    pub memory: Permit,
     /// Its place among the open jobs.
-    pub _place: Permit,
+    pub _job_slot: Permit,
 }
 
 /// A job of which something is sent, in a thread of its own.
 pub struct JobTask {
     id: JobId,
-    steps: Receiver<JobCommand>,
+    commands: Receiver<JobCommand>,
     job: AdmittedJob,
-    module: Arc<ControllerHandle>,
-    ending: Option<CancelledDispatch>,
+    controller: Arc<ControllerHandle>,
+    cancelled_dispatch: Option<CancelledDispatch>,
 }
 
 /// A dispatch that is out.
@@ -106,11 +106,11 @@
 impl JobTask {
     pub fn new(
         id: JobId,
-        steps: Receiver<JobCommand>,
+        commands: Receiver<JobCommand>,
         job: AdmittedJob,
-        module: Arc<ControllerHandle>,
+        controller: Arc<ControllerHandle>,
     ) -> JobTask {
-        JobTask { id, steps, job, module, ending: None }
+        JobTask { id, commands, job, controller, cancelled_dispatch: None }
     }
 
     pub fn run(mut self) {
@@ -118,22 +118,22 @@
         loop {
             let (nothing, nobody) = (never(), never());
             let words = running.as_ref().map_or(&nothing, |running| &running.out.words);
-            let given_up = self.ending.as_ref().map_or(&nobody, |ending| &ending.given_up);
+            let given_up = self.cancelled_dispatch.as_ref().map_or(&nobody, |ending| &ending.given_up);
             let due = running
                 .as_ref()
                 .map(InFlightDispatch::due)
-                .or(self.ending.as_ref().map(|ending| ending.until));
+                .or(self.cancelled_dispatch.as_ref().map(|ending| ending.until));
             let wait = due.map_or(Duration::from_secs(3600), clock::until);
             select! {
                 recv(given_up) -> _ => {
-                    if let Some(ending) = &mut self.ending {
+                    if let Some(ending) = &mut self.cancelled_dispatch {
                         (ending.given_up, ending.until) = (never(), clock::now() + READ);
                     }
                 },
-                recv(self.steps) -> step => match step {
+                recv(self.commands) -> step => match step {
                     Ok(JobCommand::Dispatch { engine, copy, ends, begin_by, rank }) => {
                         let sent = clock::now();
-                        let (id, class) = (self.job.name.clone(), self.job.class.clone());
+                        let (id, class) = (self.job.client_job_id.clone(), self.job.class.clone());
                         let (statement, wanted) = (self.job.statement.clone(), self.job.responder.clone());
                         let ledger = self.job.ledger.clone();
                         let request = Request { id, class, ends, begin_by, wanted, ledger, rank, statement };
@@ -155,7 +155,7 @@
                     match heard {
                         Ok(DispatchEvent::EngineMessage(EngineMessage::Info(note))) => {
                             at.begun |= matches!(note, Some(ProgressUpdate::CompletedFraction(_) | ProgressUpdate::SpillingToDisk(_)));
-                            note.into_iter().for_each(|note| self.module.progress(self.id, at.copy, note));
+                            note.into_iter().for_each(|note| self.controller.dispatch_progress(self.id, at.copy, note));
                             running = Some(at);
                         }
                         Ok(DispatchEvent::EngineMessage(EngineMessage::Hit { page, sheets, bill, report })) => {
@@ -181,7 +181,7 @@
                     }
                 },
                 default(wait) => {
-                    if let Some(ending) = self.ending.take_if(|ending| ending.until <= clock::now()) {
+                    if let Some(ending) = self.cancelled_dispatch.take_if(|ending| ending.until <= clock::now()) {
                         self.told(ending);
                     } else if let Some(waits) = running.take_if(|running| running.waits_too_long()) {
                         self.end(waits, DispatchStatus::Unreachable, true, None, None);
@@ -199,7 +199,7 @@
     /// when the time-out comes, or one of no use, never makes a job done.
     fn collect(&mut self, mut at: InFlightDispatch) -> Option<InFlightDispatch> {
         let Some(pages) = &mut at.result else { return Some(at) };
-        let room = self.job.bytes.grow_to(self.job.statement.len() + pages.held());
+        let room = self.job.memory.grow_to(self.job.statement.len() + pages.held());
         if !room || pages.held() > LONGEST_RESULT || pages.all > MOST_PAGES || pages.next > pages.all {
             self.settle(at, DispatchStatus::Failed, None, None);
             return None;
@@ -241,7 +241,7 @@
     ) {
         let (copy, sent) = (at.copy, at.sent);
         let took = clock::now() - sent;
-        tracing::debug!(job = %self.job.name, attempt = copy, status = ?verdict, "dispatch finished");
+        tracing::debug!(job = %self.job.client_job_id, attempt = copy, status = ?verdict, "dispatch finished");
         let outcome = DispatchResult {
             status: verdict,
             elapsed: took,
@@ -262,7 +262,7 @@
         let given_up = if open { at.out.give_up() } else { never() };
         let until = clock::now() + if open { GIVEN_UP } else { TimeDelta::default() };
         let ending = CancelledDispatch { given_up, until, out: at.out, sent, copy, outcome };
-        if open { self.ending = Some(ending) } else { self.told(ending) }
+        if open { self.cancelled_dispatch = Some(ending) } else { self.told(ending) }
     }
 
     fn told(&self, ending: CancelledDispatch) {
@@ -275,7 +275,7 @@
             self.job.ledger.ended(sent, !never_ran);
         }
         drop(out);
-        self.module.settle(self.id, copy, outcome);
+        self.controller.dispatch_finished(self.id, copy, outcome);
     }
 }
 
--- a/crates/server/src/server/mod.rs
+++ b/crates/server/src/server/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::client::{acceptor, connection};
 use crate::config::Config;
-use crate::decision::controller_thread::ControllerHandle;
+use crate::decision::ControllerHandle;
 use crate::discovery::event_bus;
 use crate::engine::registry::EngineRegistry;
 use crate::lifecycle::startup::retry_transient_errors;
@@ -33,15 +33,15 @@
 /// What the system or the configuration keeps from starting, or a signal thread that ended.
 pub fn run(mut signals: Signals, mut config: Config) -> Result<(), String> {
     let cannot = |what: &'static str| move |e: std::io::Error| format!("cannot {what}: {e}");
-    let (types, rules) = (config.types(), config.repeat_rules());
+    let (types, rules) = (config.class_names(), config.retry_semantics());
     let shares = ResourceQuotas::of(config.limits);
-    let (sockets, terms) = (ResourceBudget::new(shares.engines), config.terms(shares.engine));
+    let (sockets, terms) = (ResourceBudget::new(shares.engines), config.connection_settings(shares.engine));
     let owners = EngineRegistry::start(terms, sockets, clock::now, threads::spawn)
         .map_err(cannot("start the engines' thread"))?;
     let module = ControllerHandle::start(
         config.settings.clone(),
         config.seed,
-        std::mem::take(&mut config.known),
+        std::mem::take(&mut config.initial_events),
         owners,
     )
     .map_err(cannot("start the module's thread"))?;
@@ -57,14 +57,14 @@
         let _ = left.send(());
     };
     threads::spawn_required("clients", STACK_BYTES, serve).map_err(cannot("start a thread"))?;
-    let bus = Arc::new(event_bus::EventBusFollower::new(config.bus, shares.list_line));
-    let (follower, teller, offset, seed) = (bus.clone(), module.clone(), config.offset, config.seed);
+    let bus = Arc::new(event_bus::EventBusFollower::new(config.event_bus, shares.list_line));
+    let (follower, teller, offset, seed) = (bus.clone(), module.clone(), config.last_event, config.seed);
     threads::spawn_required("event bus", STACK_BYTES, move || follower.follow(&*teller, offset, seed))
         .map_err(cannot("start a thread"))?;
     let listen = move || signals.forever().take_while(|signal| heard.send(*signal).is_ok()).for_each(drop);
     threads::spawn_required("signals", STACK_BYTES, listen).map_err(cannot("start a thread"))?;
     tracing::info!(name = %config.name, address = %listens, "listening for clients");
-    let longest_wait = config.longest_wait();
+    let longest_wait = config.longest_client_timeout();
     let mut reload = reload::ConfigReloader::new(config, bus);
     // Signals are heard to the end: a stop takes seconds, and the event bus may move meanwhile.
     loop {
@@ -74,8 +74,8 @@
                 Ok(SIGHUP) => reload.begin(Config::read(environment)),
                 Ok(_) => {
                     if let Some(schedule) = health.begin(longest_wait) {
-                        module.stopping(schedule.answered);
-                        tracing::info!(open_jobs = module.open.load(SeqCst), "graceful shutdown started");
+                        module.begin_shutdown(schedule.answered);
+                        tracing::info!(open_jobs = module.open_jobs.load(SeqCst), "graceful shutdown started");
                     }
                 }
                 Err(_) => return Err("the thread that waits for signals has ended".to_string()),
@@ -84,6 +84,6 @@
             default(again) => reload.read(Config::read(environment)),
         }
     }
-    tracing::info!(open_jobs = module.open.load(SeqCst), "graceful shutdown finished");
+    tracing::info!(open_jobs = module.open_jobs.load(SeqCst), "graceful shutdown finished");
     Ok(())
 }
--- a/crates/server/src/server/reload.rs
+++ b/crates/server/src/server/reload.rs
@@ -63,8 +63,8 @@
         for (field, _) in left.iter().filter(|(_, changed)| *changed) {
             tracing::warn!(field, "changed setting takes effect at the next start");
         }
-        tracing::info!(event_bus = %new.bus, "configuration reloaded");
-        self.bus.move_to(new.bus);
-        config.bus = new.bus;
+        tracing::info!(event_bus = %new.event_bus, "configuration reloaded");
+        self.bus.move_to(new.event_bus);
+        config.event_bus = new.event_bus;
     }
 }
