--- a/crates/adapter-common/src/lib.rs
+++ b/crates/adapter-common/src/lib.rs
@@ -62,14 +62,14 @@
 
 /// Engines by name, numbered in the order in which they were first named.
 #[derive(Default)]
-pub struct EngineNumbers {
+pub struct EngineIds {
     names: HashMap<EngineId, String>,
     numbers: HashMap<String, EngineId>,
     next: u32,
 }
 
-impl EngineNumbers {
-    pub fn number(&mut self, name: &str) -> EngineId {
+impl EngineIds {
+    pub fn assign(&mut self, name: &str) -> EngineId {
         if let Some(number) = self.numbers.get(name) {
             return *number;
         }
@@ -79,14 +79,14 @@
         self.numbers.insert(name.to_string(), number);
         number
     }
-    pub fn known(&self, name: &str) -> Option<EngineId> {
+    pub fn id(&self, name: &str) -> Option<EngineId> {
         self.numbers.get(name).copied()
     }
     pub fn name(&self, engine: EngineId) -> &str {
         &self.names[&engine]
     }
     /// Its number is never given again; an engine of the same name is another one.
-    pub fn forget(&mut self, engine: EngineId) {
+    pub fn remove(&mut self, engine: EngineId) {
         self.names.remove(&engine).and_then(|name| self.numbers.remove(&name));
     }
 }
--- /dev/null
+++ b/crates/server/src/config/location_names.rs
@@ -0,0 +1,32 @@
+//! The names of zones and machine types, which the controller knows by their positions in the settings.
+
+use crate::config::setting_names::{MACHINE_TYPES, ZONES};
+use pebblevane::settings::Settings;
+
+/// The zones and machine types that the settings name.
+pub struct LocationNames {
+    zones: Vec<String>,
+    machine_types: Vec<String>,
+}
+
+impl LocationNames {
+    /// Reads both lists; each ends before its first entry that is missing or empty.
+    pub fn read(settings: &Settings) -> LocationNames {
+        LocationNames { zones: name_list(settings, ZONES), machine_types: name_list(settings, MACHINE_TYPES) }
+    }
+
+    /// The position of a zone; none if the settings don't name it.
+    pub fn zone_index(&self, zone: &str) -> Option<usize> {
+        self.zones.iter().position(|known| known == zone)
+    }
+
+    /// The position of a machine type; none if the settings don't name it.
+    pub fn machine_type_index(&self, machine_type: &str) -> Option<usize> {
+        self.machine_types.iter().position(|known| known == machine_type)
+    }
+}
+
+fn name_list(settings: &Settings, list: &str) -> Vec<String> {
+    let names = (0..).map(|position| settings.text(&format!("{list}.{position}")).to_string());
+    names.take_while(|name| !name.is_empty()).collect()
+}
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -1,7 +1,11 @@
 //! The configuration, checked before anything starts.
 
 pub mod connection_settings;
+mod location_names;
 pub mod retry_semantics;
+mod setting_names;
+
+pub use location_names::LocationNames;
 
 use crate::codec::event_bus::{self, Event};
 use crate::limits::Limits;
--- /dev/null
+++ b/crates/server/src/decision/actions.rs
@@ -0,0 +1,130 @@
+//! Carries out the actions that the controller returns, in their order.
+
+use crate::decision::controller_thread::ControllerThread;
+use crate::job::{DispatchCommand, JobCommand};
+use crate::lifecycle::clock;
+use pebblevane::interface::{
+    Actions, Dispatch, DispatchId, DispatchResult, DispatchStatus, EngineId, FinalAnswer, JobId, LoadReport,
+};
+use pebblevane::time::{TimeDelta, Timestamp};
+use std::sync::atomic::Ordering::SeqCst;
+
+impl ControllerThread {
+    /// Carries out what the controller decided at this time.
+    pub(super) fn carry_out(&mut self, now: Timestamp, actions: Actions) {
+        if actions != (Actions { next_timer: actions.next_timer, ..Actions::default() }) {
+            tracing::trace!(?actions, "controller actions");
+        }
+        for dispatch in actions.cancellations {
+            self.cancel(dispatch);
+        }
+        for (id, answer) in actions.answers {
+            self.answer(id, answer);
+        }
+        let dispatches = actions.dispatches.into_iter();
+        let not_started: Vec<DispatchId> =
+            dispatches.filter_map(|dispatch| self.dispatch(now, &dispatch).err()).collect();
+        for engine in actions.health_checks {
+            self.check_health(engine);
+        }
+        for line in actions.log {
+            tracing::info!(line, "controller");
+        }
+        for id in actions.released_jobs {
+            self.release(id);
+        }
+        for engine in actions.forgotten_engines {
+            self.endpoints.forget_id(engine);
+        }
+        self.next_timer = actions.next_timer;
+        for dispatch in not_started {
+            self.finish_unstarted(dispatch);
+        }
+    }
+
+    fn cancel(&self, dispatch: DispatchId) {
+        if let Some(open) = self.jobs.get(&dispatch.job) {
+            open.command(JobCommand::Cancel { attempt: dispatch.attempt });
+        }
+    }
+
+    fn answer(&mut self, id: JobId, answer: FinalAnswer) {
+        if let Some(open) = self.jobs.get_mut(&id).filter(|open| !open.is_answered()) {
+            open.answer(answer);
+        }
+    }
+
+    /// Hands a dispatch to its job's thread. One for a job or an engine that is not known is dropped.
+    ///
+    /// # Errors
+    /// The dispatch, where no thread could be made for its job.
+    fn dispatch(&mut self, now: Timestamp, dispatch: &Dispatch) -> Result<(), DispatchId> {
+        let engine = self.endpoints.engine(dispatch.engine);
+        let Some((open, engine)) = self.jobs.get_mut(&dispatch.job).zip(engine) else { return Ok(()) };
+        let attempt = open.next_attempt();
+        if !open.start(dispatch.job, &self.workers, &self.handle) {
+            return Err(DispatchId { job: dispatch.job, attempt });
+        }
+        open.command(JobCommand::Dispatch(DispatchCommand {
+            engine: engine.clone(),
+            attempt,
+            // However late its thread takes this up, the client's wait ends when it ends.
+            deadline: now + dispatch.timeout,
+            begin_by: dispatch.begin_by,
+            priority: dispatch.options.map(|options| options.priority),
+        }));
+        Ok(())
+    }
+
+    /// Sends a health check. One that the engine's connections can't take has timed out.
+    fn check_health(&mut self, engine: EngineId) {
+        let handle = self.handle.clone();
+        let finished = move |status: DispatchStatus, report: Option<LoadReport>, elapsed: TimeDelta| {
+            handle.health_check_finished(engine, health_check_result(status, report, elapsed));
+        };
+        let sent = self.endpoints.engine(engine).is_some_and(|handle| handle.probe(Box::new(finished)));
+        if !sent {
+            let result = health_check_result(DispatchStatus::TimedOut, None, TimeDelta::default());
+            let now = clock::now();
+            let actions = self.controller.health_check_finished(now, engine, result);
+            self.carry_out(now, actions);
+        }
+    }
+
+    fn release(&mut self, id: JobId) {
+        if let Some(open) = self.jobs.remove(&id) {
+            open.command(JobCommand::Release);
+            self.handle.open_jobs.fetch_sub(1, SeqCst);
+        }
+    }
+
+    /// Nothing of the dispatch has left and its job is answered: the controller hears that it is over.
+    fn finish_unstarted(&mut self, dispatch: DispatchId) {
+        let result = DispatchResult {
+            status: DispatchStatus::Unreachable,
+            elapsed: TimeDelta::default(),
+            job_finished: true,
+            engine_reachable: true,
+            actual_cost: None,
+            load_report: None,
+        };
+        let now = clock::now();
+        let actions = self.controller.dispatch_finished(now, dispatch.job, dispatch.attempt, result);
+        self.carry_out(now, actions);
+    }
+}
+
+fn health_check_result(
+    status: DispatchStatus,
+    load_report: Option<LoadReport>,
+    elapsed: TimeDelta,
+) -> DispatchResult {
+    DispatchResult {
+        status,
+        elapsed,
+        job_finished: false,
+        engine_reachable: false,
+        actual_cost: None,
+        load_report,
+    }
+}
--- /dev/null
+++ b/crates/server/src/decision/handle.rs
@@ -0,0 +1,116 @@
+//! The handle on the controller's thread. Events reach the thread through one bounded channel. Changes of the
+//! endpoint list, a graceful shutdown and clients that disconnect don't wait behind those.
+
+use crate::codec::client::Reply;
+use crate::codec::event_bus::Event;
+use crate::decision::event::ControllerEvent;
+use crate::discovery::event_bus::EndpointListener;
+use crate::job::{AdmittedJob, JobReporter};
+use crossbeam_channel::Sender;
+use pebblevane::interface::{DispatchResult, EngineId, Job, JobId, ProgressUpdate};
+use pebblevane::time::{TimeDelta, Timestamp};
+use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+/// What clients are told that meet one of the program's own limits: come back after this time.
+pub const RETRY_AFTER: TimeDelta = TimeDelta(1_000_000);
+
+/// The handle on the controller's thread.
+pub struct ControllerHandle {
+    events: Sender<ControllerEvent>,
+    urgent_events: Sender<ControllerEvent>,
+    /// Jobs whose clients have disconnected: never more than are open, and kept beside the bounded channel.
+    disconnected: Mutex<Vec<JobId>>,
+    next_job: Mutex<u32>,
+    /// Jobs that were submitted and are not yet released.
+    pub open_jobs: AtomicUsize,
+}
+
+impl ControllerHandle {
+    /// A handle that sends on these channels.
+    pub(super) fn new(
+        events: Sender<ControllerEvent>,
+        urgent_events: Sender<ControllerEvent>,
+    ) -> ControllerHandle {
+        ControllerHandle {
+            events,
+            urgent_events,
+            disconnected: Mutex::default(),
+            next_job: Mutex::default(),
+            open_jobs: AtomicUsize::new(0),
+        }
+    }
+
+    /// Submits a job, unless too many events wait: it is rejected then. Returns whether it was submitted; from then on
+    /// the controller owes its answer. Jobs are numbered in the order in which the controller hears of them. The
+    /// thread that reads all clients calls this, which therefore never waits for the controller.
+    #[must_use]
+    pub fn submit(&self, job: Job, arrived: Timestamp, admitted: AdmittedJob) -> bool {
+        let responder = admitted.responder.clone();
+        let mut next_job = locked(&self.next_job);
+        let id = JobId(*next_job);
+        responder.open(id);
+        self.open_jobs.fetch_add(1, SeqCst);
+        let event = ControllerEvent::JobSubmitted { id, job, arrived, admitted: Box::new(admitted) };
+        if self.events.try_send(event).is_err() {
+            self.open_jobs.fetch_sub(1, SeqCst);
+            responder.answer(&Reply::Throttled(RETRY_AFTER));
+            return false;
+        }
+        *next_job += 1;
+        true
+    }
+
+    /// The client of a job has disconnected. The job's token has been cancelled already.
+    pub fn client_disconnected(&self, id: JobId) {
+        locked(&self.disconnected).push(id);
+        // Where too many events wait, the thread is awake and looks before it takes the next of them.
+        let _ = self.events.try_send(ControllerEvent::ClientsDisconnected);
+    }
+
+    /// A graceful shutdown has begun: all jobs are to have their answers by `deadline`.
+    pub fn begin_shutdown(&self, deadline: Timestamp) {
+        let _ = self.urgent_events.send(ControllerEvent::ShutdownBegun { deadline });
+    }
+
+    /// A health check has ended.
+    pub(super) fn health_check_finished(&self, engine: EngineId, result: DispatchResult) {
+        self.send(ControllerEvent::HealthCheckFinished { engine, result });
+    }
+
+    /// Takes the jobs whose clients have disconnected since this was last called.
+    #[must_use]
+    pub(super) fn take_disconnected(&self) -> Vec<JobId> {
+        std::mem::take(&mut *locked(&self.disconnected))
+    }
+
+    fn send(&self, event: ControllerEvent) {
+        // The controller's thread ends only with the process.
+        let _ = self.events.send(event);
+    }
+}
+
+impl JobReporter for ControllerHandle {
+    fn dispatch_progress(&self, job: JobId, attempt: u32, update: ProgressUpdate) {
+        self.send(ControllerEvent::DispatchProgress { id: job, attempt, update });
+    }
+
+    fn dispatch_finished(&self, job: JobId, attempt: u32, result: DispatchResult) {
+        self.send(ControllerEvent::DispatchFinished { id: job, attempt, result });
+    }
+}
+
+impl EndpointListener for ControllerHandle {
+    fn endpoints_changed(&self, event: Event, last_complete: Option<Timestamp>) {
+        let _ = self.urgent_events.send(ControllerEvent::EndpointsChanged { event, last_complete });
+    }
+
+    fn connection_lost(&self) {
+        let _ = self.urgent_events.send(ControllerEvent::EndpointListUnavailable);
+    }
+}
+
+fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    // A panic ends the program, so that no thread sees a poisoned state.
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- /dev/null
+++ b/crates/server/src/job/dispatch_end.rs
@@ -0,0 +1,110 @@
+//! How an attempt ended, and the report of that.
+
+use crate::engine::dispatch_ledger::DispatchLedger;
+use crate::engine::handle::DispatchHandle;
+use crate::job::command::JobReporter;
+use crate::job::in_flight_dispatch::InFlightDispatch;
+use crate::lifecycle::clock;
+use crossbeam_channel::Receiver;
+use pebblevane::interface::{ActualCost, DispatchResult, DispatchStatus, JobId, LoadReport};
+use pebblevane::time::Timestamp;
+
+/// How an attempt ended.
+pub(super) struct DispatchEnd {
+    status: DispatchStatus,
+    engine_reachable: bool,
+    actual_cost: Option<ActualCost>,
+    load_report: Option<LoadReport>,
+}
+
+impl DispatchEnd {
+    /// An end that says nothing else of the engine.
+    pub(super) fn new(status: DispatchStatus) -> DispatchEnd {
+        DispatchEnd { status, engine_reachable: false, actual_cost: None, load_report: None }
+    }
+
+    /// An attempt that never left: that says nothing against its engine.
+    pub(super) fn never_left() -> DispatchEnd {
+        DispatchEnd::new(DispatchStatus::Unreachable).engine_reachable(true)
+    }
+
+    /// Whether the engine takes connections in spite of this end.
+    pub(super) fn engine_reachable(self, engine_reachable: bool) -> DispatchEnd {
+        DispatchEnd { engine_reachable, ..self }
+    }
+
+    /// What the attempt cost, if the engine has said so.
+    pub(super) fn actual_cost(self, actual_cost: Option<ActualCost>) -> DispatchEnd {
+        DispatchEnd { actual_cost, ..self }
+    }
+
+    /// The load report that came with the end, if any.
+    pub(super) fn load_report(self, load_report: Option<LoadReport>) -> DispatchEnd {
+        DispatchEnd { load_report, ..self }
+    }
+
+    /// Whether the engine may still hold the job, so that it has to be cancelled there.
+    pub(super) fn needs_cancellation(&self) -> bool {
+        matches!(
+            self.status,
+            DispatchStatus::Cancelled
+                | DispatchStatus::TimedOut
+                | DispatchStatus::Failed
+                | DispatchStatus::ConnectionLost
+        )
+    }
+}
+
+/// An attempt that has ended and is not yet reported.
+#[must_use]
+pub(super) struct FinishedDispatch {
+    handle: DispatchHandle,
+    sent: Timestamp,
+    attempt: u32,
+    result: DispatchResult,
+}
+
+impl FinishedDispatch {
+    /// Ends an attempt now.
+    pub(super) fn new(dispatch: InFlightDispatch, end: &DispatchEnd) -> FinishedDispatch {
+        let InFlightDispatch { handle, sent, attempt, .. } = dispatch;
+        let result = DispatchResult {
+            status: end.status,
+            elapsed: clock::now() - sent,
+            job_finished: false,
+            engine_reachable: end.engine_reachable,
+            actual_cost: end.actual_cost,
+            load_report: end.load_report,
+        };
+        FinishedDispatch { handle, sent, attempt, result }
+    }
+
+    /// The number of the attempt within its job.
+    pub(super) fn attempt(&self) -> u32 {
+        self.attempt
+    }
+
+    /// How it ended.
+    pub(super) fn status(&self) -> DispatchStatus {
+        self.result.status
+    }
+
+    /// Cancels the attempt at its engine. What is returned disconnects once the cancellation has been written.
+    pub(super) fn cancel_at_engine(&self) -> Receiver<()> {
+        self.handle.give_up()
+    }
+
+    /// Enters the end in the job's ledger, gives back what the engine still holds, then reports the end.
+    pub(super) fn report(self, job: JobId, ledger: &DispatchLedger, reporter: &dyn JobReporter) {
+        let FinishedDispatch { handle, sent, attempt, result } = self;
+        if handle.left() {
+            let never_ran = matches!(
+                result.status,
+                DispatchStatus::Overloaded | DispatchStatus::Unreachable | DispatchStatus::Expired
+            );
+            ledger.ended(sent, !never_ran);
+        }
+        drop(handle);
+        reporter.dispatch_finished(job, attempt, result);
+    }
+}
--- /dev/null
+++ b/crates/server/src/job/in_flight_dispatch.rs
@@ -0,0 +1,80 @@
+//! An attempt of which the engine's answer is still awaited.
+
+use crate::engine::handle::{DispatchHandle, Request};
+use crate::job::admitted_job::AdmittedJob;
+use crate::job::command::DispatchCommand;
+use crate::job::result_pages::ResultPages;
+use crate::lifecycle::clock;
+use pebblevane::interface::ProgressUpdate;
+use pebblevane::time::Timestamp;
+
+/// An attempt that has been handed to its engine's connections.
+pub(super) struct InFlightDispatch {
+    pub(super) handle: DispatchHandle,
+    /// The number of the attempt within its job.
+    pub(super) attempt: u32,
+    /// When it was handed over.
+    pub(super) sent: Timestamp,
+    /// When it times out.
+    pub(super) deadline: Timestamp,
+    /// The result as far as it has come.
+    pub(super) result: Option<ResultPages>,
+    /// The engine has reported progress that only a running job makes.
+    progress_reported: bool,
+    /// Until when it may leave; none once it was found to have left by then.
+    begin_by: Option<Timestamp>,
+}
+
+impl InFlightDispatch {
+    /// Hands an attempt at this job over to the connections of its engine.
+    #[must_use]
+    pub(super) fn send(job: &AdmittedJob, command: &DispatchCommand) -> InFlightDispatch {
+        let sent = clock::now();
+        let request = Request {
+            id: job.client_job_id.clone(),
+            class: job.class.clone(),
+            ends: command.deadline,
+            begin_by: command.begin_by,
+            wanted: job.responder.clone(),
+            ledger: job.ledger.clone(),
+            rank: command.priority,
+            statement: job.statement.clone(),
+        };
+        InFlightDispatch {
+            handle: command.engine.send(request),
+            attempt: command.attempt,
+            sent,
+            deadline: command.deadline,
+            result: None,
+            progress_reported: false,
+            begin_by: Some(command.begin_by),
+        }
+    }
+
+    /// Notes what progress says of whether the job runs at its engine.
+    pub(super) fn note_progress(&mut self, update: ProgressUpdate) {
+        self.progress_reported |=
+            matches!(update, ProgressUpdate::CompletedFraction(_) | ProgressUpdate::SpillingToDisk(_));
+    }
+
+    /// Whether its engine has shown that the job runs or ran there.
+    pub(super) fn has_run(&self) -> bool {
+        self.progress_reported || self.result.is_some()
+    }
+
+    /// When it has to be looked at next, whatever the engine says.
+    pub(super) fn next_check(&self) -> Timestamp {
+        self.begin_by.map_or(self.deadline, |begin_by| begin_by.min(self.deadline))
+    }
+
+    /// Whether it still waits for a connection at the time by which it has to begin. It never leaves then.
+    pub(super) fn missed_begin_by(&mut self) -> bool {
+        let due = self.begin_by.take_if(|begin_by| *begin_by <= clock::now());
+        due.is_some() && self.handle.keep_back()
+    }
+
+    /// Whether it has timed out.
+    pub(super) fn is_overdue(&self) -> bool {
+        self.deadline <= clock::now()
+    }
+}
--- a/crates/server/src/job/mod.rs
+++ b/crates/server/src/job/mod.rs
@@ -1,6 +1,18 @@
-//! A job of which something is sent: its task and the threads that run such tasks.
+//! A job that has something to dispatch: its task, and the threads that run such tasks.
+//!
+//! The job knows nothing of the admission controller. It receives [`JobCommand`]s and reports through
+//! [`JobReporter`].
 
-pub mod task;
-pub mod worker_pool;
+mod admitted_job;
+mod cancelled_dispatch;
+mod command;
+mod dispatch_end;
+mod in_flight_dispatch;
+mod result_pages;
+mod task;
+mod worker_pool;
 
-pub use task::{AdmittedJob, JobTask, USUAL_RESULT_BYTES};
+pub use admitted_job::{AdmittedJob, USUAL_RESULT_BYTES};
+pub use command::{DispatchCommand, JobCommand, JobReporter};
+pub use task::JobTask;
+pub use worker_pool::WorkerPool;
--- a/crates/server/src/job/worker_pool.rs
+++ b/crates/server/src/job/worker_pool.rs
@@ -1,63 +1,70 @@
-//! Threads that carry out jobs with something sent. A thread whose job is over waits a while for the next one: making
-//! and ending a thread costs a gateway with part of a core more than the job. The one that waits since the shortest time
-//! gets the next job, so that those that a burst has left over end.
+//! Threads that carry out jobs. A thread whose job is over waits for the next one for a while, since making and ending
+//! a thread costs a gateway with part of a core more than the job does. The thread that has waited for the shortest
+//! time gets the next job, so that the surplus of a burst ends.
+//!
+//! Nobody joins these threads: each ends by itself once it has been idle, and the process may end while they wait.
 
 use crate::job::task::JobTask;
 use crate::lifecycle::threads::{self, STACK_BYTES};
 use crossbeam_channel::{Receiver, Sender, bounded};
+use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::thread::{self, ThreadId};
 use std::time::Duration;
 
 /// A thread without a job ends after this time.
-const IDLE: Duration = Duration::from_secs(1);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// The threads that carry out jobs. All clones are handles on the same pool.
 #[derive(Clone, Default)]
-pub struct Workers {
-    /// Threads that wait for a job, the last one to wait last.
+pub struct WorkerPool {
+    /// Threads that wait for a job; the one that began to wait last stands last.
     idle: Arc<Mutex<Vec<IdleWorker>>>,
 }
 
 struct IdleWorker {
-    thread: std::thread::ThreadId,
-    next: Sender<JobTask>,
+    thread: ThreadId,
+    next_task: Sender<JobTask>,
 }
 
-impl Workers {
-    fn idle(&self) -> MutexGuard<'_, Vec<IdleWorker>> {
-        // A panic ends the program, so that nobody sees what a panic left behind.
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// Starts a job in a thread that waits for one, or in a new one. An error says that no thread could be made, and
-    /// that the job has ended unheard.
-    pub fn start(&self, task: JobTask) -> std::io::Result<()> {
-        let idle = self.idle().pop();
-        let task = match idle {
-            // Whoever is taken off the list waits for this.
-            Some(worker) => match worker.next.try_send(task) {
+impl WorkerPool {
+    /// Starts a job in a thread that waits for one, or in a new one.
+    ///
+    /// # Errors
+    /// What the system says where it refuses a new thread. The job has been dropped then, without a report.
+    pub fn start(&self, task: JobTask) -> io::Result<()> {
+        let idle_worker = self.idle().pop();
+        let task = match idle_worker {
+            // A worker that is taken off the list waits for this.
+            Some(worker) => match worker.next_task.try_send(task) {
                 Ok(()) => return Ok(()),
                 Err(refused) => refused.into_inner(),
             },
             None => task,
         };
-        let workers = self.clone();
-        threads::spawn("job", STACK_BYTES, Box::new(move || workers.work(task)))
+        let pool = self.clone();
+        threads::spawn("job", STACK_BYTES, Box::new(move || pool.work(task)))
+    }
+
+    fn idle(&self) -> MutexGuard<'_, Vec<IdleWorker>> {
+        // A panic ends the program, so that no thread sees a poisoned state.
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn work(&self, task: JobTask) {
-        let (sender, next) = bounded(1);
-        let mut task = Some(task);
-        while let Some(job) = task.take() {
-            job.run();
-            task = self.wait(&sender, &next);
+    fn work(&self, first: JobTask) {
+        let (sender, receiver) = bounded(1);
+        let mut next = Some(first);
+        while let Some(task) = next.take() {
+            task.run();
+            next = self.wait_for_task(&sender, &receiver);
         }
     }
 
     /// The next job for this thread, if one comes in time.
-    fn wait(&self, sender: &Sender<JobTask>, next: &Receiver<JobTask>) -> Option<JobTask> {
-        let thread = std::thread::current().id();
-        self.idle().push(IdleWorker { thread, next: sender.clone() });
-        if let Ok(task) = next.recv_timeout(IDLE) {
+    fn wait_for_task(&self, sender: &Sender<JobTask>, receiver: &Receiver<JobTask>) -> Option<JobTask> {
+        let thread = thread::current().id();
+        self.idle().push(IdleWorker { thread, next_task: sender.clone() });
+        if let Ok(task) = receiver.recv_timeout(IDLE_TIMEOUT) {
             return Some(task);
         }
         let mut idle = self.idle();
@@ -66,7 +73,7 @@
             return None;
         }
         drop(idle);
-        // It has been taken off the list meanwhile: a job is on its way.
-        next.recv().ok()
+        // It was taken off the list meanwhile: a job is on its way.
+        receiver.recv().ok()
     }
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -5,7 +5,7 @@
 use pebblevane::controller::AdmissionController;
 use pebblevane::interface::*;
 use pebblevane::time::*;
-use pebblevane_adapter_common::{EngineNumbers, FieldResult, Fields, settings};
+use pebblevane_adapter_common::{EngineIds, FieldResult, Fields, settings};
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, HashMap};
 
@@ -19,7 +19,7 @@
     manager: String,
     logic: AdmissionController,
     reservations: usize,
-    engines: EngineNumbers,
+    engines: EngineIds,
     jobs: HashMap<u32, JobId>,
     requests: BTreeMap<JobId, u32>,
     taken: u32,
@@ -100,7 +100,7 @@
             manager: manager.to_string(),
             logic,
             reservations,
-            engines: EngineNumbers::default(),
+            engines: EngineIds::default(),
             jobs: HashMap::new(),
             requests: BTreeMap::new(),
             taken: 0,
@@ -148,7 +148,7 @@
             },
             "HeadReceived" => self.logic.response_started(now, job, event.whole_or_zero("Copy")? as u32),
             "Expired" => self.logic.client_disconnected(now, job),
-            "Checked" => match self.engines.known(event.text("Engine")?) {
+            "Checked" => match self.engines.id(event.text("Engine")?) {
                 Some(engine) => self.logic.health_check_finished(now, engine, event.outcome()?),
                 None => return Ok(None),
             },
@@ -168,7 +168,7 @@
                     let mut listings = Vec::with_capacity(members.len());
                     for json in members {
                         listings.push(
-                            Fields { name: "Members", json }.listing(|name| self.engines.number(name))?,
+                            Fields { name: "Members", json }.listing(|name| self.engines.assign(name))?,
                         );
                     }
                     self.logic.endpoints_changed(now, kind != "changes", listings)
@@ -185,7 +185,7 @@
             steps.push(json!({"SetTimer": {"ManagerId": self.manager, "FromNow": from_now, "Tag": 0}}));
             self.timer = Some(wake.max(now));
         }
-        decided.forgotten_engines.into_iter().for_each(|engine| self.engines.forget(engine));
+        decided.forgotten_engines.into_iter().for_each(|engine| self.engines.remove(engine));
         for job in decided.released_jobs {
             if let Some(request) = self.requests.remove(&job) {
                 self.jobs.remove(&request);
