--- a/src/controller.rs
+++ b/src/controller.rs
@@ -62,10 +62,10 @@
 
 #[derive(Default)]
 pub struct AdmissionController {
-    settings: Settings,
+    settings: ControllerSettings,
     now: Timestamp,
     chance: Chance,
-    types: Vec<Reservation>,
+    types: Vec<JobClass>,
     engines: BTreeMap<usize, Engine>,
     /// Each table group's order of the running engines, kept until the list changes; and their cores.
     orders: BTreeMap<u64, Rc<[usize]>>,
@@ -110,8 +110,10 @@
 }
 
 /// The usual work of one job of a type, in milliseconds on one thread.
-fn usual_work(kind: &Reservation) -> f64 {
-    kind.true_cost.mean_or(kind.told_cost.mean_or(kind.sla.as_millis_f64() * kind.threads / 2.0))
+fn usual_work(kind: &JobClass) -> f64 {
+    kind.true_cost.mean_or(
+        kind.told_cost.mean_or(kind.settings.latency_objective.as_millis_f64() * kind.settings.threads / 2.0),
+    )
 }
 
 /// Own load on an engine with so much more: threads against two a core or memory against all there is.
@@ -123,13 +125,18 @@
 
 impl AdmissionController {
     pub fn new(now: Timestamp, seed: u64, settings: Settings) -> AdmissionController {
-        let read = |i| Reservation { grant: GRANT_START, ..Reservation::read(&settings, i) };
-        let types = (0..settings.entries("Classes", "Aim")).map(read).collect();
+        let settings = ControllerSettings::from(&settings);
+        let read = |class: &ClassSettings| JobClass {
+            settings: class.clone(),
+            grant: GRANT_START,
+            ..JobClass::default()
+        };
+        let types = settings.classes.iter().map(read).collect();
         let mut logic = AdmissionController {
             now,
             chance: Chance(mix(seed)),
             types,
-            gateways: settings.number("Balancers").unwrap_or(1.0).max(1.0),
+            gateways: settings.gateway_count,
             residual: Residual::new(LAMBDA),
             gamma: [0.5; 2],
             gamma_at: now,
@@ -139,7 +146,7 @@
             settings,
             ..AdmissionController::default()
         };
-        logic.decided.subscribe = logic.settings.text("MembershipMode") == "ask";
+        logic.decided.subscribe = logic.settings.polls_endpoint_list;
         logic.after(BEAT, |logic| logic.beat());
         logic
     }
@@ -167,7 +174,7 @@
     /// A call to the engine list failed: the old list stands and is asked for again.
     pub fn endpoint_list_unavailable(&mut self, now: Timestamp) -> Actions {
         self.now = now;
-        if self.settings.text("MembershipMode") == "ask" {
+        if self.settings.polls_endpoint_list {
             let pause = BEAT.mul_f64(1.0 + 3.0 * self.chance.next());
             self.after(pause, |logic| logic.decided.subscribe = true);
         }
@@ -176,21 +183,23 @@
 
     pub fn submit(&mut self, now: Timestamp, id: JobId, job: Job) -> Actions {
         self.now = now;
-        self.taken.add(now, self.span("Contract.BudgetWindow"), 1.0);
-        let ends = (now + job.time_left.min(self.types[job.class].wait)).min(self.stops);
+        self.taken.add(now, self.settings.contract.retry_budget_window.unwrap_or_default(), 1.0);
+        let ends = (now + job.time_left.min(self.types[job.class].settings.client_timeout)).min(self.stops);
         let largest = self.running.iter().map(|e| self.engines[e].memory_mb).fold(0.0, f64::max);
         let (guard, kind) = (ends - self.guard(), &mut self.types[job.class]);
         // Estimates may be hostile: nothing is learnt of work past clients' wait or memory past any engine.
-        kind.tell(now, RECENT, &job, (ends - now).as_millis_f64() * kind.threads, largest);
+        kind.tell(now, RECENT, &job, (ends - now).as_millis_f64() * kind.settings.threads, largest);
         let bias = usual_work(kind) / kind.told_cost.mean_or(usual_work(kind)).max(1e-6);
         let cost = job.cost.map_or(usual_work(kind), |told| told.as_millis_f64() * bias);
         let held = Held {
             taken: now,
             ends,
-            sla_ends: now + kind.sla + TimeDelta::from_millis_f64(kind.stretch * cost / kind.threads),
+            sla_ends: now
+                + kind.settings.latency_objective
+                + TimeDelta::from_millis_f64(kind.settings.objective_stretch * cost / kind.settings.threads),
             cost,
-            bare: cost / kind.threads,
-            value: kind.billed / (cost.max(1.0) / 1000.0),
+            bare: cost / kind.settings.threads,
+            value: kind.settings.priority_weight / (cost.max(1.0) / 1000.0),
             memory: job.memory_mb.filter(|mb| *mb <= largest).unwrap_or(kind.memory.mean_or(0.0)),
             job,
             ..Held::default()
@@ -201,7 +210,7 @@
             self.arrivals.add(now, RECENT, cost * kind.spill_factor(), 1.0);
         }
         self.asks = (self.asks + self.asks_a_job()).min(ASKS_KEPT);
-        if let Some(key) = held.job.key.filter(|_| self.types[held.job.class].ordered) {
+        if let Some(key) = held.job.key.filter(|_| self.types[held.job.class].settings.ordered_by_key) {
             self.turns.entry(key).or_default().push_back(id);
         }
         self.jobs.insert(id, held);
@@ -250,7 +259,8 @@
         note: ProgressUpdate,
     ) -> Actions {
         self.now = now;
-        let loads = self.types.iter().filter(|kind| kind.holds).filter_map(|kind| kind.latency);
+        let loads =
+            self.types.iter().filter(|kind| kind.settings.locks_tables).filter_map(|kind| kind.latency);
         let load_takes = loads.fold(BEAT.as_millis_f64(), f64::max);
         if let Some(held) = self.jobs.get_mut(&id)
             && let Some(out) = held.out.as_mut().filter(|out| out.copy == copy)
@@ -317,7 +327,7 @@
         let before = self.engines.get(&id).and_then(|engine| engine.jobs).unwrap_or(0.0);
         self.read_report(id, &outcome.load_report);
         let (warm_after, done) =
-            (self.span("Contract.WarmAfter"), outcome.status == DispatchStatus::Completed);
+            (self.settings.contract.warm_up_time, outcome.status == DispatchStatus::Completed);
         let heeded = |engine: &&mut Engine| done && (engine.whole || engine.jobs.is_none());
         if let Some(engine) = self.engines.get_mut(&id).filter(heeded) {
             // Processor use stands still past full and falls past memory: the probe's own time tells more, once it is
@@ -383,15 +393,7 @@
 
     /// How long before a client leaves its final answer is given: two ticks, for the clock's coarseness.
     fn guard(&self) -> TimeDelta {
-        TimeDelta::from_millis_f64(2.0 * self.settings.number("Tick").unwrap_or(1.0))
-    }
-
-    fn contract(&self, name: &str) -> f64 {
-        self.settings.number(name).unwrap_or(0.0)
-    }
-
-    fn span(&self, name: &str) -> TimeDelta {
-        TimeDelta::from_millis_f64(self.contract(name))
+        self.settings.answer_margin
     }
 
     /// Load on an engine with so much more; where the bound is a whole engine's, all gateways', as last told.
@@ -418,9 +420,7 @@
         if restarted || !self.engines.contains_key(&id) {
             // Where an equal share means nothing the bound is the whole engine's, for all, if reports tell of
             // all gateways' jobs and may be asked for.
-            let told =
-                |i| ["concurrent", "load_share"].contains(&self.settings.text(&format!("Report.Names.{i}")));
-            let asked = self.settings.flag("Ceilings.Probes") && (0..4).any(told);
+            let asked = self.settings.capabilities.health_checks && self.settings.reports.tell_total_load;
             let before = self.engines.remove(&id).unwrap_or_default();
             let mut engine = Engine::read(&self.settings, listing, before, self.types.len());
             engine.heard = self.now;
@@ -436,9 +436,10 @@
 
     /// The part of its capacity that an engine has, as far as its start tells: it climbs from StartCapacity.
     fn warmth(&self, engine: &Engine, at: Timestamp) -> f64 {
-        let start = self.contract("Contract.StartCapacity");
+        let start = self.settings.contract.initial_capacity_fraction;
         let climbs = |ready: Timestamp| {
-            (at - ready).as_millis_f64().max(0.0) / self.contract("Contract.WarmAfter").max(1.0)
+            (at - ready).as_millis_f64().max(0.0)
+                / self.settings.contract.warm_up_time.as_millis_f64().max(1.0)
         };
         engine.listing.started_at.map_or(1.0, |ready| (start + (1.0 - start) * climbs(ready)).min(1.0))
     }
@@ -451,7 +452,7 @@
         // Rule 1, and no two dispatches at once.
         let open = !held.over && held.out.is_none();
         // Rule 5.
-        let ordered = held.job.key.filter(|_| self.types[held.job.class].ordered);
+        let ordered = held.job.key.filter(|_| self.types[held.job.class].settings.ordered_by_key);
         let turn = ordered.is_none_or(|key| {
             self.turns[&key].front() == Some(&id) && self.rests.get(&key).is_none_or(|rest| *rest <= self.now)
         });
@@ -463,43 +464,49 @@
         let (held, engine) = (&self.jobs[&id], &self.engines[&to]);
         let (kind, listing) = (&self.types[held.job.class], &engine.listing);
         // Rule 2 for keyed jobs, as far as `begin_by` has not said it.
-        let keyed = held.may_have_run.filter(|_| kind.effect == Effect::Keyed);
+        let keyed = held.may_have_run.filter(|_| kind.settings.effect == Effect::IdempotencyKey);
         let once = keyed.is_none_or(|(ran_on, _)| {
-            let (there, zone) = (&self.engines[&ran_on].listing, kind.group == "zone");
-            kind.group == "all"
+            let (there, zone) = (
+                &self.engines[&ran_on].listing,
+                kind.settings.deduplication_scope == DeduplicationScope::Location,
+            );
+            kind.settings.deduplication_scope == DeduplicationScope::Pool
                 || if zone { there.location == listing.location } else { there.cell == listing.cell }
         });
         // Rule 3: at once, well within the grace. Rule 4.
         let running = listing.lifecycle == LifecycleState::Running
             && self.slow_start_budget(engine) >= usual_work(kind);
         // Rule 6.
-        let among = |list: &Option<Vec<f64>>, x| list.as_ref().is_none_or(|list| list.contains(&(x as f64)));
-        let placed = among(&kind.locations, listing.location) && among(&kind.machines, listing.machine);
+        let among = |list: &Option<Vec<usize>>, x| list.as_ref().is_none_or(|list| list.contains(&x));
+        let placed = among(&kind.settings.locations, listing.location)
+            && among(&kind.settings.machine_types, listing.machine);
         once && running && placed
     }
 
     /// The last moment at which a dispatch may begin: rule 1, and for what may have run rule 2.
     fn begin_by(&self, held: &Held) -> Timestamp {
         let kind = &self.types[held.job.class];
-        match (held.may_have_run, kind.effect) {
+        match (held.may_have_run, kind.settings.effect) {
             (Some(_), Effect::RunOnce) => Timestamp::default(),
-            (Some((_, since)), Effect::Keyed) => held.ends.min(since + kind.window) - self.guard(),
+            (Some((_, since)), Effect::IdempotencyKey) => {
+                held.ends.min(since + kind.settings.deduplication_window) - self.guard()
+            }
             _ => held.ends - self.guard(),
         }
     }
 
     /// Whether a job may have one more dispatch, as far as its time, its effect and their number go.
     fn again(&self, held: &Held) -> bool {
-        let most = self.settings.number("Ceilings.TryLimit").unwrap_or(f64::INFINITY);
+        let most = self.settings.max_dispatches_per_job;
         f64::from(held.copies) < most && self.now < self.begin_by(held)
     }
 
     fn within_budget(&self) -> bool {
-        let Some(window) = self.settings.number("Contract.BudgetWindow") else { return true };
-        let since = self.now - TimeDelta::from_millis_f64(window);
+        let Some(window) = self.settings.contract.retry_budget_window else { return true };
+        let since = self.now - window;
         // Two dispatches one window apart count together: a limit within any span holds at both its ends.
         let (extras, jobs) = (self.extras.since(since - self.guard()), self.taken.since(since));
-        extras + 1.0 <= self.contract("Contract.SpareAttempts") + self.contract("Contract.ExtraRatio") * jobs
+        extras + 1.0 <= self.settings.contract.min_retries + self.settings.contract.retries_per_job * jobs
     }
 
     /// Usual work that this gateway may still send to an engine within the window of the cold rule: its equal
@@ -508,10 +515,11 @@
     /// pairs, share so little that the two turns that a window meets keep to the budget. One that has just
     /// started may have forgotten what it sent, and waits.
     fn slow_start_budget(&self, engine: &Engine) -> f64 {
-        let (multiple, window) = (self.contract("Contract.FallMultiple"), self.span("Contract.OverloadFor"));
+        let (multiple, window) =
+            (self.settings.contract.warm_up_overload_factor, self.settings.contract.warm_up_window);
         // No window that begins while it is cold may meet what is sent to a warm one: all become warm at once, and
         // clocks differ.
-        let warm_after = self.span("Contract.WarmAfter") + window;
+        let warm_after = self.settings.contract.warm_up_time + window;
         let warm = |ready: &Timestamp| self.now >= *ready + warm_after || multiple <= 0.0;
         let Some(ready) = engine.listing.started_at.filter(|ready| !warm(ready)) else {
             return f64::INFINITY;
@@ -524,12 +532,16 @@
         let slot = (self.now - ready).0.max(0) / window.0.max(1);
         let whole = SLOW_START_TURN * whole(ready + window.mul_f64(slot as f64));
         // Two turns of three are for small jobs: many gateways have some, few have a large one in time.
-        let guessed = self.types.iter().map(|kind| kind.sla.as_millis_f64() * kind.threads / 2.0);
+        let guessed = self
+            .types
+            .iter()
+            .map(|kind| kind.settings.latency_objective.as_millis_f64() * kind.settings.threads / 2.0);
         let (heaviest, lightest) =
             (guessed.clone().fold(1.0, f64::max), guessed.fold(f64::INFINITY, f64::min));
         let unit = if slot % 3 == 0 { heaviest } else { SLOW_START_JOBS * lightest.max(1.0) };
         let holders = (whole / unit).floor().clamp(1.0, self.gateways);
-        let turn = (mix(engine.hash ^ slot as u64) % self.gateways as u64) as f64 + self.contract("Ordinal");
+        let turn =
+            (mix(engine.hash ^ slot as u64) % self.gateways as u64) as f64 + self.settings.gateway_ordinal;
         let mine = turn % self.gateways < holders && self.started + window <= self.now;
         if mine { whole / holders - sent } else { 0.0 }
     }
@@ -546,7 +558,10 @@
             return false;
         }
         let (terms, begin_by) = (self.terms(id, to), self.begin_by(&self.jobs[&id]));
-        let (window, cold) = (self.span("Contract.BudgetWindow"), self.span("Contract.OverloadFor"));
+        let (window, cold) = (
+            self.settings.contract.retry_budget_window.unwrap_or_default(),
+            self.settings.contract.warm_up_window,
+        );
         let window = window + self.guard();
         let held = self.jobs.get_mut(&id).expect("a job that may be sent is held");
         let kind = &self.types[held.job.class];
@@ -572,16 +587,18 @@
     /// The grant is the told need times what notes of spilling taught, and at least what goes with the
     /// job's threads, as far as it may need it: while threads are under the bound all such grants fit.
     fn terms(&self, id: JobId, to: usize) -> Option<DispatchOptions> {
-        let [ranks, grants] = ["Extra.RanksHeeded", "Extra.GrantsCount"].map(|name| self.settings.flag(name));
+        let (ranks, grants) =
+            (self.settings.capabilities.priorities, self.settings.capabilities.memory_grants);
         let held = &self.jobs[&id];
         let kind = &self.types[held.job.class];
         let rank = match () {
             _ if self.now > held.sla_ends => 0,
-            _ if kind.threads <= 1.0 => 3,
-            _ if kind.holds => 2,
+            _ if kind.settings.threads <= 1.0 => 3,
+            _ if kind.settings.locks_tables => 2,
             _ => 1,
         };
-        let fits = self.engines[&to].memory_mb * kind.threads / (self.engines[&to].cores * THREADS_A_CORE);
+        let fits =
+            self.engines[&to].memory_mb * kind.settings.threads / (self.engines[&to].cores * THREADS_A_CORE);
         let grant = (held.memory * kind.grant).max(fits.min(held.memory * GRANT_MOST));
         let grant_mb = if grants { grant.round() } else { 0.0 };
         (ranks || grants).then_some(DispatchOptions { priority: rank, memory_grant_mb: grant_mb })
@@ -592,8 +609,10 @@
         let Some(held) = self.jobs.get_mut(&id).filter(|held| !held.over) else { return };
         let kind = &self.types[held.job.class];
         let unrun = held.may_have_run.is_none() && held.out.is_none();
-        let harmless =
-            unrun || kind.effect != Effect::RunOnce && (kind.group == "all" || kind.effect != Effect::Keyed);
+        let harmless = unrun
+            || kind.settings.effect != Effect::RunOnce
+                && (kind.settings.deduplication_scope == DeduplicationScope::Pool
+                    || kind.settings.effect != Effect::IdempotencyKey);
         held.over = true;
         let answer = if harmless {
             FinalAnswer::Rejected { retry_after: RETRY_AFTER }
@@ -606,7 +625,7 @@
     }
 
     fn recall(&mut self, id: JobId) {
-        let allowed = self.settings.flag("Ceilings.Cancelling");
+        let allowed = self.settings.capabilities.cancellation;
         let out = self.jobs.get_mut(&id).and_then(|held| held.out.as_mut());
         if let Some(out) = out.filter(|out| allowed && !out.recalled) {
             out.recalled = true;
@@ -617,9 +636,9 @@
     /// Forgets a job that is over and has nothing out; the next job of its key may then have its turn.
     fn release(&mut self, id: JobId) {
         let Some(held) = self.jobs.get(&id).filter(|held| held.over && held.out.is_none()) else { return };
-        if let Some(key) = held.job.key.filter(|_| self.types[held.job.class].ordered) {
+        if let Some(key) = held.job.key.filter(|_| self.types[held.job.class].settings.ordered_by_key) {
             if let Some(unsure) = held.unsure_at {
-                self.rests.insert(key, unsure + self.span("Contract.OrderPause"));
+                self.rests.insert(key, unsure + self.settings.contract.key_quiet_time);
             }
             self.turns.entry(key).or_default().retain(|other| *other != id);
             self.at(self.rests.get(&key).copied().unwrap_or(self.now), |logic| logic.place_waiting());
@@ -658,7 +677,7 @@
 
     /// Probes that the ordinary job may cause: where gateways are many, by what the settings say they cost.
     fn asks_a_job(&self) -> f64 {
-        let price = self.settings.number("Deductions.Probe").unwrap_or(0.0);
+        let price = self.settings.health_check_price;
         if self.many() { (ASK_SPEND / price.max(1e-6)).min(4.0) } else { PROBES_A_JOB }
     }
 
@@ -710,15 +729,17 @@
         let room = OnceCell::new();
         let room = || *room.get_or_init(|| total(|e| load(e, 0.0, 0.0)) < total(|e| e.bound));
         // Types that bill more for their work than the usual job may pass the bound.
-        let billed = kind.billed / (usual_work(kind).max(1.0) / 1000.0);
+        let billed = kind.settings.priority_weight / (usual_work(kind).max(1.0) / 1000.0);
         // Where not every pair can be probed, jobs that bill more come first, and none waits for reports.
-        let dear = !many || self.asks > 0.5 * ASKS_KEPT || kind.billed >= self.traffic.dear.mean_or(0.0);
+        let dear = !many
+            || self.asks > 0.5 * ASKS_KEPT
+            || kind.settings.priority_weight >= self.traffic.dear.mean_or(0.0);
         let mean = self.work.read(self.now, CALM_OVER) / order.len() as f64;
         let dense = (billed / self.traffic.billed.mean_or(billed).max(1e-9)).sqrt().clamp(1.0, 1.5);
         let now = self.now;
         let past = |engine: &Engine| engine.pace_at(now, pace_life, PACE_PRIOR) >= PACE_BAD;
         let under = |engine: &Engine| {
-            let load = self.fill(engine, kind.threads, held.memory);
+            let load = self.fill(engine, kind.settings.threads, held.memory);
             let most = engine.bound * self.warmth(engine, now);
             // On a turn at a cold engine its budget says how much: a part or a share would leave most of it unused.
             let turn = || self.share_below_job(engine) && self.slow_start_budget(engine) < f64::INFINITY;
@@ -731,7 +752,7 @@
             }
             load <= most || (engine.outs == 0 && room()) || turn()
         };
-        let pulls = self.settings.flag("Ceilings.Probes") && self.settings.text("Report.How") == "pull";
+        let pulls = self.settings.capabilities.health_checks && self.settings.reports.are_pulled;
         let (mut ask, asks) = (vec![], many || pulls);
         // Where gateways are many, a job waits a little for the engines whose tables are warm: it goes one
         // engine further with each beat, and hot groups have as many engines as their traffic asks for.
@@ -741,8 +762,8 @@
         let depth =
             if many && !blind { (2.0 + hot.floor() + PATIENCE * waited) as usize } else { usize::MAX };
         // Where crossing locations costs, near engines come first while the pool is well.
-        let costs = !self.tight && self.settings.number("Deductions.CrossZone").unwrap_or(0.0) > 0.0;
-        let zone = self.settings.number("Zone").unwrap_or(0.0);
+        let costs = !self.tight && self.settings.location_crossing_price > 0.0;
+        let zone = self.settings.location;
         // Loads walk the order from its far end, so that readers seldom meet them, and begin anywhere there
         // where other gateways' loads can't be known in time. The walk ends with two engines that nothing
         // speaks against; then those a load holds (to loads also their readers' first), then the last tried.
@@ -751,30 +772,34 @@
         let far = (order.len() as f64 - 2.0 - 2.0 * hot).max(0.0);
         // So do jobs of more than this gateway's part of an engine each: its own walk can't level them.
         let large = blind && held.cost > REPLICAS * mean;
-        let first = if kind.holds { (far * draw) as usize } else { 0 };
-        let turned = if large && !kind.holds { (order.len() as f64 * draw) as usize } else { 0 };
+        let first = if kind.settings.locks_tables { (far * draw) as usize } else { 0 };
+        let turned =
+            if large && !kind.settings.locks_tables { (order.len() as f64 * draw) as usize } else { 0 };
         // A cold engine that is this gateway's turn comes first: no other may send there now.
         let mine = |e: &usize| (1e-9..f64::INFINITY).contains(&self.slow_start_budget(&self.engines[e]));
         let turns: Vec<usize> = self.cold.iter().copied().filter(mine).collect();
         // Jobs out are the work that comes times pace: too many are a jam that other signs show late. What is
         // stuck in known jams holds the rest less, and nothing from a cold engine, whose budget is its own.
-        let widest = self.types.iter().fold(1.0, |most: f64, kind| most.max(kind.threads));
+        let widest = self.types.iter().fold(1.0, |most: f64, kind| most.max(kind.settings.threads));
         let most = self.concurrency_limit.min(self.at_pace(PACE_GOOD) + widest);
         let well = self.engines.values().filter(|e| !past(e)).map(|engine| engine.threads).sum::<f64>();
         let full = blind && (well >= most || self.threads_out() >= JAMMED * most);
-        let walk = (first..order.len())
-            .map(|at| order[if kind.holds { order.len() - 1 - at } else { (at + turned) % order.len() }]);
+        let walk = (first..order.len()).map(|at| {
+            order[if kind.settings.locks_tables { order.len() - 1 - at } else { (at + turned) % order.len() }]
+        });
         for e in turns.iter().copied().chain(walk.filter(|e| !full && !turns.contains(e))) {
             let engine = &self.engines[&e];
             let tried = engine.on_trial && engine.trial.is_some();
             if engine.shunned_until.max(engine.full_until) > self.now || tried || !self.may_go_to(id, e) {
                 continue;
             }
-            let last = held.last == Some(e) || (engine.on_trial && kind.effect == Effect::RunOnce);
+            let last = held.last == Some(e) || (engine.on_trial && kind.settings.effect == Effect::RunOnce);
             // The memory of a jam is long: such engines come last, and their share of what was sent of late bounds what they get.
             let last = last || blind && past(engine);
-            let home = kind.holds && order.first() == Some(&e);
-            let behind = home || engine.held(group, now) && (kind.waits || kind.holds);
+            let home = kind.settings.locks_tables && order.first() == Some(&e);
+            let behind = home
+                || engine.held(group, now)
+                    && (kind.settings.waits_for_bulk_loads || kind.settings.locks_tables);
             let tier = if last { 2 } else { usize::from(behind) };
             if open.iter().map(Vec::len).sum::<usize>() >= depth {
                 break;
@@ -788,7 +813,7 @@
                 }
             } else if under(engine) {
                 below[tier].push(e);
-                if tier == 0 && costs && engine.listing.location as f64 == zone {
+                if tier == 0 && costs && Some(engine.listing.location) == zone {
                     near.push(e);
                 }
                 if tier == 0 && (if costs { near.len() } else { below[0].len() }) == 2 {
@@ -909,7 +934,7 @@
                 if let Some(ActualCost { work, .. }) = outcome.actual_cost {
                     kind.true_cost.add(now, RECENT, work.as_millis_f64(), 1.0);
                     kind.calm[0] = Some(1.0);
-                    held.bare = work.as_millis_f64() / kind.threads;
+                    held.bare = work.as_millis_f64() / kind.settings.threads;
                 }
                 let took = outcome.elapsed.as_millis_f64();
                 if out.waited {
@@ -995,12 +1020,12 @@
         let held = &self.jobs[&id];
         let kind = &self.types[held.job.class];
         let Some(out) = held.out.as_ref().filter(|out| !held.over && !out.recalled) else { return };
-        if kind.effect != Effect::Restartable || !self.again(held) || self.running.len() < 2 {
+        if kind.settings.effect != Effect::Restartable || !self.again(held) || self.running.len() < 2 {
             return;
         }
         let age = (self.now - out.sent).as_millis_f64();
         let fresh = kind.latency.unwrap_or(0.0) * held.cost / usual_work(kind).max(1.0);
-        let notes = 2.0 * self.settings.number("Extra.Progress").unwrap_or(0.0);
+        let notes = 2.0 * self.settings.progress_interval.unwrap_or_default().as_millis_f64();
         let silent = out.share == 0.0 && !out.waited && age < notes;
         let remaining = if out.share > 0.0 && !out.waited { age / out.share - age } else { f64::INFINITY };
         let time = (held.sla_ends - self.now).as_millis_f64();
@@ -1016,12 +1041,13 @@
     fn is_hopeless(&self, held: &Held) -> bool {
         let kind = &self.types[held.job.class];
         let Some(out) = held.out.as_ref().filter(|out| !held.over && !out.recalled) else { return false };
-        let late = kind.effect == Effect::Restartable && self.now > held.sla_ends;
+        let late = kind.settings.effect == Effect::Restartable && self.now > held.sla_ends;
         let Some(engine) = self.engines.get(&out.engine).filter(|_| late) else { return false };
         let left = held.cost * (1.0 - out.share).max(0.05) / 1000.0;
-        self.settings.flag("Ceilings.Cancelling")
+        self.settings.capabilities.cancellation
             && engine.pace_at(self.now, self.pace_life(), PACE_PRIOR) > PACE_BAD
-            && kind.late * kind.billed / left.max(1e-3) < self.traffic.billed.mean_or(0.0)
+            && kind.settings.late_value_ratio * kind.settings.priority_weight / left.max(1e-3)
+                < self.traffic.billed.mean_or(0.0)
     }
 
     /// Whether a job whose turn it is leaves it to those behind it: one after the other they can't all meet
@@ -1035,9 +1061,13 @@
         for other in turns {
             let held = &self.jobs[other];
             let kind = &self.types[held.job.class];
-            let usual = usual_work(kind) / kind.threads;
+            let usual = usual_work(kind) / kind.settings.threads;
             let takes = held.bare * kind.latency.map_or(1.0, |latency| latency / usual.max(1.0)).max(1.0);
-            kept.push((takes / kind.billed.max(1e-9), *other, TimeDelta::from_millis_f64(takes)));
+            kept.push((
+                takes / kind.settings.priority_weight.max(1e-9),
+                *other,
+                TimeDelta::from_millis_f64(takes),
+            ));
             ends = ends + kept[kept.len() - 1].2;
             let dearest = (0..kept.len()).max_by(|a, b| kept[*a].0.total_cmp(&kept[*b].0));
             if let Some(dearest) = dearest.filter(|_| ends > held.sla_ends) {
@@ -1059,7 +1089,7 @@
         for (id, _) in waiting {
             let held = &self.jobs[&id];
             let (kind, memory) = (held.job.class, held.memory);
-            let alike = held.copies == 0 && !self.types[kind].ordered;
+            let alike = held.copies == 0 && !self.types[kind].settings.ordered_by_key;
             // Too late, or past the window in which what may have run may be repeated.
             let late = self.now + TimeDelta::from_millis_f64(held.bare) > held.sla_ends;
             if late || !self.again(held) || self.leaves_turn(id) {
@@ -1113,7 +1143,7 @@
 
     /// An engine from which nothing is heard though notes are due is left alone.
     fn watch_outs(&mut self) {
-        let every = self.settings.number("Extra.Progress").filter(|every| *every > 0.0);
+        let every = self.settings.progress_interval;
         // A job out for long tells of its engine's pace before it is back: from a jam none comes back.
         let overdue = |(id, held): (&JobId, &Held)| {
             let out = held.out.as_ref().filter(|out| !out.waited && out.share <= LITTLE && !held.over)?;
@@ -1128,8 +1158,7 @@
         let hopeless = |(id, held): (&JobId, &Held)| self.is_hopeless(held).then_some(*id);
         let hopeless: Vec<JobId> = self.jobs.iter().filter_map(hopeless).collect();
         hopeless.into_iter().for_each(|id| self.give_up(id));
-        let due = every
-            .map_or(TimeDelta(i64::MAX), |every| TimeDelta::from_millis_f64(2.0 * every) + BEAT.mul_f64(2.0));
+        let due = every.map_or(TimeDelta(i64::MAX), |every| every.mul_f64(2.0) + BEAT.mul_f64(2.0));
         let heard = |e: usize| self.engines.get(&e).map_or(self.now, |engine| engine.heard);
         let quiet = |out: &&Out| self.now - out.noted > due && self.now - heard(out.engine) > due;
         let outs = self.jobs.iter().filter(|(_, held)| !held.over);
@@ -1159,7 +1188,7 @@
         for at in 0..2 * self.types.len() {
             let (kind, way) = (&mut self.types[at / 2], at % 2);
             kind.pace[way].touch(now, CALM_OVER);
-            let known = kind.pace[way].weight > 5.0 * usual_work(kind) / kind.threads;
+            let known = kind.pace[way].weight > 5.0 * usual_work(kind) / kind.settings.threads;
             if known && (way > 0 || kind.true_cost.weight == 0.0) {
                 let pace = kind.pace[way].mean_or(1.0);
                 let follow = |calm: f64| if pace < calm { calm + 0.05 * (pace - calm) } else { calm * 1.002 };
@@ -1185,7 +1214,7 @@
         for e in self.running.clone() {
             let engine = &self.engines[&e];
             let due = engine.on_trial && engine.outs == 0 && self.now - engine.probed >= ASK_AFTER;
-            if due && self.settings.flag("Ceilings.Probes") {
+            if due && self.settings.capabilities.health_checks {
                 self.ask(e);
             }
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -98,11 +98,11 @@
 }
 
 impl Traffic {
-    pub fn add(&mut self, now: Timestamp, life: TimeDelta, held: &Held, kind: &Reservation) {
-        self.threads.add(now, life, kind.threads, held.bare);
+    pub fn add(&mut self, now: Timestamp, life: TimeDelta, held: &Held, kind: &JobClass) {
+        self.threads.add(now, life, kind.settings.threads, held.bare);
         self.memory.add(now, life, held.memory * kind.grant, held.bare);
-        self.billed.add(now, life, kind.billed / (held.cost.max(1.0) / 1000.0), held.cost);
-        self.dear.add(now, life, kind.billed, 1.0);
+        self.billed.add(now, life, kind.settings.priority_weight / (held.cost.max(1.0) / 1000.0), held.cost);
+        self.dear.add(now, life, kind.settings.priority_weight, 1.0);
         self.groups.entry(held.job.table_group).or_default().add(now, life, 0.0, 1.0);
         self.jobs.add(now, life, 0.0, 1.0);
     }
@@ -167,33 +167,10 @@
     }
 }
 
-#[derive(Clone, Copy, Default, PartialEq)]
-pub enum Effect {
-    #[default]
-    Restartable,
-    Keyed,
-    RunOnce,
-}
-
 /// A reservation type: what the settings say of it and what was learnt of its jobs.
 #[derive(Default)]
-pub struct Reservation {
-    pub effect: Effect,
-    pub group: String,
-    pub window: TimeDelta,
-    pub sla: TimeDelta,
-    /// How long its clients wait.
-    pub wait: TimeDelta,
-    pub stretch: f64,
-    pub billed: f64,
-    /// Part of the billed value that an answer past its SLA time earns.
-    pub late: f64,
-    pub threads: f64,
-    pub holds: bool,
-    pub waits: bool,
-    pub ordered: bool,
-    pub locations: Option<Vec<f64>>,
-    pub machines: Option<Vec<f64>>,
+pub struct JobClass {
+    pub settings: ClassSettings,
     pub told_cost: Fading,
     pub true_cost: Fading,
     pub memory: Fading,
@@ -206,7 +183,7 @@
     pub spills: f64,
 }
 
-impl Reservation {
+impl JobClass {
     /// Adds what a job is told to cost and need, each as long as it is possible.
     pub fn tell(&mut self, now: Timestamp, life: TimeDelta, job: &Job, most: f64, largest: f64) {
         if let Some(told) = job.cost.map(TimeDelta::as_millis_f64).filter(|told| *told < most) {
@@ -222,34 +199,6 @@
         let slow = slow.map_or(1.0, |slow| slow / calm.unwrap_or(1.0));
         if spilled > 0.0 { (dry + spilled * slow) / (dry + spilled) } else { 1.0 }
     }
-    pub fn read(settings: &Settings, i: usize) -> Reservation {
-        let number = |name: &str| settings.number(&format!("Classes.{i}.{name}")).unwrap_or(0.0);
-        let flag = |name: &str| settings.flag(&format!("Classes.{i}.{name}"));
-        let extra = |name: &str| format!("Extra.{name}.{i}");
-        Reservation {
-            effect: match settings.text(&format!("Classes.{i}.Semantics")) {
-                "read_like" => Effect::Restartable,
-                "idempotency_key" => Effect::Keyed,
-                _ => Effect::RunOnce,
-            },
-            group: settings.text(&format!("Classes.{i}.Group")).to_string(),
-            window: TimeDelta::from_millis_f64(number("DedupWindow")),
-            sla: TimeDelta::from_millis_f64(number("Aim")),
-            wait: settings
-                .number(&format!("Classes.{i}.GiveUp"))
-                .map_or(TimeDelta(i64::MAX), TimeDelta::from_millis_f64),
-            stretch: number("AimStretch"),
-            billed: number("Worth"),
-            late: number("LateValue"),
-            threads: settings.number(&extra("ClassThreads")).unwrap_or(1.0).max(1.0),
-            holds: settings.flag(&extra("IsLoad")),
-            waits: settings.flag(&extra("WaitsForLoads")),
-            ordered: flag("ByArrival"),
-            locations: settings.numbers(&format!("Classes.{i}.ConfinedTo")),
-            machines: settings.numbers(&format!("Classes.{i}.BoundTo")),
-            ..Reservation::default()
-        }
-    }
 }
 
 #[derive(Default)]
@@ -311,35 +260,37 @@
         pace.mean_now(now, life, 1.0, weight)
     }
     /// Counts a job that goes out to it, and one that comes back.
-    pub fn leaves(&mut self, id: JobId, job: &Job, kind: &Reservation, memory: f64) {
-        self.threads += kind.threads;
-        self.since += kind.threads;
+    pub fn leaves(&mut self, id: JobId, job: &Job, kind: &JobClass, memory: f64) {
+        self.threads += kind.settings.threads;
+        self.since += kind.settings.threads;
         self.memory_out += memory;
         self.outs += 1;
-        self.loads.extend(kind.holds.then_some(job.table_group));
+        self.loads.extend(kind.settings.locks_tables.then_some(job.table_group));
         self.trial = self.on_trial.then_some(id);
     }
-    pub fn returns(&mut self, id: JobId, job: &Job, kind: &Reservation, memory: f64) {
-        self.threads = (self.threads - kind.threads).max(0.0);
+    pub fn returns(&mut self, id: JobId, job: &Job, kind: &JobClass, memory: f64) {
+        self.threads = (self.threads - kind.settings.threads).max(0.0);
         self.memory_out = (self.memory_out - memory).max(0.0);
         self.outs = self.outs.saturating_sub(1);
         self.trial = self.trial.filter(|job| *job != id);
-        if let Some(at) = self.loads.iter().position(|group| kind.holds && *group == job.table_group) {
+        if let Some(at) =
+            self.loads.iter().position(|group| kind.settings.locks_tables && *group == job.table_group)
+        {
             self.loads.swap_remove(at);
         }
     }
     /// An engine as the list and the settings describe it; what is out at it is kept from `before`.
-    pub fn read(settings: &Settings, listing: Endpoint, before: Engine, types: usize) -> Engine {
-        let known = |name: &str| settings.number(&format!("Extra.{name}.{}", listing.machine));
-        let memory_mb = known("RamOfKindMb");
+    pub fn read(settings: &ControllerSettings, listing: Endpoint, before: Engine, types: usize) -> Engine {
+        let machine_type = settings.machine_types.get(&listing.machine).copied().unwrap_or_default();
+        let memory_mb = machine_type.memory_mb;
         let Engine { threads, memory_out, outs, sent, work, loads, .. } = before;
         Engine {
             hash: listing.name.bytes().fold(0xcbf29ce484222325, |hash: u64, byte| {
                 (hash ^ u64::from(byte)).wrapping_mul(0x100000001b3)
             }),
-            cores: known("CpuOfKind").unwrap_or(listing.capacity_hint).max(0.1),
+            cores: machine_type.cores.unwrap_or(listing.capacity_hint).max(0.1),
             memory_mb: memory_mb.unwrap_or(f64::INFINITY),
-            most_mb: memory_mb.unwrap_or(0.0) * settings.number("Extra.MostGrant").unwrap_or(1.0),
+            most_mb: memory_mb.unwrap_or(0.0) * settings.max_memory_fraction_per_job,
             latency: vec![None; types],
             threads,
             memory_out,
