--- a/src/controller.rs
+++ b/src/controller.rs
@@ -2,6 +2,7 @@
 //!
 //! `docs/design.md` tells why.
 
+use crate::estimators::*;
 use crate::interface::*;
 use crate::settings::*;
 use crate::state::*;
@@ -64,7 +65,7 @@
 pub struct AdmissionController {
     settings: ControllerSettings,
     now: Timestamp,
-    chance: Chance,
+    chance: Pcg32,
     types: Vec<JobClass>,
     engines: BTreeMap<usize, Engine>,
     /// Each table group's order of the running engines, kept until the list changes; and their cores.
@@ -86,27 +87,27 @@
     laters: u64,
     decided: Actions,
     gateways: f64,
-    residual: Residual,
-    deviations: Deviations,
+    residual: LinearPosterior,
+    deviations: DeviationCovariance,
     gamma: [f64; 2],
     gamma_steps: f64,
     gamma_at: Timestamp,
-    arrivals: Fading,
+    arrivals: DecayingAverage,
     traffic: Traffic,
     /// The least time of a probe by location; rises slowly.
     probe_least: BTreeMap<usize, f64>,
     /// How much probes of one engine that is not busy vary from one to the next, by location (ms).
-    probe_scatter: BTreeMap<usize, Scatter>,
+    probe_scatter: BTreeMap<usize, MeanDeviation>,
     asks: f64, // probes of pairs that may still be made
     /// The pool is past its knee: jobs that find no engine under its bound are held.
     tight: bool,
-    pace: Fading,
-    work: Fading, // sent of late
+    pace: DecayingAverage,
+    work: DecayingAverage, // sent of late
     /// Concurrency limit: own threads out in all, up to which jobs go out in a jam.
     concurrency_limit: f64,
     /// Jobs taken and dispatches made beyond a job's first, for the budget.
-    taken: Recent,
-    extras: Recent,
+    taken: SlidingWindow,
+    extras: SlidingWindow,
 }
 
 /// The usual work of one job of a type, in milliseconds on one thread.
@@ -134,10 +135,10 @@
         let types = settings.classes.iter().map(read).collect();
         let mut logic = AdmissionController {
             now,
-            chance: Chance(mix(seed)),
+            chance: Pcg32::new(seed),
             types,
             gateways: settings.gateway_count,
-            residual: Residual::new(LAMBDA),
+            residual: LinearPosterior::new(LAMBDA),
             gamma: [0.5; 2],
             gamma_at: now,
             started: now,
@@ -175,7 +176,7 @@
     pub fn endpoint_list_unavailable(&mut self, now: Timestamp) -> Actions {
         self.now = now;
         if self.settings.polls_endpoint_list {
-            let pause = BEAT.mul_f64(1.0 + 3.0 * self.chance.next());
+            let pause = BEAT.mul_f64(1.0 + 3.0 * self.chance.next_f64());
             self.after(pause, |logic| logic.decided.subscribe = true);
         }
         self.finish()
@@ -343,7 +344,7 @@
                 scatter.add((took - last).abs(), PROBE_SCATTER_OVER);
             }
             let told_by_time =
-                scatter.count >= PROBE_SCATTER_KNOWN && took > *least + PROBE_SCATTERS * scatter.mean;
+                scatter.count() >= PROBE_SCATTER_KNOWN && took > *least + PROBE_SCATTERS * scatter.mean();
             let by_time = if told_by_time { took / *least / PACE_BAD } else { 0.0 };
             engine.processor = engine.processor.map(|told| told.max(by_time));
             // Many jobs and then none: it died unseen by the list and is cold, however idle it looks.
@@ -505,7 +506,7 @@
         let Some(window) = self.settings.contract.retry_budget_window else { return true };
         let since = self.now - window;
         // Two dispatches one window apart count together: a limit within any span holds at both its ends.
-        let (extras, jobs) = (self.extras.since(since - self.guard()), self.taken.since(since));
+        let (extras, jobs) = (self.extras.sum_since(since - self.guard()), self.taken.sum_since(since));
         extras + 1.0 <= self.settings.contract.min_retries + self.settings.contract.retries_per_job * jobs
     }
 
@@ -524,7 +525,7 @@
         let Some(ready) = engine.listing.started_at.filter(|ready| !warm(ready)) else {
             return f64::INFINITY;
         };
-        let sent = engine.sent.since(self.now - window);
+        let sent = engine.sent.sum_since(self.now - window);
         let whole = |at| multiple * self.warmth(engine, at) * engine.cores * window.as_millis_f64();
         if !self.share_below_job(engine) {
             return SLOW_START_CARE * whole(self.now) / self.gateways - sent;
@@ -541,7 +542,7 @@
         let unit = if slot % 3 == 0 { heaviest } else { SLOW_START_JOBS * lightest.max(1.0) };
         let holders = (whole / unit).floor().clamp(1.0, self.gateways);
         let turn =
-            (mix(engine.hash ^ slot as u64) % self.gateways as u64) as f64 + self.settings.gateway_ordinal;
+            (mix64(engine.hash ^ slot as u64) % self.gateways as u64) as f64 + self.settings.gateway_ordinal;
         let mine = turn % self.gateways < holders && self.started + window <= self.now;
         if mine { whole / holders - sent } else { 0.0 }
     }
@@ -659,7 +660,7 @@
         let waits = std::mem::replace(&mut held.waits, !sent);
         self.waiting.extend((!sent && !waits).then_some(id));
         if !sent && !self.placing && self.many() {
-            let pause = PLACE_EVERY.mul_f64(5.0 + 5.0 * self.chance.next());
+            let pause = PLACE_EVERY.mul_f64(5.0 + 5.0 * self.chance.next_f64());
             self.place_after(pause);
         }
     }
@@ -668,7 +669,7 @@
     fn at_pace(&self, pace: f64) -> f64 {
         let seen =
             1.0 - (-((self.now - self.started).as_millis_f64().max(1.0) / RECENT.as_millis_f64())).exp();
-        pace * self.arrivals.read(self.now, RECENT) / (seen * RECENT.as_millis_f64())
+        pace * self.arrivals.sum_at(self.now, RECENT) / (seen * RECENT.as_millis_f64())
     }
 
     fn threads_out(&self) -> f64 {
@@ -709,7 +710,7 @@
         let (running, engines) = (&self.running, &self.engines);
         let sorted = || {
             let mut order = running.clone();
-            order.sort_by_cached_key(|e| (mix(engines[e].hash ^ mix(group)), *e));
+            order.sort_by_cached_key(|e| (mix64(engines[e].hash ^ mix64(group)), *e));
             order.into()
         };
         self.orders.entry(group).or_insert_with(sorted).clone()
@@ -722,7 +723,7 @@
         let order = self.order(self.jobs[&id].job.table_group);
         let many = self.many();
         let (blind, pace_life) = (self.blind(), self.pace_life());
-        let draw = if many { self.chance.next() } else { 0.0 };
+        let draw = if many { self.chance.next_f64() } else { 0.0 };
         let held = &self.jobs[&id];
         let (kind, group) = (&self.types[held.job.class], held.job.table_group);
         let total = |of: fn(&Engine) -> f64| self.running.iter().map(|e| of(&self.engines[e])).sum::<f64>();
@@ -734,7 +735,7 @@
         let dear = !many
             || self.asks > 0.5 * ASKS_KEPT
             || kind.settings.priority_weight >= self.traffic.dear.mean_or(0.0);
-        let mean = self.work.read(self.now, CALM_OVER) / order.len() as f64;
+        let mean = self.work.sum_at(self.now, CALM_OVER) / order.len() as f64;
         let dense = (billed / self.traffic.billed.mean_or(billed).max(1e-9)).sqrt().clamp(1.0, 1.5);
         let now = self.now;
         let past = |engine: &Engine| engine.pace_at(now, pace_life, PACE_PRIOR) >= PACE_BAD;
@@ -747,7 +748,8 @@
                 let fits = load <= most * dense && (blind || !past(engine));
                 let fresh = now - engine.reported <= ASK_AFTER.mul_f64(2.0);
                 // Its part of what this gateway sent of late: as all walk alike, of what all sent.
-                let part = || engine.work.read(now, CALM_OVER) <= REPLICAS * mean * self.warmth(engine, now);
+                let part =
+                    || engine.work.sum_at(now, CALM_OVER) <= REPLICAS * mean * self.warmth(engine, now);
                 return fits && (fresh || blind && (turn() || part()));
             }
             load <= most || (engine.outs == 0 && room()) || turn()
@@ -855,7 +857,7 @@
         let u: f64 = (0..3).map(|i| x[i] * theta[i]).sum();
         let z = (s + u).tanh();
         let r = self.balance(pair);
-        let rate = self.arrivals.per_second(self.now, RECENT);
+        let rate = self.arrivals.update_rate_per_second(self.now, RECENT);
         // λ0: the rate at which this gateway's equal part of the pool would be full with its usual jobs.
         let fair = self.cores * 1000.0 / self.arrivals.mean_or(1.0).max(1.0) / self.gateways;
         let omega = 0.4 + 0.3 * sigmoid(rate / fair.max(1e-3) - RATE_SHIFT);
@@ -872,7 +874,7 @@
     fn balance(&mut self, pair: [usize; 2]) -> f64 {
         let now = self.now;
         for e in pair {
-            self.engines.entry(e).and_modify(|engine| engine.work.touch(now, CALM_OVER));
+            self.engines.entry(e).and_modify(|engine| engine.work.decay_to(now, CALM_OVER));
         }
         let share = |[a, b]: [f64; 2]| if a + b > 1e-9 { a / (a + b) } else { 0.5 };
         let engines = pair.map(|e| &self.engines[&e]);
@@ -885,7 +887,7 @@
         };
         // Where own jobs are few, those out now tell less than those sent of late.
         let processor = if self.many() {
-            of(|e| e.processor, |e| e.work.sum / e.cores)
+            of(|e| e.processor, |e| e.work.sum() / e.cores)
         } else {
             of(|e| e.processor, |e| e.threads / e.cores)
         };
@@ -944,8 +946,8 @@
                     kind.grant = (kind.grant * GRANT_DOWN).max(1.0);
                 }
                 let usual = *kind.latency.get_or_insert(took);
-                step(&mut kind.latency, usual, ALPHA, took);
-                step(&mut engine.latency[reservation], usual, ALPHA, took);
+                update_ewma(&mut kind.latency, usual, ALPHA, took);
+                update_ewma(&mut engine.latency[reservation], usual, ALPHA, took);
                 if let Some(Choice { pair, x, s }) = out.choice {
                     let seen = |e| if e == out.engine { took } else { self.latency(e, reservation) };
                     let delta = (1.0 + seen(pair[0])).ln() - (1.0 + seen(pair[1])).ln();
@@ -1129,7 +1131,7 @@
             keep
         });
         self.cold.retain(|id| self.engines.contains_key(id));
-        self.traffic.groups.retain(|_, met| now - met.at < FORGET);
+        self.traffic.groups.retain(|_, met| now - met.updated_at() < FORGET);
         self.orders.retain(|group, _| self.traffic.groups.contains_key(group));
         self.turns.retain(|_, turns| !turns.is_empty());
         self.rests.retain(|_, rest| *rest > now);
@@ -1173,7 +1175,7 @@
     /// Meets overload, slow machines and anything else that takes an engine past its knee.
     fn step_bounds(&mut self) {
         let (now, life, blind) = (self.now, self.pace_life(), self.blind());
-        let pool = self.pace.mean_now(now, PACE_OVER, 1.0, PACE_PRIOR);
+        let pool = self.pace.update_mean(now, PACE_OVER, 1.0, PACE_PRIOR);
         // Likewise for what this gateway has out in all, for a jam of the whole pool where loads are unknown.
         if pool > PACE_BAD {
             let equal = BOUND_LEAST * THREADS_A_CORE * self.cores / self.gateways;
@@ -1187,9 +1189,9 @@
         self.tight = pool > PACE_TIGHT || (self.tight && self.waiting.iter().any(line));
         for at in 0..2 * self.types.len() {
             let (kind, way) = (&mut self.types[at / 2], at % 2);
-            kind.pace[way].touch(now, CALM_OVER);
-            let known = kind.pace[way].weight > 5.0 * usual_work(kind) / kind.settings.threads;
-            if known && (way > 0 || kind.true_cost.weight == 0.0) {
+            kind.pace[way].decay_to(now, CALM_OVER);
+            let known = kind.pace[way].weight() > 5.0 * usual_work(kind) / kind.settings.threads;
+            if known && (way > 0 || kind.true_cost.weight() == 0.0) {
                 let pace = kind.pace[way].mean_or(1.0);
                 let follow = |calm: f64| if pace < calm { calm + 0.05 * (pace - calm) } else { calm * 1.002 };
                 kind.calm[way] = Some(kind.calm[way].map_or(pace, follow).clamp(0.3, CALM_MOST[way]));
@@ -1199,7 +1201,7 @@
         for (engine, fill) in self.engines.values_mut().zip(fills) {
             // Where reports stand still past full, an engine little seen is presumed to keep the pool's pace.
             let presumed = if engine.whole && engine.jobs.is_none() { pool } else { 1.0 };
-            let pace = engine.pace.mean_now(now, life, presumed, PACE_PRIOR);
+            let pace = engine.pace.update_mean(now, life, presumed, PACE_PRIOR);
             let least = BOUND_LEAST * engine.share * if blind { 1.0 } else { (pool / pace).min(1.0) };
             if pace > PACE_BAD && fill > 0.5 * engine.bound {
                 engine.bound = (engine.bound * 0.93).max(least);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,6 +3,7 @@
 //! [`interface`] holds the plain types that go in and out, [`controller`] every decision.
 
 pub mod controller;
+mod estimators;
 pub mod interface;
 pub mod settings;
 mod state;
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,99 +2,26 @@
 //! value is handed in by `logic.rs`.
 
 use crate::controller::AdmissionController;
+use crate::estimators::{DecayingAverage, SlidingWindow};
 use crate::interface::*;
 use crate::settings::*;
 use crate::time::*;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 
 /// What a step of a job leaves behind: it is handed the step's result and says what comes next.
 pub type Next = Box<dyn FnOnce(&mut AdmissionController, JobId, DispatchStatus)>;
 
-/// A mean and a rate whose past fades; brought up to date when touched.
-#[derive(Clone, Copy, Default)]
-pub struct Fading {
-    pub sum: f64,
-    pub weight: f64,
-    pub at: Timestamp,
-}
-
-impl Fading {
-    pub fn touch(&mut self, now: Timestamp, life: TimeDelta) {
-        let keep = (-((now - self.at).as_millis_f64() / life.as_millis_f64())).exp();
-        (self.sum, self.weight, self.at) = (self.sum * keep, self.weight * keep, now);
-    }
-    pub fn add(&mut self, now: Timestamp, life: TimeDelta, x: f64, weight: f64) {
-        self.touch(now, life);
-        self.sum += x * weight;
-        self.weight += weight;
-    }
-    /// The sum as it has faded by now.
-    pub fn read(&self, now: Timestamp, life: TimeDelta) -> f64 {
-        let mut faded = *self;
-        faded.touch(now, life);
-        faded.sum
-    }
-    /// The mean, drawn towards `prior` as if that had been seen with `weight`.
-    pub fn mean_with(&self, prior: f64, weight: f64) -> f64 {
-        (self.sum + prior * weight) / (self.weight + weight)
-    }
-    pub fn mean_now(&mut self, now: Timestamp, life: TimeDelta, prior: f64, weight: f64) -> f64 {
-        self.touch(now, life);
-        self.mean_with(prior, weight)
-    }
-    pub fn mean_or(&self, absent: f64) -> f64 {
-        if self.weight > 1e-9 { self.sum / self.weight } else { absent }
-    }
-    pub fn per_second(&mut self, now: Timestamp, life: TimeDelta) -> f64 {
-        self.touch(now, life);
-        self.weight / (life.as_millis_f64() / 1000.0)
-    }
-}
-
-/// A mean of how much something varies from one time to the next.
-#[derive(Clone, Copy, Default)]
-pub struct Scatter {
-    pub mean: f64,
-    /// Differences seen.
-    pub count: u32,
-}
-
-impl Scatter {
-    /// Adds a difference to the mean of about the last `over` of them.
-    pub fn add(&mut self, difference: f64, over: f64) {
-        self.count = self.count.saturating_add(1);
-        self.mean += (difference - self.mean) / f64::from(self.count).min(over);
-    }
-}
-
-/// What happened within some span: kept singly, for the rules that count in a sliding window.
-#[derive(Default)]
-pub struct Recent(VecDeque<(Timestamp, f64)>);
-
-impl Recent {
-    /// Adds `x` and forgets what is older than `life`.
-    pub fn add(&mut self, now: Timestamp, life: TimeDelta, x: f64) {
-        while self.0.front().is_some_and(|(when, _)| *when <= now - life) {
-            self.0.pop_front();
-        }
-        self.0.push_back((now, x));
-    }
-    pub fn since(&self, then: Timestamp) -> f64 {
-        self.0.iter().filter(|(when, _)| *when > then).map(|(_, x)| x).sum()
-    }
-}
-
 /// The jobs taken of late. Threads, memory and billed value are weighed by how long the jobs run, so that
 /// they are those of a job that is out somewhere.
 #[derive(Default)]
 pub struct Traffic {
-    pub threads: Fading,
-    pub memory: Fading,
-    pub billed: Fading,
+    pub threads: DecayingAverage,
+    pub memory: DecayingAverage,
+    pub billed: DecayingAverage,
     /// Billed value of a job, whatever its work.
-    pub dear: Fading,
-    pub groups: BTreeMap<u64, Fading>,
-    jobs: Fading,
+    pub dear: DecayingAverage,
+    pub groups: BTreeMap<u64, DecayingAverage>,
+    jobs: DecayingAverage,
 }
 
 impl Traffic {
@@ -108,62 +35,7 @@
     }
     /// A table group's share of the other jobs, drawn towards none as if `more` had been seen.
     pub fn share_of(&self, group: u64, more: f64) -> f64 {
-        self.groups.get(&group).map_or(0.0, |own| (own.weight - 1.0).max(0.0)) / (self.jobs.weight + more)
-    }
-}
-
-/// A permuted congruential generator (PCG-XSH-RR).
-#[derive(Default)]
-pub struct Chance(pub u64);
-
-impl Chance {
-    pub fn next(&mut self) -> f64 {
-        let old = self.0;
-        self.0 = old.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        let mixed = (((old >> 18) ^ old) >> 27) as u32;
-        f64::from(mixed.rotate_right((old >> 59) as u32)) / 4294967296.0
-    }
-    pub fn normal(&mut self) -> f64 {
-        let radius = (-2.0 * (1.0 - self.next()).ln()).sqrt();
-        radius * (std::f64::consts::TAU * self.next()).cos()
-    }
-}
-
-/// The linear posterior behind the Thompson draw: V = λI + Σ x·xᵀ and b = Σ x·(Δ − s).
-#[derive(Default)]
-pub struct Residual {
-    pub v: [[f64; 3]; 3],
-    pub b: [f64; 3],
-}
-
-impl Residual {
-    /// Nothing learnt yet: V = λI.
-    pub fn new(lambda: f64) -> Residual {
-        let row = |i| [0, 1, 2].map(|j| if i == j { lambda } else { 0.0 });
-        Residual { v: [0, 1, 2].map(row), b: [0.0; 3] }
-    }
-    pub fn learn(&mut self, x: [f64; 3], target: f64) {
-        for i in 0..3 {
-            (0..3).for_each(|j| self.v[i][j] += x[i] * x[j]);
-            self.b[i] += x[i] * target;
-        }
-    }
-    /// θ̃ ~ N(V⁻¹b, σ²V⁻¹) by way of the Cholesky factor V = L·Lᵀ: θ̃ = L⁻ᵀ(L⁻¹b + σε).
-    pub fn draw(&self, sigma: f64, chance: &mut Chance) -> [f64; 3] {
-        let mut l = [[0.0; 3]; 3];
-        let mut y = [0.0; 3];
-        for i in 0..3 {
-            for j in 0..=i {
-                let rest = self.v[i][j] - (0..j).map(|k| l[i][k] * l[j][k]).sum::<f64>();
-                l[i][j] = if i == j { rest.max(1e-12).sqrt() } else { rest / l[j][j] };
-            }
-            y[i] = (self.b[i] - (0..i).map(|k| l[i][k] * y[k]).sum::<f64>()) / l[i][i];
-        }
-        let mut theta = y.map(|mean| mean + sigma * chance.normal());
-        for i in (0..3).rev() {
-            theta[i] = (theta[i] - (i + 1..3).map(|k| l[k][i] * theta[k]).sum::<f64>()) / l[i][i];
-        }
-        theta
+        self.groups.get(&group).map_or(0.0, |own| (own.weight() - 1.0).max(0.0)) / (self.jobs.weight() + more)
     }
 }
 
@@ -171,12 +43,12 @@
 #[derive(Default)]
 pub struct JobClass {
     pub settings: ClassSettings,
-    pub told_cost: Fading,
-    pub true_cost: Fading,
-    pub memory: Fading,
+    pub told_cost: DecayingAverage,
+    pub true_cost: DecayingAverage,
+    pub memory: DecayingAverage,
     pub latency: Option<f64>,
     /// Time over bare work of jobs that did not spill and of those that did, and the same in calm.
-    pub pace: [Fading; 2],
+    pub pace: [DecayingAverage; 2],
     pub calm: [Option<f64>; 2],
     /// Memory granted over memory told.
     pub grant: f64,
@@ -195,7 +67,7 @@
     }
     /// How much longer jobs take in calm because some of them spill, as often as of late.
     pub fn spill_factor(&self) -> f64 {
-        let ([dry, spilled], [calm, slow]) = (self.pace.map(|pace| pace.weight), self.calm);
+        let ([dry, spilled], [calm, slow]) = (self.pace.map(|pace| pace.weight()), self.calm);
         let slow = slow.map_or(1.0, |slow| slow / calm.unwrap_or(1.0));
         if spilled > 0.0 { (dry + spilled * slow) / (dry + spilled) } else { 1.0 }
     }
@@ -226,7 +98,7 @@
     pub whole: bool,
     pub full_until: Timestamp,
     /// Time that jobs took there over the time that their work alone would take.
-    pub pace: Fading,
+    pub pace: DecayingAverage,
     /// Left alone until then, for `backoff`; after that on trial, one job at a time, until it answers.
     pub shunned_until: Timestamp,
     pub backoff: TimeDelta,
@@ -243,8 +115,8 @@
     /// How long the last probe took (ms), if the engine said that it was not busy.
     pub calm_probe: Option<f64>,
     /// Usual work sent of late, for the cold budget; and work sent, fading slowly.
-    pub sent: Recent,
-    pub work: Fading,
+    pub sent: SlidingWindow,
+    pub work: DecayingAverage,
     /// Table groups known to be held by a load, and until when that is believed.
     pub holds: BTreeMap<u64, Timestamp>,
 }
@@ -257,7 +129,7 @@
     /// Its pace, drawn towards calm as if that had been seen with `weight`.
     pub fn pace_at(&self, now: Timestamp, life: TimeDelta, weight: f64) -> f64 {
         let mut pace = self.pace;
-        pace.mean_now(now, life, 1.0, weight)
+        pace.update_mean(now, life, 1.0, weight)
     }
     /// Counts a job that goes out to it, and one that comes back.
     pub fn leaves(&mut self, id: JobId, job: &Job, kind: &JobClass, memory: f64) {
@@ -304,43 +176,6 @@
     }
 }
 
-/// The last deviations of the balance score, with running sums of them and of their products.
-#[derive(Default)]
-pub struct Deviations {
-    last: VecDeque<[f64; 2]>,
-    sums: [f64; 5],
-}
-
-impl Deviations {
-    pub fn push(&mut self, e: [f64; 2], most: usize) {
-        self.add(e, 1.0);
-        self.last.push_back(e);
-        if self.last.len() > most
-            && let Some(old) = self.last.pop_front()
-        {
-            self.add(old, -1.0);
-        }
-    }
-    fn add(&mut self, [x, y]: [f64; 2], sign: f64) {
-        for (sum, term) in self.sums.iter_mut().zip([x, y, x * x, x * y, y * y]) {
-            *sum += sign * term;
-        }
-    }
-    fn means(&self) -> [f64; 5] {
-        self.sums.map(|sum| sum / self.last.len().max(1) as f64)
-    }
-    pub fn mean(&self) -> [f64; 2] {
-        let [x, y, ..] = self.means();
-        [x, y]
-    }
-    /// eᵀΣ⁻¹e, Σ the covariance with `ridge` on its diagonal.
-    pub fn squared_length(&self, e: [f64; 2], ridge: f64) -> f64 {
-        let [x, y, xx, xy, yy] = self.means();
-        let (a, b, d) = (xx - x * x + ridge, xy - x * y, yy - y * y + ridge);
-        (d * e[0] * e[0] - 2.0 * b * e[0] * e[1] + a * e[1] * e[1]) / (a * d - b * b)
-    }
-}
-
 /// A dispatch that is out.
 pub struct Out {
     pub engine: usize,
@@ -419,19 +254,3 @@
         self.out.iter().map(|out| out.engine).chain(self.may_have_run.map(|(engine, _)| engine))
     }
 }
-
-/// Moves an average by part of the way from where it is, or from `absent`, to `x`.
-pub fn step(average: &mut Option<f64>, absent: f64, part: f64, x: f64) {
-    let before = average.unwrap_or(absent);
-    *average = Some(before + part * (x - before));
-}
-
-pub fn sigmoid(x: f64) -> f64 {
-    1.0 / (1.0 + (-x).exp())
-}
-
-pub fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58476d1ce4e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d049bb133111eb);
-    x ^ (x >> 31)
-}
