--- a/src/controller.rs
+++ b/src/controller.rs
@@ -7,6 +7,7 @@
 use crate::settings::*;
 use crate::state::*;
 use crate::time::*;
+use crate::timers::{Timer, TimerQueue};
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -14,9 +15,6 @@
 /// What a rejected job's client is told to wait before it tries again.
 const RETRY_AFTER: TimeDelta = TimeDelta(1_000_000);
 
-/// What is to be done at some time.
-type Later = Box<dyn FnOnce(&mut AdmissionController)>;
-
 const ALPHA: f64 = 0.03; // step of the latency averages, as in the paper
 const LAMBDA: f64 = 0.5; // ridge of the residual's posterior, as in the paper
 const SIGMA: f64 = 0.1; // spread of its draws
@@ -83,8 +81,7 @@
     no_room: bool, // the last choice found no engine under its bound
     turns: BTreeMap<u64, VecDeque<JobId>>,
     rests: BTreeMap<u64, Timestamp>,
-    later: BTreeMap<(Timestamp, u64), Later>,
-    laters: u64,
+    timers: TimerQueue,
     decided: Actions,
     gateways: f64,
     residual: LinearPosterior,
@@ -148,7 +145,7 @@
             ..AdmissionController::default()
         };
         logic.decided.subscribe = logic.settings.polls_endpoint_list;
-        logic.after(BEAT, |logic| logic.beat());
+        logic.after(BEAT, Timer::Maintenance);
         logic
     }
 
@@ -177,7 +174,7 @@
         self.now = now;
         if self.settings.polls_endpoint_list {
             let pause = BEAT.mul_f64(1.0 + 3.0 * self.chance.next_f64());
-            self.after(pause, |logic| logic.decided.subscribe = true);
+            self.after(pause, Timer::PollEndpointList);
         }
         self.finish()
     }
@@ -215,7 +212,7 @@
             self.turns.entry(key).or_default().push_back(id);
         }
         self.jobs.insert(id, held);
-        self.at(guard, move |logic| logic.give_up(id));
+        self.at(guard, Timer::AnswerDeadline(id));
         let first = if possible { AdmissionController::place } else { AdmissionController::give_up };
         first(self, id);
         self.finish()
@@ -244,7 +241,7 @@
             held.unsure_at = Some(now);
         }
         self.learn(id, &out, &outcome);
-        (out.next)(self, id, outcome.status);
+        self.after_dispatch(id, outcome.status);
         self.release(id);
         if !self.waiting.is_empty() && !self.placing {
             self.place_after(PLACE_EVERY);
@@ -365,31 +362,44 @@
             (held.ends, held.sla_ends) = (held.ends.min(by), held.sla_ends.min(by));
         }
         let open: Vec<JobId> = self.jobs.keys().copied().collect();
-        self.at(by - self.guard(), |logic| open.into_iter().for_each(|id| logic.give_up(id)));
+        self.at(by - self.guard(), Timer::ShutdownDeadline(open));
         self.place_waiting();
         self.finish()
     }
 
     pub fn timer_fired(&mut self, now: Timestamp) -> Actions {
         self.now = now;
-        while let Some(due) = self.later.first_entry().filter(|due| due.key().0 <= now) {
-            due.remove()(self);
+        while let Some(timer) = self.timers.pop_due(now) {
+            self.fire(timer);
         }
         self.finish()
     }
 
+    fn fire(&mut self, timer: Timer) {
+        match timer {
+            Timer::Maintenance => self.beat(),
+            Timer::PollEndpointList => self.decided.subscribe = true,
+            Timer::AnswerDeadline(id) => self.give_up(id),
+            Timer::ShutdownDeadline(open) => open.into_iter().for_each(|id| self.give_up(id)),
+            Timer::KeyAvailable => self.place_waiting(),
+            Timer::PlaceWaitingJobs => {
+                self.placing = false;
+                self.place_waiting();
+            }
+        }
+    }
+
     fn finish(&mut self) -> Actions {
-        self.decided.next_timer = self.later.keys().next().map(|(when, _)| *when);
+        self.decided.next_timer = self.timers.next_at();
         std::mem::take(&mut self.decided)
     }
 
-    fn at(&mut self, when: Timestamp, what: impl FnOnce(&mut AdmissionController) + 'static) {
-        self.laters += 1;
-        self.later.insert((when, self.laters), Box::new(what));
+    fn at(&mut self, when: Timestamp, timer: Timer) {
+        self.timers.schedule_at(when, timer);
     }
 
-    fn after(&mut self, pause: TimeDelta, what: impl FnOnce(&mut AdmissionController) + 'static) {
-        self.at(self.now + pause, what);
+    fn after(&mut self, pause: TimeDelta, timer: Timer) {
+        self.at(self.now + pause, timer);
     }
 
     /// How long before a client leaves its final answer is given: two ticks, for the clock's coarseness.
@@ -553,8 +563,8 @@
         THREADS_A_CORE * engine.cores < self.gateways
     }
 
-    /// The one place from which a dispatch goes out. `next` is handed its result.
-    fn send(&mut self, id: JobId, to: usize, choice: Option<Choice>, next: Next) -> bool {
+    /// The one place from which a dispatch goes out.
+    fn send(&mut self, id: JobId, to: usize, choice: Option<Choice>) -> bool {
         if !self.may_go(id) || !self.may_go_to(id, to) {
             return false;
         }
@@ -577,7 +587,7 @@
         engine.work.add(self.now, CALM_OVER, held.cost, 1.0);
         self.work.add(self.now, CALM_OVER, held.cost, 1.0);
         let limit = held.ends - self.now;
-        held.out = Some(Out::new(to, held.copies, self.now, choice, memory, next));
+        held.out = Some(Out::new(to, held.copies, self.now, choice, memory));
         (held.copies, held.last) = (held.copies + 1, Some(to));
         let engine = EngineId(to as u32);
         self.decided.dispatches.push(Dispatch { job: id, engine, timeout: limit, begin_by, options: terms });
@@ -642,7 +652,7 @@
                 self.rests.insert(key, unsure + self.settings.contract.key_quiet_time);
             }
             self.turns.entry(key).or_default().retain(|other| *other != id);
-            self.at(self.rests.get(&key).copied().unwrap_or(self.now), |logic| logic.place_waiting());
+            self.at(self.rests.get(&key).copied().unwrap_or(self.now), Timer::KeyAvailable);
         }
         if self.jobs.remove(&id).is_some_and(|held| held.waits) {
             self.waiting.retain(|other| *other != id);
@@ -654,8 +664,7 @@
 
     /// Sends a job to the engine that the mechanism chooses, or keeps it until one may take it.
     fn place(&mut self, id: JobId) {
-        let next = Box::new(AdmissionController::after_dispatch);
-        let sent = self.choose(id).is_some_and(|(engine, choice)| self.send(id, engine, choice, next));
+        let sent = self.choose(id).is_some_and(|(engine, choice)| self.send(id, engine, choice));
         let held = self.jobs.get_mut(&id).expect("a job that is placed is held");
         let waits = std::mem::replace(&mut held.waits, !sent);
         self.waiting.extend((!sent && !waits).then_some(id));
@@ -699,10 +708,7 @@
 
     fn place_after(&mut self, pause: TimeDelta) {
         self.placing = true;
-        self.after(pause, |logic| {
-            logic.placing = false;
-            logic.place_waiting();
-        });
+        self.after(pause, Timer::PlaceWaitingJobs);
     }
 
     /// The order in which a table group's jobs walk the running engines.
@@ -1109,7 +1115,7 @@
     }
 
     fn beat(&mut self) {
-        self.after(BEAT, |logic| logic.beat());
+        self.after(BEAT, Timer::Maintenance);
         self.step_gamma();
         self.step_bounds();
         self.watch_outs();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,3 +8,4 @@
 pub mod settings;
 mod state;
 pub mod time;
+mod timers;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,16 +1,12 @@
 //! What the decision module remembers: plain state and arithmetic. Nothing here decides, and every tuned
 //! value is handed in by `logic.rs`.
 
-use crate::controller::AdmissionController;
 use crate::estimators::{DecayingAverage, SlidingWindow};
 use crate::interface::*;
 use crate::settings::*;
 use crate::time::*;
 use std::collections::BTreeMap;
 
-/// What a step of a job leaves behind: it is handed the step's result and says what comes next.
-pub type Next = Box<dyn FnOnce(&mut AdmissionController, JobId, DispatchStatus)>;
-
 /// The jobs taken of late. Threads, memory and billed value are weighed by how long the jobs run, so that
 /// they are those of a job that is out somewhere.
 #[derive(Default)]
@@ -188,21 +184,13 @@
     pub waited: bool,
     pub spilled: bool,
     pub memory: f64,
-    pub next: Next,
 }
 
 impl Out {
-    pub fn new(
-        engine: usize,
-        copy: u32,
-        sent: Timestamp,
-        choice: Option<Choice>,
-        memory: f64,
-        next: Next,
-    ) -> Out {
+    pub fn new(engine: usize, copy: u32, sent: Timestamp, choice: Option<Choice>, memory: f64) -> Out {
         let (share, noted) = (0.0, sent);
         let (recalled, waited, spilled) = (false, false, false);
-        Out { engine, copy, sent, choice, share, noted, recalled, waited, spilled, memory, next }
+        Out { engine, copy, sent, choice, share, noted, recalled, waited, spilled, memory }
     }
 }
 
