--- a/src/state.rs
+++ b/src/state.rs
@@ -1,212 +1,57 @@
 //! What the decision module remembers: plain state and arithmetic. Nothing here decides, and every tuned
 //! value is handed in by `logic.rs`.
 
-use crate::controller::AdmissionController;
+use crate::estimators::{DecayingAverage, SlidingWindow};
 use crate::interface::*;
 use crate::settings::*;
 use crate::time::*;
-use std::collections::{BTreeMap, VecDeque};
-
-/// What a step of a job leaves behind: it is handed the step's result and says what comes next.
-pub type Next = Box<dyn FnOnce(&mut AdmissionController, JobId, DispatchStatus)>;
-
-/// A mean and a rate whose past fades; brought up to date when touched.
-#[derive(Clone, Copy, Default)]
-pub struct Fading {
-    pub sum: f64,
-    pub weight: f64,
-    pub at: Timestamp,
-}
-
-impl Fading {
-    pub fn touch(&mut self, now: Timestamp, life: TimeDelta) {
-        let keep = (-((now - self.at).as_millis_f64() / life.as_millis_f64())).exp();
-        (self.sum, self.weight, self.at) = (self.sum * keep, self.weight * keep, now);
-    }
-    pub fn add(&mut self, now: Timestamp, life: TimeDelta, x: f64, weight: f64) {
-        self.touch(now, life);
-        self.sum += x * weight;
-        self.weight += weight;
-    }
-    /// The sum as it has faded by now.
-    pub fn read(&self, now: Timestamp, life: TimeDelta) -> f64 {
-        let mut faded = *self;
-        faded.touch(now, life);
-        faded.sum
-    }
-    /// The mean, drawn towards `prior` as if that had been seen with `weight`.
-    pub fn mean_with(&self, prior: f64, weight: f64) -> f64 {
-        (self.sum + prior * weight) / (self.weight + weight)
-    }
-    pub fn mean_now(&mut self, now: Timestamp, life: TimeDelta, prior: f64, weight: f64) -> f64 {
-        self.touch(now, life);
-        self.mean_with(prior, weight)
-    }
-    pub fn mean_or(&self, absent: f64) -> f64 {
-        if self.weight > 1e-9 { self.sum / self.weight } else { absent }
-    }
-    pub fn per_second(&mut self, now: Timestamp, life: TimeDelta) -> f64 {
-        self.touch(now, life);
-        self.weight / (life.as_millis_f64() / 1000.0)
-    }
-}
-
-/// A mean of how much something varies from one time to the next.
-#[derive(Clone, Copy, Default)]
-pub struct Scatter {
-    pub mean: f64,
-    /// Differences seen.
-    pub count: u32,
-}
-
-impl Scatter {
-    /// Adds a difference to the mean of about the last `over` of them.
-    pub fn add(&mut self, difference: f64, over: f64) {
-        self.count = self.count.saturating_add(1);
-        self.mean += (difference - self.mean) / f64::from(self.count).min(over);
-    }
-}
-
-/// What happened within some span: kept singly, for the rules that count in a sliding window.
-#[derive(Default)]
-pub struct Recent(VecDeque<(Timestamp, f64)>);
-
-impl Recent {
-    /// Adds `x` and forgets what is older than `life`.
-    pub fn add(&mut self, now: Timestamp, life: TimeDelta, x: f64) {
-        while self.0.front().is_some_and(|(when, _)| *when <= now - life) {
-            self.0.pop_front();
-        }
-        self.0.push_back((now, x));
-    }
-    pub fn since(&self, then: Timestamp) -> f64 {
-        self.0.iter().filter(|(when, _)| *when > then).map(|(_, x)| x).sum()
-    }
-}
+use std::collections::BTreeMap;
 
 /// The jobs taken of late. Threads, memory and billed value are weighed by how long the jobs run, so that
 /// they are those of a job that is out somewhere.
 #[derive(Default)]
 pub struct Traffic {
-    pub threads: Fading,
-    pub memory: Fading,
-    pub billed: Fading,
+    pub threads: DecayingAverage,
+    pub memory: DecayingAverage,
+    pub billed: DecayingAverage,
     /// Billed value of a job, whatever its work.
-    pub dear: Fading,
-    pub groups: BTreeMap<u64, Fading>,
-    jobs: Fading,
+    pub dear: DecayingAverage,
+    pub groups: BTreeMap<u64, DecayingAverage>,
+    jobs: DecayingAverage,
 }
 
 impl Traffic {
-    pub fn add(&mut self, now: Timestamp, life: TimeDelta, held: &Held, kind: &Reservation) {
-        self.threads.add(now, life, kind.threads, held.bare);
+    pub fn add(&mut self, now: Timestamp, life: TimeDelta, held: &Held, kind: &JobClass) {
+        self.threads.add(now, life, kind.settings.threads, held.bare);
         self.memory.add(now, life, held.memory * kind.grant, held.bare);
-        self.billed.add(now, life, kind.billed / (held.cost.max(1.0) / 1000.0), held.cost);
-        self.dear.add(now, life, kind.billed, 1.0);
+        self.billed.add(now, life, kind.settings.priority_weight / (held.cost.max(1.0) / 1000.0), held.cost);
+        self.dear.add(now, life, kind.settings.priority_weight, 1.0);
         self.groups.entry(held.job.table_group).or_default().add(now, life, 0.0, 1.0);
         self.jobs.add(now, life, 0.0, 1.0);
     }
     /// A table group's share of the other jobs, drawn towards none as if `more` had been seen.
     pub fn share_of(&self, group: u64, more: f64) -> f64 {
-        self.groups.get(&group).map_or(0.0, |own| (own.weight - 1.0).max(0.0)) / (self.jobs.weight + more)
+        self.groups.get(&group).map_or(0.0, |own| (own.weight() - 1.0).max(0.0)) / (self.jobs.weight() + more)
     }
 }
 
-/// A permuted congruential generator (PCG-XSH-RR).
-#[derive(Default)]
-pub struct Chance(pub u64);
-
-impl Chance {
-    pub fn next(&mut self) -> f64 {
-        let old = self.0;
-        self.0 = old.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        let mixed = (((old >> 18) ^ old) >> 27) as u32;
-        f64::from(mixed.rotate_right((old >> 59) as u32)) / 4294967296.0
-    }
-    pub fn normal(&mut self) -> f64 {
-        let radius = (-2.0 * (1.0 - self.next()).ln()).sqrt();
-        radius * (std::f64::consts::TAU * self.next()).cos()
-    }
-}
-
-/// The linear posterior behind the Thompson draw: V = λI + Σ x·xᵀ and b = Σ x·(Δ − s).
-#[derive(Default)]
-pub struct Residual {
-    pub v: [[f64; 3]; 3],
-    pub b: [f64; 3],
-}
-
-impl Residual {
-    /// Nothing learnt yet: V = λI.
-    pub fn new(lambda: f64) -> Residual {
-        let row = |i| [0, 1, 2].map(|j| if i == j { lambda } else { 0.0 });
-        Residual { v: [0, 1, 2].map(row), b: [0.0; 3] }
-    }
-    pub fn learn(&mut self, x: [f64; 3], target: f64) {
-        for i in 0..3 {
-            (0..3).for_each(|j| self.v[i][j] += x[i] * x[j]);
-            self.b[i] += x[i] * target;
-        }
-    }
-    /// θ̃ ~ N(V⁻¹b, σ²V⁻¹) by way of the Cholesky factor V = L·Lᵀ: θ̃ = L⁻ᵀ(L⁻¹b + σε).
-    pub fn draw(&self, sigma: f64, chance: &mut Chance) -> [f64; 3] {
-        let mut l = [[0.0; 3]; 3];
-        let mut y = [0.0; 3];
-        for i in 0..3 {
-            for j in 0..=i {
-                let rest = self.v[i][j] - (0..j).map(|k| l[i][k] * l[j][k]).sum::<f64>();
-                l[i][j] = if i == j { rest.max(1e-12).sqrt() } else { rest / l[j][j] };
-            }
-            y[i] = (self.b[i] - (0..i).map(|k| l[i][k] * y[k]).sum::<f64>()) / l[i][i];
-        }
-        let mut theta = y.map(|mean| mean + sigma * chance.normal());
-        for i in (0..3).rev() {
-            theta[i] = (theta[i] - (i + 1..3).map(|k| l[k][i] * theta[k]).sum::<f64>()) / l[i][i];
-        }
-        theta
-    }
-}
-
-#[derive(Clone, Copy, Default, PartialEq)]
-pub enum Effect {
-    #[default]
-    Restartable,
-    Keyed,
-    RunOnce,
-}
-
 /// A reservation type: what the settings say of it and what was learnt of its jobs.
 #[derive(Default)]
-pub struct Reservation {
-    pub effect: Effect,
-    pub group: String,
-    pub window: TimeDelta,
-    pub sla: TimeDelta,
-    /// How long its clients wait.
-    pub wait: TimeDelta,
-    pub stretch: f64,
-    pub billed: f64,
-    /// Part of the billed value that an answer past its SLA time earns.
-    pub late: f64,
-    pub threads: f64,
-    pub holds: bool,
-    pub waits: bool,
-    pub ordered: bool,
-    pub locations: Option<Vec<f64>>,
-    pub machines: Option<Vec<f64>>,
-    pub told_cost: Fading,
-    pub true_cost: Fading,
-    pub memory: Fading,
+pub struct JobClass {
+    pub settings: ClassSettings,
+    pub told_cost: DecayingAverage,
+    pub true_cost: DecayingAverage,
+    pub memory: DecayingAverage,
     pub latency: Option<f64>,
     /// Time over bare work of jobs that did not spill and of those that did, and the same in calm.
-    pub pace: [Fading; 2],
+    pub pace: [DecayingAverage; 2],
     pub calm: [Option<f64>; 2],
     /// Memory granted over memory told.
     pub grant: f64,
     pub spills: f64,
 }
 
-impl Reservation {
+impl JobClass {
     /// Adds what a job is told to cost and need, each as long as it is possible.
     pub fn tell(&mut self, now: Timestamp, life: TimeDelta, job: &Job, most: f64, largest: f64) {
         if let Some(told) = job.cost.map(TimeDelta::as_millis_f64).filter(|told| *told < most) {
@@ -218,38 +63,10 @@
     }
     /// How much longer jobs take in calm because some of them spill, as often as of late.
     pub fn spill_factor(&self) -> f64 {
-        let ([dry, spilled], [calm, slow]) = (self.pace.map(|pace| pace.weight), self.calm);
+        let ([dry, spilled], [calm, slow]) = (self.pace.map(|pace| pace.weight()), self.calm);
         let slow = slow.map_or(1.0, |slow| slow / calm.unwrap_or(1.0));
         if spilled > 0.0 { (dry + spilled * slow) / (dry + spilled) } else { 1.0 }
     }
-    pub fn read(settings: &Settings, i: usize) -> Reservation {
-        let number = |name: &str| settings.number(&format!("Classes.{i}.{name}")).unwrap_or(0.0);
-        let flag = |name: &str| settings.flag(&format!("Classes.{i}.{name}"));
-        let extra = |name: &str| format!("Extra.{name}.{i}");
-        Reservation {
-            effect: match settings.text(&format!("Classes.{i}.Semantics")) {
-                "read_like" => Effect::Restartable,
-                "idempotency_key" => Effect::Keyed,
-                _ => Effect::RunOnce,
-            },
-            group: settings.text(&format!("Classes.{i}.Group")).to_string(),
-            window: TimeDelta::from_millis_f64(number("DedupWindow")),
-            sla: TimeDelta::from_millis_f64(number("Aim")),
-            wait: settings
-                .number(&format!("Classes.{i}.GiveUp"))
-                .map_or(TimeDelta(i64::MAX), TimeDelta::from_millis_f64),
-            stretch: number("AimStretch"),
-            billed: number("Worth"),
-            late: number("LateValue"),
-            threads: settings.number(&extra("ClassThreads")).unwrap_or(1.0).max(1.0),
-            holds: settings.flag(&extra("IsLoad")),
-            waits: settings.flag(&extra("WaitsForLoads")),
-            ordered: flag("ByArrival"),
-            locations: settings.numbers(&format!("Classes.{i}.ConfinedTo")),
-            machines: settings.numbers(&format!("Classes.{i}.BoundTo")),
-            ..Reservation::default()
-        }
-    }
 }
 
 #[derive(Default)]
@@ -277,7 +94,7 @@
     pub whole: bool,
     pub full_until: Timestamp,
     /// Time that jobs took there over the time that their work alone would take.
-    pub pace: Fading,
+    pub pace: DecayingAverage,
     /// Left alone until then, for `backoff`; after that on trial, one job at a time, until it answers.
     pub shunned_until: Timestamp,
     pub backoff: TimeDelta,
@@ -294,8 +111,8 @@
     /// How long the last probe took (ms), if the engine said that it was not busy.
     pub calm_probe: Option<f64>,
     /// Usual work sent of late, for the cold budget; and work sent, fading slowly.
-    pub sent: Recent,
-    pub work: Fading,
+    pub sent: SlidingWindow,
+    pub work: DecayingAverage,
     /// Table groups known to be held by a load, and until when that is believed.
     pub holds: BTreeMap<u64, Timestamp>,
 }
@@ -308,38 +125,40 @@
     /// Its pace, drawn towards calm as if that had been seen with `weight`.
     pub fn pace_at(&self, now: Timestamp, life: TimeDelta, weight: f64) -> f64 {
         let mut pace = self.pace;
-        pace.mean_now(now, life, 1.0, weight)
+        pace.update_mean(now, life, 1.0, weight)
     }
     /// Counts a job that goes out to it, and one that comes back.
-    pub fn leaves(&mut self, id: JobId, job: &Job, kind: &Reservation, memory: f64) {
-        self.threads += kind.threads;
-        self.since += kind.threads;
+    pub fn leaves(&mut self, id: JobId, job: &Job, kind: &JobClass, memory: f64) {
+        self.threads += kind.settings.threads;
+        self.since += kind.settings.threads;
         self.memory_out += memory;
         self.outs += 1;
-        self.loads.extend(kind.holds.then_some(job.table_group));
+        self.loads.extend(kind.settings.locks_tables.then_some(job.table_group));
         self.trial = self.on_trial.then_some(id);
     }
-    pub fn returns(&mut self, id: JobId, job: &Job, kind: &Reservation, memory: f64) {
-        self.threads = (self.threads - kind.threads).max(0.0);
+    pub fn returns(&mut self, id: JobId, job: &Job, kind: &JobClass, memory: f64) {
+        self.threads = (self.threads - kind.settings.threads).max(0.0);
         self.memory_out = (self.memory_out - memory).max(0.0);
         self.outs = self.outs.saturating_sub(1);
         self.trial = self.trial.filter(|job| *job != id);
-        if let Some(at) = self.loads.iter().position(|group| kind.holds && *group == job.table_group) {
+        if let Some(at) =
+            self.loads.iter().position(|group| kind.settings.locks_tables && *group == job.table_group)
+        {
             self.loads.swap_remove(at);
         }
     }
     /// An engine as the list and the settings describe it; what is out at it is kept from `before`.
-    pub fn read(settings: &Settings, listing: Endpoint, before: Engine, types: usize) -> Engine {
-        let known = |name: &str| settings.number(&format!("Extra.{name}.{}", listing.machine));
-        let memory_mb = known("RamOfKindMb");
+    pub fn read(settings: &ControllerSettings, listing: Endpoint, before: Engine, types: usize) -> Engine {
+        let machine_type = settings.machine_types.get(&listing.machine).copied().unwrap_or_default();
+        let memory_mb = machine_type.memory_mb;
         let Engine { threads, memory_out, outs, sent, work, loads, .. } = before;
         Engine {
             hash: listing.name.bytes().fold(0xcbf29ce484222325, |hash: u64, byte| {
                 (hash ^ u64::from(byte)).wrapping_mul(0x100000001b3)
             }),
-            cores: known("CpuOfKind").unwrap_or(listing.capacity_hint).max(0.1),
+            cores: machine_type.cores.unwrap_or(listing.capacity_hint).max(0.1),
             memory_mb: memory_mb.unwrap_or(f64::INFINITY),
-            most_mb: memory_mb.unwrap_or(0.0) * settings.number("Extra.MostGrant").unwrap_or(1.0),
+            most_mb: memory_mb.unwrap_or(0.0) * settings.max_memory_fraction_per_job,
             latency: vec![None; types],
             threads,
             memory_out,
@@ -353,43 +172,6 @@
     }
 }
 
-/// The last deviations of the balance score, with running sums of them and of their products.
-#[derive(Default)]
-pub struct Deviations {
-    last: VecDeque<[f64; 2]>,
-    sums: [f64; 5],
-}
-
-impl Deviations {
-    pub fn push(&mut self, e: [f64; 2], most: usize) {
-        self.add(e, 1.0);
-        self.last.push_back(e);
-        if self.last.len() > most
-            && let Some(old) = self.last.pop_front()
-        {
-            self.add(old, -1.0);
-        }
-    }
-    fn add(&mut self, [x, y]: [f64; 2], sign: f64) {
-        for (sum, term) in self.sums.iter_mut().zip([x, y, x * x, x * y, y * y]) {
-            *sum += sign * term;
-        }
-    }
-    fn means(&self) -> [f64; 5] {
-        self.sums.map(|sum| sum / self.last.len().max(1) as f64)
-    }
-    pub fn mean(&self) -> [f64; 2] {
-        let [x, y, ..] = self.means();
-        [x, y]
-    }
-    /// eᵀΣ⁻¹e, Σ the covariance with `ridge` on its diagonal.
-    pub fn squared_length(&self, e: [f64; 2], ridge: f64) -> f64 {
-        let [x, y, xx, xy, yy] = self.means();
-        let (a, b, d) = (xx - x * x + ridge, xy - x * y, yy - y * y + ridge);
-        (d * e[0] * e[0] - 2.0 * b * e[0] * e[1] + a * e[1] * e[1]) / (a * d - b * b)
-    }
-}
-
 /// A dispatch that is out.
 pub struct Out {
     pub engine: usize,
@@ -402,21 +184,13 @@
     pub waited: bool,
     pub spilled: bool,
     pub memory: f64,
-    pub next: Next,
 }
 
 impl Out {
-    pub fn new(
-        engine: usize,
-        copy: u32,
-        sent: Timestamp,
-        choice: Option<Choice>,
-        memory: f64,
-        next: Next,
-    ) -> Out {
+    pub fn new(engine: usize, copy: u32, sent: Timestamp, choice: Option<Choice>, memory: f64) -> Out {
         let (share, noted) = (0.0, sent);
         let (recalled, waited, spilled) = (false, false, false);
-        Out { engine, copy, sent, choice, share, noted, recalled, waited, spilled, memory, next }
+        Out { engine, copy, sent, choice, share, noted, recalled, waited, spilled, memory }
     }
 }
 
@@ -468,19 +242,3 @@
         self.out.iter().map(|out| out.engine).chain(self.may_have_run.map(|(engine, _)| engine))
     }
 }
-
-/// Moves an average by part of the way from where it is, or from `absent`, to `x`.
-pub fn step(average: &mut Option<f64>, absent: f64, part: f64, x: f64) {
-    let before = average.unwrap_or(absent);
-    *average = Some(before + part * (x - before));
-}
-
-pub fn sigmoid(x: f64) -> f64 {
-    1.0 / (1.0 + (-x).exp())
-}
-
-pub fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58476d1ce4e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d049bb133111eb);
-    x ^ (x >> 31)
-}
