--- /dev/null
+++ b/tests/decisions/admission.rs
@@ -0,0 +1,75 @@
+//! Admission: which jobs wait at the gateway for capacity, and which estimates of clients are believed.
+
+use crate::harness::ControllerHarness;
+use crate::jobs::lookup;
+use expect_test::expect;
+use pebblevane::interface::JobId;
+
+const DAY_MS: f64 = 86_400_000.0;
+
+#[test]
+fn queued_jobs_are_released_one_by_one_as_capacity_returns() {
+    let mut harness = ControllerHarness::builder().engines(2).build();
+    (0..36).for_each(|group| assert_eq!(harness.submit(lookup(u64::from(group))), JobId(group)));
+    let mut sent = vec![harness.dispatches.len()];
+    for job in 0..3 {
+        harness.complete(JobId(job), 100.0);
+        harness.advance(20.0);
+        sent.push(harness.dispatches.len());
+    }
+    harness.advance(2000.0);
+    let rejected = harness.rejections.len();
+    expect!["sent [32, 33, 34, 35], throttled 1"].assert_eq(&format!("sent {sent:?}, throttled {rejected}"));
+}
+
+/// Estimates may be hostile. A job of more work than any client waits for is rejected, and later jobs are judged as if it
+/// had not come; so is a job whose client claims to wait for a day.
+#[test]
+fn an_absurd_cost_estimate_is_rejected_and_not_learned_from() {
+    let mut harness = ControllerHarness::builder()
+        .engines(2)
+        .setting("Classes.0.GiveUp", 4000.0)
+        .setting("Classes.0.AimStretch", 10.0)
+        .build();
+    let unbelievable = lookup(1).cost_ms(9e10);
+    let day_long = lookup(1).cost_ms(5e7).client_timeout_ms(DAY_MS);
+    let without_cost = lookup(1).without_cost();
+    for spec in [lookup(1).cost_ms(100.0), unbelievable, without_cost, day_long, without_cost] {
+        let job = harness.submit(spec);
+        harness.advance(50.0);
+        harness.complete(job, 50.0);
+    }
+    // Nor does a job wait for longer than the settings say that clients do.
+    harness.replace_endpoints(vec![]);
+    harness.submit(lookup(1).cost_ms(3000.0).client_timeout_ms(DAY_MS));
+    harness.advance(5000.0);
+    harness.expect_trace(&expect![[r"
+            0     list [0 Running, 1 Running]:
+            0     take 0: send 0 to 0
+            50    Completed 0.0:
+            50    take 1: throttle 1
+            100   Completed 1.0:
+            100   take 2: send 2 to 1
+            150   Completed 2.0:
+            150   take 3: throttle 3
+            200   Completed 3.0:
+            200   take 4: send 4 to 1
+            250   Completed 4.0:
+            250   list []:
+            250   take 5:
+            4240  : throttle 5
+        "]]);
+}
+
+/// A job that claims more memory than any running engine has does not fill its engine for the others.
+#[test]
+fn a_memory_estimate_beyond_any_engine_is_disregarded() {
+    let mut harness = ControllerHarness::builder().engines(1).setting("Extra.RamOfKindMb.0", 1000.0).build();
+    harness.submit(lookup(1).memory_mb(1e9));
+    harness.submit(lookup(1));
+    harness.expect_trace(&expect![[r"
+        0     list [0 Running]:
+        0     take 0: send 0 to 0
+        0     take 1: send 1 to 0
+    "]]);
+}
--- /dev/null
+++ b/tests/decisions/bulk_loads.rs
@@ -0,0 +1,103 @@
+//! Bulk loads lock the tables of their group on an engine: where they go, and how readers of the same tables avoid them.
+
+use crate::harness::{ControllerHarness, attempt};
+use crate::jobs::{bulk_load, lookup};
+use expect_test::expect;
+use pebblevane::interface::{DispatchStatus, ProgressUpdate};
+
+#[test]
+fn readers_avoid_engines_whose_tables_a_bulk_load_locks() {
+    let mut harness = ControllerHarness::builder().engines(3).build();
+    let first = harness.submit(bulk_load(11));
+    for _ in 0..4 {
+        let job = harness.submit(lookup(11));
+        harness.complete(job, 100.0);
+    }
+    let other = harness.submit(lookup(12));
+    harness.progress(attempt(other, 0), ProgressUpdate::WaitingForBulkLoad);
+    harness.submit(lookup(12));
+    harness.complete(first, 2000.0);
+    harness.expect_trace(&expect![[r"
+        0     list [0 Running, 1 Running, 2 Running]:
+        0     take 0: send 0 to 2
+        0     take 1: send 1 to 1
+        0     Completed 1.0:
+        0     take 2: send 2 to 1
+        0     Completed 2.0:
+        0     take 3: send 3 to 1
+        0     Completed 3.0:
+        0     take 4: send 4 to 1
+        0     Completed 4.0:
+        0     take 5: send 5 to 1
+        0     WaitingForBulkLoad 5.0: recall 5.0
+        0     take 6: send 6 to 0
+        0     Completed 0.0:
+    "]]);
+}
+
+#[test]
+fn bulk_loads_of_many_gateways_spread_over_the_engines() {
+    let mut loads_at = [0; 8];
+    for ordinal in 0..40 {
+        let mut harness = ControllerHarness::builder()
+            .engines(8)
+            .large_fleet()
+            .gateway_ordinal(ordinal)
+            .reported_jobs_in_flight(0.0, 8)
+            .build();
+        harness.submit(bulk_load(11));
+        loads_at[harness.dispatches[0].engine as usize] += 1;
+    }
+    expect!["[3, 4, 6, 6, 6, 10, 5, 0]"].assert_eq(&format!("{loads_at:?}"));
+}
+
+/// Where bulk loads lock the tables on all engines, a reader that is moved from one to the next uses up its attempts and
+/// then waits until its client leaves. So it is cancelled only while another engine is not known to be locked.
+#[test]
+fn a_reader_is_not_moved_to_another_engine_whose_tables_are_locked() {
+    let mut harness = ControllerHarness::builder().engines(2).progress_interval_ms(1000.0).build();
+    let first = harness.submit(lookup(11));
+    harness.progress(attempt(first, 0), ProgressUpdate::WaitingForBulkLoad);
+    harness.finish(attempt(first, 0), DispatchStatus::Cancelled, 1.0);
+    harness.progress(attempt(first, 1), ProgressUpdate::WaitingForBulkLoad);
+    harness.advance(100.0);
+    // It waited there and has completed: the tables are free on that engine.
+    harness.finish(attempt(first, 1), DispatchStatus::Completed, 100.0);
+    let second = harness.submit(lookup(11));
+    harness.complete(second, 50.0);
+    harness.expect_trace(&expect![[r"
+        0     list [0 Running, 1 Running]:
+        0     take 0: send 0 to 0
+        0     WaitingForBulkLoad 0.0: recall 0.0
+        0     Cancelled 0.0: send 0 to 1
+        0     WaitingForBulkLoad 0.1:
+        100   Completed 0.1:
+        100   take 1: send 1 to 1
+        100   Completed 1.0:
+    "]]);
+}
+
+/// Bulk loads of a group with many jobs must not lock its tables on every engine: they leave the first engine of their
+/// readers free and queue behind each other.
+#[test]
+fn bulk_loads_leave_one_engine_of_the_group_to_readers() {
+    let mut harness = ControllerHarness::builder().engines(4).build();
+    for _ in 0..5 {
+        harness.submit(bulk_load(11));
+    }
+    for _ in 0..4 {
+        harness.submit(lookup(11));
+    }
+    harness.expect_trace(&expect![[r"
+        0     list [0 Running, 1 Running, 2 Running, 3 Running]:
+        0     take 0: send 0 to 2
+        0     take 1: send 1 to 0
+        0     take 2: send 2 to 3
+        0     take 3: send 3 to 0
+        0     take 4: send 4 to 2
+        0     take 5: send 5 to 1
+        0     take 6: send 6 to 1
+        0     take 7: send 7 to 1
+        0     take 8: send 8 to 1
+    "]]);
+}
--- /dev/null
+++ b/tests/decisions/cancellation.rs
@@ -0,0 +1,54 @@
+//! Dispatches that the controller cancels by its own decision, to retry the job elsewhere or to reject it.
+
+use crate::harness::{ControllerHarness, attempt};
+use crate::jobs::{LOOKUP, lookup};
+use expect_test::expect;
+use pebblevane::interface::{DispatchStatus, JobId, ProgressUpdate};
+use std::fmt::Write as _;
+
+#[test]
+fn a_dispatch_with_slow_progress_is_cancelled_and_retried() {
+    let mut harness = ControllerHarness::builder().engines(3).progress_interval_ms(200.0).build();
+    let usual = harness.submit(lookup(11));
+    harness.advance(100.0);
+    harness.complete(usual, 100.0);
+    let stuck = harness.submit(lookup(11));
+    harness.advance(200.0);
+    harness.progress(attempt(stuck, 0), ProgressUpdate::CompletedFraction(0.05));
+    harness.finish(attempt(stuck, 0), DispatchStatus::Cancelled, 200.0);
+    harness.expect_trace(&expect![[r"
+            0     list [0 Running, 1 Running, 2 Running]:
+            0     take 0: send 0 to 2
+            100   Completed 0.0:
+            100   take 1: send 1 to 1
+            300   CompletedFraction(0.05) 1.0: recall 1.0
+            300   Cancelled 1.0: send 1 to 2
+        "]]);
+}
+
+/// A job past its latency objective on a saturated engine prolongs the congestion for little value.
+#[test]
+fn a_late_job_on_a_congested_engine_is_rejected_unless_nearly_complete() {
+    let mut lines = String::new();
+    for completed in [0.0, 0.9] {
+        let mut harness = ControllerHarness::builder().engines(1).late_value_ratio(LOOKUP, 0.5).build();
+        for group in 0..40 {
+            let job = harness.submit(lookup(group));
+            harness.advance(100.0);
+            harness.complete(job, 100.0);
+        }
+        let jobs: Vec<JobId> = (0..6).map(|group| harness.submit(lookup(group))).collect();
+        harness.advance(700.0);
+        for job in &jobs {
+            harness.progress(attempt(*job, 0), ProgressUpdate::CompletedFraction(completed));
+        }
+        harness.advance(1800.0);
+        let rejected = jobs.iter().filter(|job| harness.rejections.contains(job)).count();
+        writeln!(lines, "{completed} done: {rejected} of {} given up", jobs.len()).unwrap();
+    }
+    expect![[r"
+        0 done: 6 of 6 given up
+        0.9 done: 0 of 6 given up
+    "]]
+    .assert_eq(&lines);
+}
--- /dev/null
+++ b/tests/decisions/endpoint_list.rs
@@ -0,0 +1,48 @@
+//! Rule 3: an engine that drains, or has gone, gets nothing new. What happens to jobs while no engine is listed.
+
+use crate::harness::{ControllerHarness, attempt, draining, running};
+use crate::jobs::lookup;
+use expect_test::expect;
+use pebblevane::interface::{DispatchStatus, JobId};
+
+#[test]
+fn draining_and_gone_engines_get_no_dispatch() {
+    let mut harness = ControllerHarness::builder().engines(3).build();
+    harness.update_endpoints(vec![draining(0)]);
+    harness.replace_endpoints(vec![running(1)]);
+    for group in 0..4 {
+        harness.submit(lookup(group));
+    }
+    harness.expect_trace(&expect![[r"
+            0     list [0 Running, 1 Running, 2 Running]:
+            0     list [0 Draining]:
+            0     list [1 Running]:
+            0     take 0: send 0 to 1
+            0     take 1: send 1 to 1
+            0     take 2: send 2 to 1
+            0     take 3: send 3 to 1
+        "]]);
+}
+
+#[test]
+fn jobs_wait_for_an_engine_and_are_retried_after_a_stale_endpoint_list() {
+    let mut harness = ControllerHarness::builder().build();
+    harness.submit(lookup(11));
+    harness.replace_endpoints(vec![running(0)]);
+    harness.finish(attempt(JobId(0), 0), DispatchStatus::Unreachable, 250.0);
+    harness.advance(250.0);
+    harness.replace_endpoints(vec![running(1)]);
+    harness.replace_endpoints(vec![]);
+    harness.submit(lookup(12));
+    harness.advance(1500.0);
+    harness.expect_trace(&expect![[r"
+            0     list []:
+            0     take 0:
+            0     list [0 Running]: send 0 to 0
+            0     Unreachable 0.0: send 0 to 0
+            250   list [1 Running]:
+            250   list []:
+            250   take 1:
+            1250  : throttle 1
+        "]]);
+}
--- /dev/null
+++ b/tests/decisions/engine_selection.rs
@@ -0,0 +1,82 @@
+//! Which engine a job goes to: the hashed pair of its table group, the faster one of the two, and the rest of the pool.
+
+use crate::harness::ControllerHarness;
+use crate::jobs::lookup;
+use expect_test::expect;
+use std::fmt::Write as _;
+
+#[test]
+fn jobs_of_a_table_group_go_to_its_pair_of_engines() {
+    let mut harness = ControllerHarness::builder().engines(6).build();
+    for round in 0..4 {
+        for group in [11, 12] {
+            let job = harness.submit(lookup(group));
+            harness.advance(50.0);
+            harness.complete(job, 50.0 + f64::from(round));
+        }
+    }
+    harness.expect_trace(&expect![[r"
+            0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
+            0     take 0: send 0 to 5
+            50    Completed 0.0:
+            50    take 1: send 1 to 1
+            100   Completed 1.0:
+            100   take 2: send 2 to 1
+            150   Completed 2.0:
+            150   take 3: send 3 to 1
+            200   Completed 3.0:
+            200   take 4: send 4 to 1
+            250   Completed 4.0:
+            250   take 5: send 5 to 1
+            300   Completed 5.0:
+            300   take 6: send 6 to 5
+            350   Completed 6.0:
+            350   take 7: send 7 to 1
+            400   Completed 7.0:
+        "]]);
+}
+
+#[test]
+fn the_faster_engine_of_a_pair_is_learned() {
+    let mut harness = ControllerHarness::builder().engines(2).build();
+    let mut counts = [0; 2];
+    for _ in 0..300 {
+        let job = harness.submit(lookup(11));
+        let slow = harness.was_sent_to(job, 1);
+        counts[usize::from(slow)] += 1;
+        harness.advance(20.0);
+        harness.complete(job, if slow { 900.0 } else { 100.0 });
+    }
+    expect!["[299, 1]"].assert_eq(&format!("{counts:?}"));
+}
+
+/// A job that is more than a gateway's share of any engine can't be balanced by the gateway's own figures: without more,
+/// the first such job of every gateway would go to the same two engines of a busy table group.
+#[test]
+fn large_jobs_of_many_gateways_spread_over_all_engines() {
+    let mut lines = String::new();
+    for cost in [50.0, 3000.0] {
+        let mut jobs_at = [0; 8];
+        for ordinal in 0..40 {
+            let mut harness = ControllerHarness::builder()
+                .engines(8)
+                .large_fleet()
+                .health_check_price(1.0)
+                .gateway_ordinal(ordinal)
+                .build();
+            for group in 0..30 {
+                let usual = lookup(100 + group).cost_ms(400.0);
+                let job = harness.submit(if group == 29 { lookup(11).cost_ms(cost) } else { usual });
+                harness.advance(100.0);
+                harness.complete(job, 100.0);
+            }
+            jobs_at[harness.dispatches[29].engine as usize] += 1;
+        }
+        writeln!(lines, "{cost} ms: {jobs_at:?}").unwrap();
+    }
+    expect![[r"
+        50 ms: [0, 16, 0, 0, 0, 0, 0, 24]
+        3000 ms: [2, 3, 1, 11, 4, 12, 1, 6]
+    "]]
+    .assert_eq(&lines);
+}
--- /dev/null
+++ b/tests/decisions/harness.rs
@@ -0,0 +1,287 @@
+//! Drives an [`AdmissionController`] by hand: a test submits jobs, reports what engines did and advances the clock, and
+//! the harness records every event with the controller's actions as a line of a trace.
+//!
+//! A line reads `time in ms, event: actions`. The words of the trace are `take` (a job is submitted), `send`
+//! (dispatched), `recall` (a dispatch is cancelled), `throttle` (the job is rejected and may be tried again), `cancel`
+//! (the job has failed), `probe` (a health check is sent) and `told` (a health check reports an engine's load).
+
+use crate::builder::HarnessBuilder;
+use crate::jobs::{DEFAULT_MEMORY_MB, JobSpec};
+use expect_test::Expect;
+use pebblevane::controller::AdmissionController;
+use pebblevane::interface::{
+    Actions, ActualCost, DispatchId, DispatchResult, DispatchStatus, Endpoint, EngineId, FinalAnswer, JobId,
+    LifecycleState, LoadReport, ProgressUpdate,
+};
+use pebblevane::time::{TimeDelta, Timestamp};
+use std::fmt::Write;
+
+/// How often the controller's timer fires while time advances.
+const TIMER_INTERVAL_MS: f64 = 5.0;
+/// How long a health check takes unless a test says otherwise.
+const HEALTH_CHECK_MS: f64 = 1.0;
+
+/// What engines' health checks report, one value for each engine by its number. Engines past the end of the list don't
+/// answer.
+pub enum LoadReports {
+    JobsInFlight(Vec<f64>),
+    Utilization(Vec<f64>),
+}
+
+impl LoadReports {
+    fn value(&self, engine: EngineId) -> Option<f64> {
+        let (LoadReports::JobsInFlight(values) | LoadReports::Utilization(values)) = self;
+        values.get(engine.0 as usize).copied()
+    }
+    fn report(&self, value: f64) -> LoadReport {
+        match self {
+            LoadReports::JobsInFlight(_) => {
+                LoadReport { jobs_in_flight: Some(value), ..LoadReport::default() }
+            }
+            LoadReports::Utilization(_) => {
+                LoadReport { processor_utilization: Some(value), ..LoadReport::default() }
+            }
+        }
+    }
+}
+
+/// A dispatch that the controller has ordered.
+pub struct SentDispatch {
+    pub at_ms: f64,
+    pub job: JobId,
+    pub engine: u32,
+}
+
+/// A controller with a clock of its own, a trace, and what it has ordered so far.
+pub struct ControllerHarness {
+    controller: AdmissionController,
+    now_ms: f64,
+    trace: String,
+    load_reports: LoadReports,
+    /// How long each engine's health checks take; [`HEALTH_CHECK_MS`] past the end of the list.
+    pub health_check_ms: Vec<f64>,
+    open_health_checks: Vec<EngineId>,
+    /// All dispatches in their order.
+    pub dispatches: Vec<SentDispatch>,
+    /// Jobs that were rejected, in their order.
+    pub rejections: Vec<JobId>,
+    /// How many health checks were sent.
+    pub health_checks_sent: usize,
+    next_job: u32,
+    engines_reachable: bool,
+    billed_work_ms: Option<f64>,
+}
+
+impl ControllerHarness {
+    /// Sets up a harness; without more it is one of two gateways, with no engines.
+    pub fn builder() -> HarnessBuilder {
+        HarnessBuilder::new()
+    }
+    /// Takes over what the builder has gathered, at the time 0.
+    pub(crate) fn new(controller: AdmissionController, builder: HarnessBuilder) -> ControllerHarness {
+        ControllerHarness {
+            controller,
+            now_ms: 0.0,
+            trace: String::new(),
+            load_reports: builder.load_reports,
+            health_check_ms: Vec::new(),
+            open_health_checks: Vec::new(),
+            dispatches: Vec::new(),
+            rejections: Vec::new(),
+            health_checks_sent: 0,
+            next_job: 0,
+            engines_reachable: builder.engines_reachable,
+            billed_work_ms: builder.billed_work_ms,
+        }
+    }
+    pub fn now_ms(&self) -> f64 {
+        self.now_ms
+    }
+    /// Moves the clock without firing timers, as when a process gets no processor time.
+    pub fn jump_to(&mut self, at_ms: f64) {
+        self.now_ms = at_ms;
+    }
+    pub fn set_load_reports(&mut self, reports: LoadReports) {
+        self.load_reports = reports;
+    }
+    /// From now on engines report this much work for each finished dispatch.
+    pub fn set_billed_work_ms(&mut self, work: f64) {
+        self.billed_work_ms = Some(work);
+    }
+    /// Number of entries that the controller holds in its state.
+    pub fn retained_entries(&self) -> usize {
+        self.controller.retained_entries()
+    }
+    /// The last dispatch of a job.
+    pub fn last_dispatch(&self, job: JobId) -> Option<&SentDispatch> {
+        self.dispatches.iter().rev().find(|dispatch| dispatch.job == job)
+    }
+    /// Whether the last dispatch of a job went to an engine.
+    pub fn was_sent_to(&self, job: JobId, engine: u32) -> bool {
+        self.last_dispatch(job).is_some_and(|dispatch| dispatch.engine == engine)
+    }
+    /// Compares all that has happened.
+    pub fn expect_trace(&self, trace: &Expect) {
+        trace.assert_eq(&self.trace);
+    }
+
+    /// The endpoint list becomes this one.
+    pub fn replace_endpoints(&mut self, endpoints: Vec<Endpoint>) {
+        self.endpoints_changed(true, endpoints);
+    }
+    /// Some endpoints have changed.
+    pub fn update_endpoints(&mut self, endpoints: Vec<Endpoint>) {
+        self.endpoints_changed(false, endpoints);
+    }
+    fn endpoints_changed(&mut self, complete: bool, endpoints: Vec<Endpoint>) {
+        let entries: Vec<String> = endpoints
+            .iter()
+            .map(|endpoint| format!("{} {:?}", endpoint.engine.0, endpoint.lifecycle))
+            .collect();
+        let actions = self.controller.endpoints_changed(self.timestamp(), complete, endpoints);
+        self.record(&format!("list [{}]", entries.join(", ")), actions);
+    }
+    /// A client's job arrives. Jobs are numbered from 0.
+    pub fn submit(&mut self, spec: JobSpec) -> JobId {
+        let id = JobId(self.next_job);
+        self.next_job += 1;
+        let actions = self.controller.submit(self.timestamp(), id, spec.into());
+        self.record(&format!("take {}", id.0), actions);
+        id
+    }
+    /// The first dispatch of a job completes.
+    pub fn complete(&mut self, job: JobId, elapsed_ms: f64) {
+        self.finish(attempt(job, 0), DispatchStatus::Completed, elapsed_ms);
+    }
+    /// A dispatch ends.
+    pub fn finish(&mut self, dispatch: DispatchId, status: DispatchStatus, elapsed_ms: f64) {
+        let DispatchId { job, attempt } = dispatch;
+        let result = DispatchResult {
+            status,
+            elapsed: TimeDelta::from_millis_f64(elapsed_ms),
+            job_finished: status == DispatchStatus::Completed,
+            engine_reachable: self.engines_reachable,
+            actual_cost: self.billed_work_ms.map(|work| ActualCost {
+                work: TimeDelta::from_millis_f64(work),
+                memory_mb: DEFAULT_MEMORY_MB,
+            }),
+            load_report: None,
+        };
+        let actions = self.controller.dispatch_finished(self.timestamp(), job, attempt, result);
+        self.record(&format!("{status:?} {}.{attempt}", job.0), actions);
+    }
+    /// An engine tells how a dispatch is going.
+    pub fn progress(&mut self, dispatch: DispatchId, update: ProgressUpdate) {
+        let DispatchId { job, attempt } = dispatch;
+        let actions = self.controller.dispatch_progress(self.timestamp(), job, attempt, update);
+        self.record(&format!("{update:?} {}.{attempt}", job.0), actions);
+    }
+    /// The program is told to stop and has to have answered everything within this time.
+    pub fn begin_shutdown(&mut self, within_ms: f64) {
+        let deadline = Timestamp::from_millis_f64(self.now_ms + within_ms);
+        let actions = self.controller.begin_shutdown(self.timestamp(), deadline);
+        self.record("stopping", actions);
+    }
+    /// Lets time pass: the timer fires every [`TIMER_INTERVAL_MS`], and health checks are answered.
+    pub fn advance(&mut self, ms: f64) {
+        let until = self.now_ms + ms;
+        while self.now_ms < until {
+            self.now_ms += TIMER_INTERVAL_MS;
+            let actions = self.controller.timer_fired(self.timestamp());
+            self.record("", actions);
+            for engine in std::mem::take(&mut self.open_health_checks) {
+                self.answer_health_check(engine);
+            }
+        }
+    }
+    fn answer_health_check(&mut self, engine: EngineId) {
+        let Some(value) = self.load_reports.value(engine) else { return };
+        let elapsed_ms = self.health_check_ms.get(engine.0 as usize).copied().unwrap_or(HEALTH_CHECK_MS);
+        let result = DispatchResult {
+            status: DispatchStatus::Completed,
+            elapsed: TimeDelta::from_millis_f64(elapsed_ms),
+            job_finished: false,
+            engine_reachable: false,
+            actual_cost: None,
+            load_report: Some(self.load_reports.report(value)),
+        };
+        let actions = self.controller.health_check_finished(self.timestamp(), engine, result);
+        self.record(&format!("told {}: {value}", engine.0), actions);
+    }
+    fn timestamp(&self) -> Timestamp {
+        Timestamp::from_millis_f64(self.now_ms)
+    }
+
+    fn record(&mut self, event: &str, actions: Actions) {
+        let parts = describe(&actions);
+        if !event.is_empty() || !parts.is_empty() {
+            let line = format!("{:<5} {event}: {}", self.now_ms, parts.join(", "));
+            writeln!(self.trace, "{}", line.trim_end()).unwrap();
+        }
+        self.dispatches.extend(actions.dispatches.iter().map(|dispatch| SentDispatch {
+            at_ms: self.now_ms,
+            job: dispatch.job,
+            engine: dispatch.engine.0,
+        }));
+        let rejected = |(job, answer): &(JobId, FinalAnswer)| {
+            matches!(answer, FinalAnswer::Rejected { .. }).then_some(*job)
+        };
+        self.rejections.extend(actions.answers.iter().filter_map(rejected));
+        self.health_checks_sent += actions.health_checks.len();
+        self.open_health_checks.extend(actions.health_checks);
+    }
+}
+
+fn describe(actions: &Actions) -> Vec<String> {
+    let mut parts: Vec<String> = Vec::new();
+    parts.extend(actions.cancellations.iter().map(|id| format!("recall {}.{}", id.job.0, id.attempt)));
+    parts.extend(actions.answers.iter().map(|(job, answer)| match answer {
+        FinalAnswer::Rejected { .. } => format!("throttle {}", job.0),
+        FinalAnswer::Cancelled => format!("cancel {}", job.0),
+    }));
+    parts.extend(actions.dispatches.iter().map(|dispatch| {
+        let grant = dispatch
+            .options
+            .map(|options| format!(" with {} MB", options.memory_grant_mb))
+            .unwrap_or_default();
+        format!("send {} to {}{grant}", dispatch.job.0, dispatch.engine.0)
+    }));
+    parts.extend(actions.health_checks.iter().map(|engine| format!("probe {}", engine.0)));
+    parts
+}
+
+/// One dispatch of a job, counted from 0.
+pub fn attempt(job: JobId, attempt: u32) -> DispatchId {
+    DispatchId { job, attempt }
+}
+
+/// An engine that runs and has done so for long.
+pub fn running(engine: u32) -> Endpoint {
+    endpoint(engine, LifecycleState::Running)
+}
+
+/// An engine that started at this time.
+pub fn running_since(engine: u32, started_at_ms: f64) -> Endpoint {
+    Endpoint { started_at: Some(Timestamp::from_millis_f64(started_at_ms)), ..running(engine) }
+}
+
+/// An engine that finishes what it has and takes nothing new.
+pub fn draining(engine: u32) -> Endpoint {
+    endpoint(engine, LifecycleState::Draining)
+}
+
+/// An engine that has left.
+pub fn gone(engine: u32) -> Endpoint {
+    endpoint(engine, LifecycleState::Gone)
+}
+
+fn endpoint(engine: u32, lifecycle: LifecycleState) -> Endpoint {
+    Endpoint {
+        engine: EngineId(engine),
+        name: format!("engine-{engine}"),
+        location: engine as usize % 2,
+        lifecycle,
+        capacity_hint: 1.0,
+        ..Endpoint::default()
+    }
+}
--- /dev/null
+++ b/tests/decisions/health_checks.rs
@@ -0,0 +1,128 @@
+//! When a gateway sends health checks, and what their reports and their duration say about an engine.
+
+use crate::harness::{ControllerHarness, LoadReports};
+use crate::jobs::{LOOKUP, lookup};
+use expect_test::expect;
+use std::fmt::Write as _;
+
+#[test]
+fn a_gateway_of_a_large_fleet_health_checks_the_pair_before_it_dispatches() {
+    let mut harness = ControllerHarness::builder()
+        .engines(5)
+        .large_fleet()
+        .load_reports(LoadReports::JobsInFlight(vec![2.0, 40.0, 40.0, 1.0, 40.0]))
+        .build();
+    harness.advance(1000.0);
+    harness.submit(lookup(11));
+    harness.advance(10.0);
+    harness.set_load_reports(LoadReports::JobsInFlight(vec![40.0, 40.0, 40.0, 1.0, 40.0]));
+    harness.submit(lookup(15));
+    harness.advance(400.0);
+    harness.expect_trace(&expect![[r"
+        0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running]:
+        1000  take 0: probe 1, probe 3
+        1005  told 1: 40:
+        1005  told 3: 1: send 0 to 3
+        1010  take 1: probe 0
+        1015  told 0: 40: send 1 to 3
+    "]]);
+}
+
+/// Where health checks cost too much to be sent with each job, a gateway decides on its own figures at once; the jobs of a
+/// busy table group use all of its engines, of which no gateway may know the load.
+#[test]
+fn expensive_health_checks_delay_no_job() {
+    let mut lines = String::new();
+    for price in [0.1, 1.0] {
+        let mut harness = ControllerHarness::builder()
+            .engines(12)
+            .large_fleet()
+            .health_check_price(price)
+            .reported_utilization(0.2, 12)
+            .build();
+        harness.advance(1000.0);
+        let mut at_once = 0;
+        for job in 0..60 {
+            let before = harness.dispatches.len();
+            let id = harness.submit(lookup(if job % 2 == 0 { 11 } else { job }));
+            at_once += harness.dispatches.len() - before;
+            harness.advance(100.0);
+            harness.complete(id, 100.0);
+        }
+        let used =
+            (0..12).filter(|engine| harness.dispatches.iter().any(|sent| sent.engine == *engine)).count();
+        let (sent, checks) = (harness.dispatches.len(), harness.health_checks_sent);
+        writeln!(lines, "price {price}: {at_once} at once of {sent}, on {used} engines, {checks} probes")
+            .unwrap();
+    }
+    expect![[r"
+        price 0.1: 45 at once of 60, on 12 engines, 15 probes
+        price 1: 59 at once of 60, on 12 engines, 1 probes
+    "]]
+    .assert_eq(&lines);
+}
+
+/// One health check that takes long may be jitter. An engine whose health checks all take four times as long as the
+/// others' is saturated, however low the utilization that it reports: once that is known it gets nothing.
+#[test]
+fn an_engine_with_slow_health_checks_is_treated_as_saturated() {
+    let mut sent = Vec::new();
+    for slow_ms in [1.0, 4.0] {
+        let mut harness = ControllerHarness::builder()
+            .engines(4)
+            .large_fleet()
+            .health_check_price(0.01)
+            .reported_utilization(0.2, 4)
+            .build();
+        harness.health_check_ms = vec![slow_ms, 1.0, 1.0, 1.0];
+        harness.advance(1000.0);
+        let mut by_time = vec![0; 4];
+        for job in 0..80 {
+            let before = harness.dispatches.len();
+            let id = harness.submit(lookup(job % 20));
+            harness.advance(100.0);
+            let to_slow = harness.dispatches[before..].iter().filter(|sent| sent.engine == 0).count();
+            if harness.dispatches.len() > before {
+                harness.complete(id, 100.0);
+            }
+            by_time[job as usize / 20] += to_slow;
+        }
+        sent.push(by_time);
+    }
+    expect!["[[9, 8, 9, 7], [9, 0, 0, 0]]"].assert_eq(&format!("{sent:?}"));
+}
+
+/// On a fast network a health check takes next to nothing, and jitter of some milliseconds is many times that. It is no
+/// sign of load where jobs may take a hundred times as long: an idle pool rejects no job.
+#[test]
+fn jitter_of_fast_health_checks_is_not_taken_for_load() {
+    let mut harness = ControllerHarness::builder()
+        .engines(40)
+        .gateways(20)
+        .health_checks(true)
+        .health_check_price(0.01)
+        .latency_objective_ms(LOOKUP, 300.0)
+        .reported_utilization(0.02, 40)
+        .build();
+    let mut random = 0x2545_f491_4f6c_dd1d_u64;
+    let mut answered = 0;
+    for job in 0..200 {
+        harness.health_check_ms = (0..40)
+            .map(|_| {
+                random =
+                    random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+                0.1 + 4.9 * (random >> 40) as f64 / (1u64 << 24) as f64
+            })
+            .collect();
+        let before = harness.dispatches.len();
+        let id = harness.submit(lookup(job % 17).cost_ms(20.0));
+        harness.advance(150.0);
+        if harness.dispatches.len() > before {
+            harness.complete(id, 25.0);
+            answered += 1;
+        }
+        harness.advance(50.0);
+    }
+    let rejected = harness.rejections.len();
+    expect!["200 done, 0 throttled"].assert_eq(&format!("{answered} done, {rejected} throttled"));
+}
--- /dev/null
+++ b/tests/decisions/key_order.rs
@@ -0,0 +1,90 @@
+//! Rule 5: jobs of one key run one at a time, in their order.
+
+use crate::harness::{ControllerHarness, attempt};
+use crate::jobs::{ORDERED, lookup, ordered};
+use expect_test::expect;
+use pebblevane::interface::{DispatchStatus, JobId};
+
+#[test]
+fn jobs_of_a_key_run_one_at_a_time_and_pause_after_an_unknown_outcome() {
+    let mut harness = ControllerHarness::builder().engines(4).key_quiet_ms(300.0).build();
+    let first = harness.submit(ordered(11, 5));
+    let second = harness.submit(ordered(11, 5));
+    harness.submit(ordered(11, 5));
+    harness.submit(ordered(11, 6));
+    harness.advance(50.0);
+    harness.complete(first, 50.0);
+    harness.advance(300.0);
+    harness.finish(attempt(second, 0), DispatchStatus::TimedOut, 300.0);
+    harness.advance(50.0);
+    harness.finish(attempt(second, 1), DispatchStatus::Completed, 50.0);
+    harness.advance(1000.0);
+    harness.expect_trace(&expect![[r"
+            0     list [0 Running, 1 Running, 2 Running, 3 Running]:
+            0     take 0: send 0 to 3
+            0     take 1:
+            0     take 2:
+            0     take 3: send 3 to 1
+            50    Completed 0.0:
+            55    : send 1 to 3
+            350   TimedOut 1.0: send 1 to 2
+            400   Completed 1.1:
+            650   : send 2 to 3
+        "]]);
+}
+
+#[test]
+fn a_long_job_is_rejected_when_the_jobs_queued_behind_it_would_be_late() {
+    let mut harness = ControllerHarness::builder().engines(4).build();
+    let first = harness.submit(ordered(11, 5));
+    harness.submit(ordered(11, 5).cost_ms(700.0));
+    let short: Vec<JobId> = (0..3).map(|_| harness.submit(ordered(11, 5).cost_ms(200.0))).collect();
+    let alone = harness.submit(ordered(11, 6).cost_ms(700.0));
+    harness.advance(100.0);
+    harness.complete(first, 100.0);
+    harness.advance(10.0);
+    for job in short {
+        harness.advance(190.0);
+        harness.complete(job, 190.0);
+        harness.advance(10.0);
+    }
+    harness.complete(alone, 900.0);
+    harness.expect_trace(&expect![[r"
+            0     list [0 Running, 1 Running, 2 Running, 3 Running]:
+            0     take 0: send 0 to 3
+            0     take 1:
+            0     take 2:
+            0     take 3:
+            0     take 4:
+            0     take 5: send 5 to 1
+            100   Completed 0.0:
+            105   : throttle 1, send 2 to 3
+            300   Completed 2.0:
+            305   : send 3 to 3
+            500   Completed 3.0:
+            505   : send 4 to 3
+            700   Completed 4.0:
+            710   Completed 5.0:
+        "]]);
+}
+
+/// Jobs that capacity would not help, since an earlier job of their key runs, don't make the others wait behind them.
+#[test]
+fn jobs_queued_behind_their_key_do_not_count_as_waiting_for_capacity() {
+    let mut harness = ControllerHarness::builder().engines(2).latency_objective_ms(ORDERED, 60_000.0).build();
+    harness.submit(ordered(11, 5).client_timeout_ms(60_000.0).cost_ms(30_000.0));
+    harness.set_billed_work_ms(100.0);
+    harness.submit(ordered(11, 5).client_timeout_ms(60_000.0));
+    // Congestion, and then quiet for long enough that it says nothing any more.
+    for group in 0..20 {
+        let job = harness.submit(lookup(group).client_timeout_ms(60_000.0));
+        harness.complete(job, 600.0);
+    }
+    harness.advance(15000.0);
+    let before = harness.dispatches.len();
+    for group in 0..36 {
+        assert!(harness.submit(lookup(group).client_timeout_ms(60_000.0)) > JobId(0));
+    }
+    let sent = harness.dispatches.len() - before;
+    expect!["sent 31"].assert_eq(&format!("sent {sent}"));
+}
--- /dev/null
+++ b/tests/decisions/memory_grants.rs
@@ -0,0 +1,34 @@
+//! The memory that jobs are granted where clients' estimates are too low.
+
+use crate::harness::{ControllerHarness, attempt};
+use crate::jobs::lookup;
+use expect_test::expect;
+use pebblevane::interface::ProgressUpdate;
+
+#[test]
+fn memory_grants_cover_jobs_that_spill_to_disk() {
+    let mut harness = ControllerHarness::builder()
+        .engines(2)
+        .memory_grants()
+        .setting("Extra.RamOfKindMb.0", 16_000.0)
+        .progress_interval_ms(50.0)
+        .build();
+    for _ in 0..3 {
+        let job = harness.submit(lookup(11));
+        harness.advance(50.0);
+        harness.progress(attempt(job, 0), ProgressUpdate::SpillingToDisk(200.0));
+        harness.complete(job, 100.0);
+    }
+    harness.expect_trace(&expect![[r"
+            0     list [0 Running, 1 Running]:
+            0     take 0: send 0 to 0 with 800 MB
+            50    SpillingToDisk(200.0) 0.0:
+            50    Completed 0.0:
+            50    take 1: send 1 to 1 with 800 MB
+            100   SpillingToDisk(200.0) 1.0:
+            100   Completed 1.0:
+            100   take 2: send 2 to 1 with 800 MB
+            150   SpillingToDisk(200.0) 2.0:
+            150   Completed 2.0:
+        "]]);
+}
--- /dev/null
+++ b/tests/decisions/outlier_ejection.rs
@@ -0,0 +1,90 @@
+//! Engines that fail, or are stuck, get no dispatches for a while.
+
+use crate::harness::{ControllerHarness, attempt};
+use crate::jobs::{LOOKUP, lookup};
+use expect_test::expect;
+use pebblevane::interface::{DispatchStatus, JobId};
+
+#[test]
+fn an_engine_is_ejected_after_two_lost_connections_but_not_after_one() {
+    let mut harness = ControllerHarness::builder().engines(2).build();
+    for status in [
+        DispatchStatus::ConnectionLost,
+        DispatchStatus::ConnectionLost,
+        DispatchStatus::Completed,
+        DispatchStatus::Completed,
+    ] {
+        let job = harness.submit(lookup(11));
+        harness.finish(attempt(job, 0), status, 5.0);
+    }
+    harness.advance(600.0);
+    harness.submit(lookup(11));
+    harness.expect_trace(&expect![[r"
+        0     list [0 Running, 1 Running]:
+        0     take 0: send 0 to 0
+        0     ConnectionLost 0.0: send 0 to 1
+        0     take 1: send 1 to 0
+        0     ConnectionLost 1.0: send 1 to 1
+        0     take 2: send 2 to 1
+        0     Completed 2.0:
+        0     take 3: send 3 to 1
+        0     Completed 3.0:
+        600   take 4: send 4 to 0
+    "]]);
+}
+
+/// Where the engine accepts new connections, the fault is the connection's alone, however often it comes.
+#[test]
+fn lost_connections_do_not_eject_an_engine_that_accepts_new_ones() {
+    let mut harness = ControllerHarness::builder().engines(2).engines_reachable().build();
+    for _ in 0..3 {
+        let job = harness.submit(lookup(11));
+        harness.finish(attempt(job, 0), DispatchStatus::ConnectionLost, 5.0);
+        harness.finish(attempt(job, 1), DispatchStatus::Completed, 5.0);
+    }
+    harness.submit(lookup(11));
+    harness.expect_trace(&expect![[r"
+        0     list [0 Running, 1 Running]:
+        0     take 0: send 0 to 0
+        0     ConnectionLost 0.0: send 0 to 1
+        0     Completed 0.1:
+        0     take 1: send 1 to 1
+        0     ConnectionLost 1.0: send 1 to 0
+        0     Completed 1.1:
+        0     take 2: send 2 to 1
+        0     ConnectionLost 2.0: send 2 to 0
+        0     Completed 2.1:
+        0     take 3: send 3 to 1
+    "]]);
+}
+
+/// Of an engine that it uses every few seconds a gateway must remember what the last job met there. One small job that
+/// was stuck for all its time is enough; jobs of its table group return when that is long ago.
+#[test]
+fn an_engine_where_a_small_job_was_stuck_is_avoided_for_a_while() {
+    let mut harness = ControllerHarness::builder()
+        .engines(12)
+        .large_fleet()
+        .health_check_price(1.0)
+        .late_value_ratio(LOOKUP, 1.0)
+        .reported_utilization(0.2, 12)
+        .build();
+    harness.advance(1000.0);
+    let stuck = harness.submit(lookup(11));
+    harness.advance(4050.0);
+    harness.finish(attempt(stuck, 0), DispatchStatus::Cancelled, 4000.0);
+    let stuck_engine = harness.dispatches[0].engine;
+    let mut there = Vec::new();
+    for job in 0..40 {
+        let id = harness.submit(lookup(11));
+        harness.advance(100.0);
+        harness.complete(id, 100.0);
+        harness.submit(lookup(100 + job));
+        harness.advance(900.0);
+        harness.complete(JobId(id.0 + 1), 100.0);
+        there.extend(harness.dispatches.iter().skip(1 + there.len()).map(|sent| sent.engine == stuck_engine));
+    }
+    let there: Vec<usize> =
+        there.chunks(20).map(|sent| sent.iter().filter(|there| **there).count()).collect();
+    expect!["[0, 0, 0, 0]"].assert_eq(&format!("{there:?}"));
+}
--- /dev/null
+++ b/tests/decisions/placement.rs
@@ -0,0 +1,23 @@
+//! Rule 6: jobs that are confined to a location never run elsewhere.
+
+use crate::harness::{ControllerHarness, draining, gone, running};
+use crate::jobs::confined;
+use expect_test::expect;
+
+#[test]
+fn a_confined_job_waits_or_is_rejected_but_never_runs_elsewhere() {
+    let mut harness = ControllerHarness::builder().engines(4).build();
+    harness.update_endpoints(vec![gone(1), draining(3)]);
+    harness.submit(confined(11));
+    harness.advance(2000.0);
+    harness.submit(confined(11));
+    harness.update_endpoints(vec![running(5)]);
+    harness.expect_trace(&expect![[r"
+            0     list [0 Running, 1 Running, 2 Running, 3 Running]:
+            0     list [1 Gone, 3 Draining]:
+            0     take 0:
+            1000  : throttle 0
+            2000  take 1:
+            2000  list [5 Running]: send 1 to 5
+        "]]);
+}
--- /dev/null
+++ b/tests/decisions/slow_start.rs
@@ -0,0 +1,320 @@
+//! Rule 4: an engine that has just started gets, from all gateways together, no more than its share grows to while it warms
+//! up; and it is used up to that.
+
+use crate::builder::SlowStart;
+use crate::harness::{ControllerHarness, LoadReports, running_since};
+use crate::jobs::{BULK_LOAD, bulk_load, lookup};
+use expect_test::expect;
+use std::fmt::Write as _;
+
+#[test]
+fn a_warming_engine_gets_no_more_than_the_gateways_quota() {
+    let mut harness = ControllerHarness::builder()
+        .slow_start(&SlowStart { start_capacity: 0.3, warm_up_ms: 10000.0, overload_window_ms: 500.0 })
+        .build();
+    harness.jump_to(1000.0);
+    harness.update_endpoints(vec![running_since(0, 1000.0)]);
+    for _ in 0..12 {
+        harness.submit(lookup(11));
+    }
+    harness.advance(600.0);
+    harness.expect_trace(&expect![[r"
+            0     list []:
+            1000  list [0 Running]:
+            1000  take 0: send 0 to 0
+            1000  take 1: send 1 to 0
+            1000  take 2: send 2 to 0
+            1000  take 3: send 3 to 0
+            1000  take 4: send 4 to 0
+            1000  take 5: send 5 to 0
+            1000  take 6: send 6 to 0
+            1000  take 7:
+            1000  take 8:
+            1000  take 9:
+            1000  take 10:
+            1000  take 11:
+            1505  : send 7 to 0, send 8 to 0, send 9 to 0, send 10 to 0, send 11 to 0
+        "]]);
+}
+
+#[test]
+fn all_gateways_together_stay_within_the_slow_start_budget() {
+    let mut lines = String::new();
+    for gateways in [1, 5, 30, 300] {
+        let mut sent = Vec::new();
+        for ordinal in 0..gateways {
+            let mut harness = ControllerHarness::builder()
+                .slow_start(&SlowStart {
+                    start_capacity: 0.3,
+                    warm_up_ms: 10000.0,
+                    overload_window_ms: 500.0,
+                })
+                .gateways(gateways)
+                .gateway_ordinal(ordinal)
+                .health_checks(true)
+                .reported_jobs_in_flight(0.0, 2)
+                .build();
+            harness.advance(1000.0 + f64::from(ordinal % 7));
+            harness.update_endpoints(vec![running_since(0, 900.0)]);
+            for _ in 0..40 {
+                harness.submit(lookup(11));
+                harness.advance(100.0);
+            }
+            sent.extend(harness.dispatches.iter().map(|sent| sent.at_ms));
+        }
+        sent.sort_by(f64::total_cmp);
+        let work = |from: f64| {
+            100.0 * sent.iter().filter(|when| (from..from + 500.0).contains(*when)).count() as f64
+        };
+        let share = |from: f64| work(from) / (2.0 * (0.3 + 0.7 * (from - 900.0) / 10000.0) * 8.0 * 500.0);
+        let most = sent.iter().map(|from| share(*from)).fold(0.0, f64::max);
+        writeln!(lines, "{gateways} gateways: {} jobs, at most {most:.2} of the budget", sent.len()).unwrap();
+    }
+    expect![[r"
+        1 gateways: 16 jobs, at most 0.20 of the budget
+        5 gateways: 80 jobs, at most 0.61 of the budget
+        30 gateways: 75 jobs, at most 0.44 of the budget
+        300 gateways: 75 jobs, at most 0.61 of the budget
+    "]]
+    .assert_eq(&lines);
+}
+
+/// The same as an engine sees it: the times of all that 20, 30 and 300 gateways send it, which start at different
+/// moments, hear of it late, have uneven traffic and clocks that differ. In no window does it get more than its budget of
+/// N jobs and what chance may add, 2√N + 2.
+#[test]
+fn a_warming_engine_sees_no_window_over_its_budget() {
+    let mut lines = String::new();
+    for gateways in [20, 30, 300] {
+        let mut dispatch_times: Vec<f64> = Vec::new();
+        for ordinal in 0..gateways {
+            let mut harness = ControllerHarness::builder()
+                .slow_start(&SlowStart {
+                    start_capacity: 0.4,
+                    warm_up_ms: 12000.0,
+                    overload_window_ms: 1000.0,
+                })
+                .gateways(gateways)
+                .gateway_ordinal(ordinal)
+                .health_checks(true)
+                .health_check_price(1.0)
+                .reported_utilization(0.1, 2)
+                .build();
+            // Its clock is wrong by up to 60 ms; some started long before the engine, some with it.
+            let skew = (f64::from(ordinal * 37 % 13) - 6.0) * 10.0;
+            harness.advance(5000.0 + skew - if ordinal % 5 == 0 { 4500.0 } else { 0.0 });
+            harness.jump_to(5000.0 + skew);
+            harness.advance(f64::from(ordinal * 53 % 17) * 100.0);
+            harness.update_endpoints(vec![running_since(0, 4900.0)]);
+            let interval = if ordinal % 7 == 0 { 20.0 } else { 200.0 };
+            while harness.now_ms() < 17000.0 {
+                let before = harness.dispatches.len();
+                let id = harness.submit(lookup(11));
+                harness.advance(interval);
+                if harness.dispatches.len() > before {
+                    harness.complete(id, 20.0);
+                }
+            }
+            dispatch_times.extend(harness.dispatches.iter().map(|sent| sent.at_ms - skew));
+        }
+        dispatch_times.sort_by(f64::total_cmp);
+        // The budget of a window that ends at some time, by the engine's own clock.
+        let budget =
+            |ends: f64| 2.0 * (0.4 + 0.6 * ((ends - 4900.0) / 12000.0).min(1.0)) * 8.0 * 1000.0 / 100.0;
+        let over = |from: f64| {
+            let count =
+                dispatch_times.iter().filter(|when| (from..from + 1000.0).contains(*when)).count() as f64;
+            let most = budget(from);
+            (count - most - 2.0 * most.sqrt() - 2.0, count / most)
+        };
+        let warming: Vec<f64> = dispatch_times.iter().copied().filter(|when| *when < 15900.0).collect();
+        let worst = warming.iter().map(|from| over(*from).0).fold(f64::NEG_INFINITY, f64::max);
+        let fullest = warming.iter().map(|from| over(*from).1).fold(0.0, f64::max);
+        let used = warming.len() as f64
+            / (0..11).map(|second| budget(5400.0 + 1000.0 * f64::from(second))).sum::<f64>();
+        assert!(worst <= 0.0, "{gateways} gateways: {worst} jobs past the bound");
+        writeln!(lines, "{gateways} gateways: {fullest:.2} of the budget at most, {used:.2} used").unwrap();
+    }
+    expect![[r"
+        20 gateways: 0.51 of the budget at most, 0.25 used
+        30 gateways: 0.51 of the budget at most, 0.28 used
+        300 gateways: 0.56 of the budget at most, 0.32 used
+    "]]
+    .assert_eq(&lines);
+}
+
+/// A slow-start slot for the heaviest class is worth little where each gateway has few jobs: the gateway that holds it may
+/// have none. Every class finds its slots all the same.
+#[test]
+fn a_large_fleet_with_few_jobs_each_uses_a_warming_engine() {
+    let mut sent = [0, 0];
+    for ordinal in 0..300 {
+        let mut harness = ControllerHarness::builder()
+            .slow_start(&SlowStart { start_capacity: 0.4, warm_up_ms: 40000.0, overload_window_ms: 1000.0 })
+            .threads_per_job(BULK_LOAD, 4.0)
+            .latency_objective_ms(BULK_LOAD, 2500.0)
+            .health_checks(true)
+            .gateways(300)
+            .gateway_ordinal(ordinal)
+            .reported_jobs_in_flight(0.0, 2)
+            .build();
+        harness.advance(3000.0 + f64::from(ordinal % 7));
+        harness.update_endpoints(vec![running_since(0, 2900.0)]);
+        // All of them while it is warming up.
+        for job in 0..39 {
+            let heavy = (job + ordinal) % 2 == 0;
+            let spec = if heavy { bulk_load(11).cost_ms(4000.0) } else { lookup(11).cost_ms(400.0) };
+            let before = harness.dispatches.len();
+            harness.submit(spec);
+            harness.advance(1000.0);
+            sent[usize::from(heavy)] += harness.dispatches.len() - before;
+        }
+    }
+    expect!["60 small, 8 heavy"].assert_eq(&format!("{} small, {} heavy", sent[0], sent[1]));
+}
+
+/// Where gateways are many, an equal share of a warming engine's budget is less than one job. They take slots in turn, also
+/// where health checks aren't allowed or reports lack the load; otherwise a release would leave all new engines idle.
+#[test]
+fn a_warming_engine_is_used_without_load_reports() {
+    let mut lines = String::new();
+    for case in ["no probes", "no load in reports"] {
+        let mut dispatch_times: Vec<f64> = Vec::new();
+        for ordinal in 0..300 {
+            let fleet = ControllerHarness::builder()
+                .slow_start(&SlowStart {
+                    start_capacity: 0.4,
+                    warm_up_ms: 20000.0,
+                    overload_window_ms: 1000.0,
+                })
+                .gateways(300)
+                .gateway_ordinal(ordinal);
+            let mut harness = match case {
+                "no probes" => fleet.health_checks(false).build(),
+                _ => fleet.health_checks(true).setting("Report.Names.0", 0.0).build(),
+            };
+            harness.advance(3000.0 + f64::from(ordinal % 7));
+            harness.update_endpoints(vec![running_since(0, 2900.0)]);
+            for _ in 0..20 {
+                let before = harness.dispatches.len();
+                let id = harness.submit(lookup(11).cost_ms(400.0));
+                harness.advance(500.0);
+                if harness.dispatches.len() > before {
+                    harness.complete(id, 450.0);
+                }
+                harness.advance(500.0);
+            }
+            dispatch_times.extend(harness.dispatches.iter().map(|sent| sent.at_ms));
+        }
+        let budget: f64 = 2.0 * 0.4 * 8.0 * 1000.0 / 400.0;
+        let within =
+            |from: &f64| dispatch_times.iter().filter(|when| (*from..from + 1000.0).contains(*when)).count();
+        let fullest = dispatch_times.iter().map(within).max().unwrap_or(0);
+        assert!(fullest as f64 <= budget + 2.0 * budget.sqrt() + 2.0, "{case}: {fullest} jobs in a window");
+        writeln!(
+            lines,
+            "{case}: {} jobs, {fullest} in a window, budget {budget} at the start",
+            dispatch_times.len()
+        )
+        .unwrap();
+    }
+    expect![[r"
+        no probes: 108 jobs, 12 in a window, budget 16 at the start
+        no load in reports: 108 jobs, 12 in a window, budget 16 at the start
+    "]]
+    .assert_eq(&lines);
+}
+
+/// A gateway with a slow-start slot prefers the warming engine, and sends more there than its own share of it.
+#[test]
+fn a_slow_start_slot_without_load_reports_goes_first_and_exceeds_the_quota() {
+    let mut lines = String::new();
+    for (congested, duration) in [(false, 100.0), (true, 100.0), (true, 600.0)] {
+        let mut harness = ControllerHarness::builder()
+            .engines(4)
+            .slow_start(&SlowStart { start_capacity: 0.4, warm_up_ms: 20000.0, overload_window_ms: 2000.0 })
+            .gateways(20)
+            .billed_work_ms(100.0)
+            .build();
+        for group in 0..30 {
+            let id = harness.submit(lookup(group));
+            harness.advance(100.0);
+            harness.complete(id, duration);
+        }
+        harness.update_endpoints(vec![running_since(8, harness.now_ms() - 100.0)]);
+        harness.dispatches.clear();
+        for group in 0..100 {
+            let before = harness.dispatches.len();
+            let id = harness.submit(lookup(group));
+            harness.advance(100.0);
+            if !congested && harness.dispatches.len() > before {
+                harness.complete(id, 100.0);
+            }
+        }
+        let sent = |warming| harness.dispatches.iter().filter(|sent| (sent.engine == 8) == warming).count();
+        writeln!(
+            lines,
+            "jam {congested}, {duration} ms: {} to the cold engine, {} to others",
+            sent(true),
+            sent(false)
+        )
+        .unwrap();
+    }
+    expect![[r"
+        jam false, 100 ms: 5 to the cold engine, 95 to others
+        jam true, 100 ms: 14 to the cold engine, 13 to others
+        jam true, 600 ms: 14 to the cold engine, 4 to others
+    "]]
+    .assert_eq(&lines);
+}
+
+/// That congestion makes a gateway withhold jobs is no reason to leave a warming engine idle: in a slow-start slot the
+/// slow-start budget alone says how much it may send.
+#[test]
+fn congestion_elsewhere_does_not_withhold_jobs_from_a_slow_start_slot() {
+    let mut harness = ControllerHarness::builder()
+        .engines(4)
+        .slow_start(&SlowStart { start_capacity: 0.4, warm_up_ms: 20000.0, overload_window_ms: 2000.0 })
+        .gateways(20)
+        .health_checks(true)
+        .health_check_price(1.0)
+        .reported_utilization(0.2, 9)
+        .build();
+    for group in 0..60 {
+        harness.submit(lookup(group));
+        harness.advance(100.0);
+    }
+    harness.update_endpoints(vec![running_since(8, harness.now_ms() - 100.0)]);
+    for group in 0..100 {
+        harness.submit(lookup(group));
+        harness.advance(100.0);
+    }
+    let sent = |warming| {
+        harness.dispatches.iter().filter(|sent| sent.at_ms >= 6000.0 && (sent.engine == 8) == warming).count()
+    };
+    expect!["[0, 5]"].assert_eq(&format!("{:?}", [sent(false), sent(true)]));
+}
+
+#[test]
+fn an_engine_found_empty_after_a_gap_is_presumed_to_be_warming_up() {
+    let mut sent = Vec::new();
+    for before in [2.0, 9.0] {
+        let mut harness = ControllerHarness::builder()
+            .engines(2)
+            .slow_start(&SlowStart { start_capacity: 0.3, warm_up_ms: 10000.0, overload_window_ms: 500.0 })
+            .large_fleet()
+            .load_reports(LoadReports::JobsInFlight(vec![40.0, before]))
+            .build();
+        harness.advance(1000.0);
+        harness.submit(lookup(11));
+        harness.advance(1000.0);
+        harness.set_load_reports(LoadReports::JobsInFlight(vec![40.0, 0.0]));
+        harness.dispatches.clear();
+        for _ in 0..40 {
+            harness.submit(lookup(11));
+            harness.advance(50.0);
+        }
+        sent.push(harness.dispatches.len());
+    }
+    expect!["[15, 0]"].assert_eq(&format!("{sent:?}"));
+}
--- /dev/null
+++ b/tests/decisions/state_eviction.rs
@@ -0,0 +1,42 @@
+//! The controller's state is bounded: what can't matter any more is evicted.
+
+use crate::harness::{ControllerHarness, attempt, gone, running};
+use crate::jobs::{lookup, ordered};
+use expect_test::expect;
+use pebblevane::interface::DispatchStatus;
+use std::fmt::Write;
+
+/// Engines, table groups and keys may be ever new: their state is evicted once they are gone, that of open jobs is not.
+#[test]
+fn state_of_gone_engines_and_finished_jobs_is_evicted() {
+    let mut harness = ControllerHarness::builder().engines(2).key_quiet_ms(300.0).build();
+    let (mut trace, mut open) = (String::new(), vec![]);
+    for round in 0..6 {
+        let departing = (0..10).map(|i| gone(10 * round + i));
+        let arriving = (0..10).map(|i| running(10 * round + 10 + i));
+        harness.replace_endpoints(departing.chain(arriving).collect());
+        for i in 0..100 {
+            let key = u64::from(1000 * round + i);
+            let job = harness.submit(ordered(key, key));
+            harness.complete(job, 10.0);
+        }
+        open.push(harness.submit(lookup(1)));
+        harness.advance(61_000.0);
+        let retained = harness.retained_entries();
+        if open.len() > 1 {
+            harness.finish(attempt(open.remove(0), 0), DispatchStatus::TimedOut, 61_000.0);
+        }
+        harness.advance(300.0);
+        writeln!(trace, "{retained} kept with {} jobs out, then {}", open.len(), harness.retained_entries())
+            .unwrap();
+    }
+    expect![[r"
+        11 kept with 1 jobs out, then 11
+        13 kept with 1 jobs out, then 11
+        13 kept with 1 jobs out, then 11
+        13 kept with 1 jobs out, then 11
+        13 kept with 1 jobs out, then 11
+        13 kept with 1 jobs out, then 11
+    "]]
+    .assert_eq(&trace);
+}
