--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -117,7 +117,7 @@
             };
             let (zones, machines) = (names("Zones"), names("Flavors"));
             let mut owner = ControllerThread {
-                logic: AdmissionController::new(clock::now(), seed, settings),
+                logic: AdmissionController::new(clock::now(), seed, &settings),
                 handle: own,
                 wake: None,
                 jobs: BTreeMap::new(),
@@ -436,7 +436,8 @@
         }
         let running = self.engines.values().filter(|known| known.stage == LifecycleState::Running).count();
         tracing::info!(event = event.offset, entries = listings.len(), running, "endpoint list changed");
-        let decided = self.logic.endpoints_changed(now, event.complete, listings);
+        let scope = if event.complete { ListScope::Complete } else { ListScope::Changes };
+        let decided = self.logic.endpoints_changed(now, scope, listings);
         self.carry_out(now, decided);
     }
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -73,7 +73,7 @@
                 let conf = event.get("Conf").ok_or("Begin: field Conf is missing, an object is wanted")?;
                 let settings = settings(conf);
                 let reservations = settings.entries("Classes", "Aim");
-                let logic = AdmissionController::new(now, event.whole_or_zero("Seed")?, settings);
+                let logic = AdmissionController::new(now, event.whole_or_zero("Seed")?, &settings);
                 self.instances.insert(manager.to_string(), Instance::new(manager, logic, reservations));
                 return Ok(());
             }
@@ -171,7 +171,8 @@
                             Fields { name: "Members", json }.listing(|name| self.engines.number(name))?,
                         );
                     }
-                    self.logic.endpoints_changed(now, kind != "changes", listings)
+                    let scope = if kind == "changes" { ListScope::Changes } else { ListScope::Complete };
+                    self.logic.endpoints_changed(now, scope, listings)
                 }
             },
             _ => return Ok(None),
--- a/src/estimators/linear_posterior.rs
+++ b/src/estimators/linear_posterior.rs
@@ -8,7 +8,6 @@
 const MIN_PIVOT: f64 = 1e-12;
 
 /// The linear posterior of θ: V = λI + Σ x·xᵀ and b = Σ x·target.
-#[derive(Default)]
 pub struct LinearPosterior {
     v: [[f64; DIMENSIONS]; DIMENSIONS],
     b: [f64; DIMENSIONS],
--- a/src/estimators/pcg32.rs
+++ b/src/estimators/pcg32.rs
@@ -5,7 +5,6 @@
 const OUTPUT_RANGE: f64 = 4_294_967_296.0;
 
 /// A permuted congruential generator (PCG-XSH-RR, 64 bits of state, 32 of output).
-#[derive(Default)]
 pub struct Pcg32(u64);
 
 impl Pcg32 {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -33,6 +33,15 @@
     pub capacity_hint: f64,
 }
 
+/// How much of the pool an endpoint list names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListScope {
+    /// All engines: those that it does not name are gone.
+    Complete,
+    /// Only what has changed.
+    Changes,
+}
+
 /// An engine's place in its life, as the endpoint list has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LifecycleState {
@@ -99,7 +108,7 @@
 }
 
 /// How one dispatch, or one health check, ended.
-#[derive(Clone, Debug)]
+#[derive(Clone, Copy, Debug)]
 pub struct DispatchResult {
     /// How it ended.
     pub status: DispatchStatus,
--- /dev/null
+++ b/src/retry.rs
@@ -0,0 +1,83 @@
+//! Decides whether a job may be sent again: what may be repeated, until when, how often, and where.
+
+use crate::estimators::SlidingWindow;
+use crate::interface::Endpoint;
+use crate::job::PendingJob;
+use crate::settings::{ClassSettings, ControllerSettings, DeduplicationScope, Effect};
+use crate::time::{TimeDelta, Timestamp};
+
+/// Jobs submitted and retries sent of late, for the retry budget.
+#[derive(Default)]
+pub struct RetryBudget {
+    jobs: SlidingWindow,
+    retries: SlidingWindow,
+}
+
+impl RetryBudget {
+    /// A job was submitted.
+    pub fn count_job(&mut self, settings: &ControllerSettings, now: Timestamp) {
+        self.jobs.add(now, window(settings), 1.0);
+    }
+
+    /// A job was sent again.
+    pub fn count_retry(&mut self, settings: &ControllerSettings, now: Timestamp) {
+        self.retries.add(now, window(settings) + settings.answer_margin, 1.0);
+    }
+
+    /// Whether one more retry keeps to the budget.
+    pub fn allows_retry(&self, settings: &ControllerSettings, now: Timestamp) -> bool {
+        let contract = &settings.contract;
+        let Some(window) = contract.retry_budget_window else { return true };
+        let start = now - window;
+        // Two dispatches one window apart count together: a limit within any span holds at both its ends.
+        let retries = self.retries.sum_since(start - settings.answer_margin);
+        let jobs = self.jobs.sum_since(start);
+        retries + 1.0 <= contract.min_retries + contract.retries_per_job * jobs
+    }
+}
+
+fn window(settings: &ControllerSettings) -> TimeDelta {
+    settings.contract.retry_budget_window.unwrap_or_default()
+}
+
+/// The last moment at which a dispatch of this job may begin.
+pub fn dispatch_deadline(job: &PendingJob, class: &ClassSettings, answer_margin: TimeDelta) -> Timestamp {
+    match (job.possible_run, class.effect) {
+        (Some(_), Effect::RunOnce) => Timestamp::default(),
+        (Some(first), Effect::IdempotencyKey) => {
+            job.deadline.min(first.sent_at + class.deduplication_window) - answer_margin
+        }
+        _ => job.deadline - answer_margin,
+    }
+}
+
+/// Whether a job may have one more dispatch, as far as its time, its effect and their number go.
+pub fn may_dispatch_again(
+    job: &PendingJob,
+    class: &ClassSettings,
+    settings: &ControllerSettings,
+    now: Timestamp,
+) -> bool {
+    f64::from(job.dispatch_count) < settings.max_dispatches_per_job
+        && now < dispatch_deadline(job, class, settings.answer_margin)
+}
+
+/// Whether an engine shares its memory of idempotency keys with the one where a job may have run.
+pub fn shares_idempotency_keys(class: &ClassSettings, first: &Endpoint, other: &Endpoint) -> bool {
+    match class.deduplication_scope {
+        DeduplicationScope::Pool => true,
+        DeduplicationScope::Location => first.location == other.location,
+        DeduplicationScope::Cell => first.cell == other.cell,
+    }
+}
+
+/// Whether the client may safely submit a job again that has no result.
+pub fn client_retry_is_harmless(job: &PendingJob, class: &ClassSettings) -> bool {
+    let cannot_have_run = job.possible_run.is_none() && job.in_flight().is_none();
+    let repeatable = match class.effect {
+        Effect::Restartable => true,
+        Effect::IdempotencyKey => class.deduplication_scope == DeduplicationScope::Pool,
+        Effect::RunOnce => false,
+    };
+    cannot_have_run || repeatable
+}
--- /dev/null
+++ b/src/rules.rs
@@ -0,0 +1,48 @@
+//! Decides whether a dispatch is allowed at all: the seven rules, asked before every dispatch.
+
+use crate::interface::{EngineId, JobId, LifecycleState};
+use crate::settings::Effect;
+use crate::state::ControllerState;
+use crate::{placement, retry};
+
+/// Whether a job may be dispatched now, as far as that does not depend on the engine.
+pub fn may_dispatch(state: &ControllerState, id: JobId) -> bool {
+    let job = &state.jobs[&id];
+    // Rule 1, and no two dispatches at once.
+    let is_open = !job.is_finished() && job.in_flight().is_none();
+    // Rule 5.
+    let is_next = || state.ordering_key(job).is_none_or(|key| state.key_order.is_next(key, id, state.now));
+    // Rule 7.
+    let within_budget =
+        || job.dispatch_count == 0 || state.retry_budget.allows_retry(&state.settings, state.now);
+    is_open && is_next() && within_budget() && may_dispatch_again(state, id)
+}
+
+/// Whether a job may have one more dispatch, as far as its time, its effect and their number go.
+pub fn may_dispatch_again(state: &ControllerState, id: JobId) -> bool {
+    let job = &state.jobs[&id];
+    retry::may_dispatch_again(job, state.class_settings_of(job), &state.settings, state.now)
+}
+
+/// Whether a job may be dispatched to this engine now.
+pub fn may_dispatch_to(state: &ControllerState, id: JobId, engine: EngineId) -> bool {
+    let (job, engine) = (&state.jobs[&id], &state.pool.engines[&engine]);
+    let class = state.class_of(job);
+    // Rule 2, as far as the dispatch's deadline does not see to it.
+    let first_run = job.possible_run.filter(|_| class.settings.effect == Effect::IdempotencyKey);
+    let keeps_idempotency = first_run.is_none_or(|run| {
+        let first = &state.pool.engines[&run.engine].endpoint;
+        retry::shares_idempotency_keys(&class.settings, first, &engine.endpoint)
+    });
+    // Rule 3: at once, well within the grace. Rule 4.
+    let takes_work = engine.endpoint.lifecycle == LifecycleState::Running
+        && state.slow_start().remaining_budget(engine) >= class.typical_work_ms();
+    // Rule 6.
+    keeps_idempotency && takes_work && placement::allows(&class.settings, &engine.endpoint)
+}
+
+/// Whether any job waits for capacity, not for its key's turn or for the retry budget.
+pub fn jobs_wait_for_capacity(state: &ControllerState) -> bool {
+    let waits = |id: &JobId| state.jobs.contains_key(id) && may_dispatch(state, *id);
+    state.waiting.jobs.iter().any(waits)
+}
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -83,7 +83,7 @@
     fn new(more: &[(&str, f64)], engines: u32) -> Desk {
         let ordinal = more.iter().find(|(name, _)| *name == "Ordinal").map_or(0.0, |(_, ordinal)| *ordinal);
         let logic =
-            AdmissionController::new(Timestamp::from_millis_f64(0.0), 7 + ordinal as u64, settings(more));
+            AdmissionController::new(Timestamp::from_millis_f64(0.0), 7 + ordinal as u64, &settings(more));
         let mut desk = Desk {
             logic,
             now: 0.0,
@@ -129,7 +129,8 @@
     fn list(&mut self, complete: bool, listings: Vec<Endpoint>) {
         let what: Vec<String> =
             listings.iter().map(|l| format!("{} {:?}", l.engine.0, l.lifecycle)).collect();
-        let decided = self.logic.endpoints_changed(self.moment(), complete, listings);
+        let scope = if complete { ListScope::Complete } else { ListScope::Changes };
+        let decided = self.logic.endpoints_changed(self.moment(), scope, listings);
         self.note(&format!("list [{}]", what.join(", ")), decided);
     }
     fn take(&mut self, reservation: usize, group: u64, key: Option<u64>) -> u32 {
