--- a/src/candidates/walk.rs
+++ b/src/candidates/walk.rs
@@ -94,7 +94,7 @@
         let replicas = REPLICATION_FACTOR * order.len() as f64 * share;
         let test = CapacityTest::new(state, job, order.len());
         let settings = &state.settings;
-        let pulls = settings.capabilities.health_checks && settings.reports.are_pulled;
+        let pulls = settings.permissions.health_checks && settings.reports.are_pulled;
         Walk {
             start: WalkStart::new(state, job, &test, replicas, draw),
             max_depth: max_depth(state, job, visibility, replicas),
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -27,7 +27,7 @@
 
 /// Cancels a job's dispatch in flight, where that is allowed.
 pub fn cancel_dispatch(state: &mut ControllerState, id: JobId) {
-    if !state.settings.capabilities.cancellation {
+    if !state.settings.permissions.cancellation {
         return;
     }
     let dispatch = state.jobs.get_mut(&id).and_then(|job| job.in_flight_mut());
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -148,7 +148,9 @@
             Timer::PollEndpointList => state.actions.subscribe = true,
             Timer::AnswerDeadline(id) => completion::expire(state, id),
             Timer::ShutdownDeadline(open) => {
-                open.into_iter().for_each(|id| completion::expire(state, id));
+                for id in open {
+                    completion::expire(state, id);
+                }
             }
             Timer::KeyAvailable => admission::place_waiting_jobs(state),
             Timer::PlaceWaitingJobs => admission::retry_waiting_jobs(state),
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -62,7 +62,7 @@
 
 /// Priority and memory grant, where engines heed them.
 fn options(state: &ControllerState, job: &PendingJob, engine: EngineId) -> Option<DispatchOptions> {
-    let capabilities = state.settings.capabilities;
+    let capabilities = state.settings.engine_capabilities;
     if !capabilities.priorities && !capabilities.memory_grants {
         return None;
     }
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -66,7 +66,7 @@
 
 /// Health-checks the half-open engines that have nothing in flight.
 fn check_half_open_engines(state: &mut ControllerState) {
-    if !state.settings.capabilities.health_checks {
+    if !state.settings.permissions.health_checks {
         return;
     }
     for id in state.pool.running.clone() {
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -48,7 +48,7 @@
         let id = endpoint.engine;
         let previous = self.engines.remove(&id).unwrap_or_default();
         let mut engine = Engine::new(settings, endpoint, previous, now);
-        let reports_can_be_had = settings.capabilities.health_checks && settings.reports.tell_total_load;
+        let reports_can_be_had = settings.permissions.health_checks && settings.reports.tell_total_load;
         engine.limit.covers_all_gateways =
             reports_can_be_had && equal_share_is_below_job(&engine, settings.gateway_count);
         engine.limit.equal_share =
--- a/src/settings/flat.rs
+++ b/src/settings/flat.rs
@@ -48,6 +48,7 @@
 
     /// How many entries a list has whose every entry holds `field`.
     pub fn entries(&self, name: &str, field: &str) -> usize {
-        (0..).take_while(|i| self.0.contains_key(&format!("{name}.{i}.{field}"))).count()
+        let is_absent = |i: &usize| !self.0.contains_key(&format!("{name}.{i}.{field}"));
+        (0..=self.0.len()).find(is_absent).unwrap_or(0)
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,6 +1,6 @@
 //! The start settings: the flat map that a caller hands in, and the typed settings that the decisions read.
 //!
-//! The names that the settings have on the wire appear in [`wire`] and nowhere else in this library.
+//! The names that the settings have on the wire appear in `wire.rs` and nowhere else in this library.
 
 mod flat;
 mod typed;
@@ -8,6 +8,6 @@
 
 pub use flat::{Settings, Value};
 pub use typed::{
-    Capabilities, ClassSettings, ContractSettings, ControllerSettings, DeduplicationScope, Effect,
-    MachineType, ReportSettings,
+    ClassSettings, ContractSettings, ControllerSettings, DeduplicationScope, Effect, EngineCapabilities,
+    MachineType, Permissions, ReportSettings,
 };
--- a/src/settings/typed.rs
+++ b/src/settings/typed.rs
@@ -26,8 +26,10 @@
     pub progress_interval: Option<TimeDelta>,
     /// The part of an engine's memory that one job gets at most.
     pub max_memory_fraction_per_job: f64,
-    /// What this gateway may do and what engines heed.
-    pub capabilities: Capabilities,
+    /// What this gateway may do.
+    pub permissions: Permissions,
+    /// What engines heed.
+    pub engine_capabilities: EngineCapabilities,
     /// What engines report of their load.
     pub reports: ReportSettings,
     /// Limits agreed with the operators.
@@ -38,13 +40,18 @@
     pub machine_types: BTreeMap<usize, MachineType>,
 }
 
-/// What this gateway may do and what engines heed.
+/// What this gateway may do.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Capabilities {
+pub struct Permissions {
     /// Engines may be health-checked.
     pub health_checks: bool,
     /// Dispatches may be cancelled.
     pub cancellation: bool,
+}
+
+/// What engines heed.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct EngineCapabilities {
     /// Engines heed the priority of a dispatch.
     pub priorities: bool,
     /// Engines heed the memory grant of a dispatch.
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -4,8 +4,8 @@
 
 use super::flat::Settings;
 use super::typed::{
-    Capabilities, ClassSettings, ContractSettings, ControllerSettings, DeduplicationScope, Effect,
-    MachineType, ReportSettings,
+    ClassSettings, ContractSettings, ControllerSettings, DeduplicationScope, Effect, EngineCapabilities,
+    MachineType, Permissions, ReportSettings,
 };
 use crate::time::TimeDelta;
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,7 +33,8 @@
                 .filter(|interval| *interval > 0.0)
                 .map(TimeDelta::from_millis_f64),
             max_memory_fraction_per_job: flat.number("Extra.MostGrant").unwrap_or(1.0),
-            capabilities: read_capabilities(flat),
+            permissions: read_permissions(flat),
+            engine_capabilities: read_engine_capabilities(flat),
             reports: read_reports(flat),
             contract: read_contract(flat),
             classes: classes.map(|position| read_class(flat, position)).collect(),
@@ -47,10 +48,15 @@
     (number >= 0.0 && number.fract() == 0.0).then_some(number as usize)
 }
 
-fn read_capabilities(flat: &Settings) -> Capabilities {
-    Capabilities {
+fn read_permissions(flat: &Settings) -> Permissions {
+    Permissions {
         health_checks: flat.flag("Ceilings.Probes"),
         cancellation: flat.flag("Ceilings.Cancelling"),
+    }
+}
+
+fn read_engine_capabilities(flat: &Settings) -> EngineCapabilities {
+    EngineCapabilities {
         priorities: flat.flag("Extra.RanksHeeded"),
         memory_grants: flat.flag("Extra.GrantsCount"),
     }
--- a/src/stuck_jobs.rs
+++ b/src/stuck_jobs.rs
@@ -102,7 +102,9 @@
 pub fn expire_hopeless_jobs(state: &mut ControllerState) {
     let hopeless: Vec<JobId> =
         state.jobs.iter().filter(|(_, job)| is_hopeless(state, job)).map(|(id, _)| *id).collect();
-    hopeless.into_iter().for_each(|id| completion::expire(state, id));
+    for id in hopeless {
+        completion::expire(state, id);
+    }
 }
 
 fn is_hopeless(state: &ControllerState, job: &PendingJob) -> bool {
@@ -113,7 +115,7 @@
     let remaining = (1.0 - dispatch.completed_fraction).max(MIN_REMAINING_FRACTION);
     let remaining_seconds = job.work_ms * remaining / 1000.0;
     let late_value_rate = class.late_value_ratio * class.priority_weight / remaining_seconds.max(1e-3);
-    state.settings.capabilities.cancellation
+    state.settings.permissions.cancellation
         && engine.limit.slowdown_at(state.now, state.visibility()) > OVERLOAD_SLOWDOWN
         && late_value_rate < state.traffic.value_rate.mean_or(0.0)
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -34,6 +34,7 @@
     }
 
     /// This length times a factor, rounded to a microsecond.
+    #[must_use]
     pub fn mul_f64(self, factor: f64) -> TimeDelta {
         TimeDelta((self.0 as f64 * factor).round() as i64)
     }
