--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -11,7 +11,7 @@
 use crate::lifecycle::clock;
 use crossbeam_channel::{Receiver, select};
 use pebblevane::controller::AdmissionController;
-use pebblevane::interface::{DispatchResult, DispatchStatus, Job, JobId};
+use pebblevane::interface::{DispatchResult, DispatchStatus, Job, JobId, ListScope};
 use pebblevane::settings::Settings;
 use pebblevane::time::Timestamp;
 use std::collections::BTreeMap;
@@ -43,7 +43,7 @@
     ) -> ControllerThread {
         let location_names = LocationNames::read(&settings);
         ControllerThread {
-            controller: AdmissionController::new(clock::now(), seed, settings),
+            controller: AdmissionController::new(clock::now(), seed, &settings),
             handle,
             next_timer: None,
             jobs: BTreeMap::new(),
@@ -163,9 +163,9 @@
     }
 
     fn endpoints_changed(&mut self, now: Timestamp, event: Event, last_complete: Option<Timestamp>) {
-        let complete = event.complete;
+        let scope = if event.complete { ListScope::Complete } else { ListScope::Changes };
         let endpoints = self.endpoints.apply(now, event, last_complete);
-        let actions = self.controller.endpoints_changed(now, complete, endpoints);
+        let actions = self.controller.endpoints_changed(now, scope, endpoints);
         self.carry_out(now, actions);
     }
 }
--- a/tests/decisions/builder.rs
+++ b/tests/decisions/builder.rs
@@ -133,7 +133,7 @@
     pub fn build(mut self) -> ControllerHarness {
         let settings = std::mem::take(&mut self.settings);
         let seed = BASE_SEED + u64::from(self.ordinal);
-        let controller = AdmissionController::new(Timestamp::from_millis_f64(0.0), seed, settings);
+        let controller = AdmissionController::new(Timestamp::from_millis_f64(0.0), seed, &settings);
         let engines = (0..self.engines).map(running).collect();
         let mut harness = ControllerHarness::new(controller, self);
         harness.replace_endpoints(engines);
--- a/tests/decisions/harness.rs
+++ b/tests/decisions/harness.rs
@@ -11,7 +11,7 @@
 use pebblevane::controller::AdmissionController;
 use pebblevane::interface::{
     Actions, ActualCost, DispatchId, DispatchResult, DispatchStatus, Endpoint, EngineId, FinalAnswer, JobId,
-    LifecycleState, LoadReport, ProgressUpdate,
+    LifecycleState, ListScope, LoadReport, ProgressUpdate,
 };
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::fmt::Write;
@@ -127,18 +127,18 @@
 
     /// The endpoint list becomes this one.
     pub fn replace_endpoints(&mut self, endpoints: Vec<Endpoint>) {
-        self.endpoints_changed(true, endpoints);
+        self.endpoints_changed(ListScope::Complete, endpoints);
     }
     /// Some endpoints have changed.
     pub fn update_endpoints(&mut self, endpoints: Vec<Endpoint>) {
-        self.endpoints_changed(false, endpoints);
+        self.endpoints_changed(ListScope::Changes, endpoints);
     }
-    fn endpoints_changed(&mut self, complete: bool, endpoints: Vec<Endpoint>) {
+    fn endpoints_changed(&mut self, scope: ListScope, endpoints: Vec<Endpoint>) {
         let entries: Vec<String> = endpoints
             .iter()
             .map(|endpoint| format!("{} {:?}", endpoint.engine.0, endpoint.lifecycle))
             .collect();
-        let actions = self.controller.endpoints_changed(self.timestamp(), complete, endpoints);
+        let actions = self.controller.endpoints_changed(self.timestamp(), scope, endpoints);
         self.record(&format!("list [{}]", entries.join(", ")), actions);
     }
     /// A client's job arrives. Jobs are numbered from 0.
