--- a/crates/server/src/client/connection.rs
+++ b/crates/server/src/client/connection.rs
@@ -309,7 +309,7 @@
         class: shared.classes[ask.reservation].clone(),
         statement: ask.statement.into(),
         memory: bytes,
-        _job_slot: place,
+        job_slot: place,
     };
     let taken = shared.module.submit(job, arrived, admitted);
     if taken {
--- a/crates/server/src/codec/event_bus.rs
+++ b/crates/server/src/codec/event_bus.rs
@@ -1,16 +1,51 @@
-//! The lines of the event bus: numbered changes of the engine list, and a heartbeat.
+//! The lines of the event bus: numbered changes of the endpoint list, and heartbeats.
 
 use pebblevane::interface::LifecycleState;
-use pebblevane_adapter_common::{FieldResult, Fields};
+use pebblevane_adapter_common::{FieldError, Fields, Wanted};
 use serde_json::Value as Json;
 
+/// What errors call an event.
+const EVENT_OBJECT: &str = "event";
+/// What errors call an entry of the endpoint list.
+const ENTRY_OBJECT: &str = "instances";
+
+/// Of an event: its number. Alone in a line: that of the last event.
+const OFFSET: &str = "offset";
+/// Of an event: the change of the endpoint list.
+const TOPOLOGY: &str = "topology";
+/// Of a change: whether it is the whole list.
+const RESET: &str = "reset";
+/// Of a change: the entries.
+const INSTANCES: &str = "instances";
+
+const NAME: &str = "instanceId";
+const ADDRESS: &str = "hostPort";
+const ZONE: &str = "zone";
+const MACHINE_TYPE: &str = "machineType";
+const CELL: &str = "cell";
+const WEIGHT: &str = "weight";
+const STARTED_AT_MS: &str = "startedAtMs";
+const LIFECYCLE: &str = "lifecycle";
+const LIFECYCLE_RUNNING: &str = "in_service";
+const LIFECYCLE_DRAINING: &str = "terminating";
+const LIFECYCLE_GONE: &str = "terminated";
+const LIFECYCLE_WANTED: Wanted = Wanted::Described("in_service, terminating or terminated");
+
+/// The capacity of an engine whose entry gives none.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// The request that the bus expects on a new connection: all events after this one.
+pub fn subscribe_request(last_event: u64) -> String {
+    format!("from {last_event}\n")
+}
+
 /// Wall-clock time in microseconds of Unix time, as whoever stamped it read it: not a time of the program's own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnixTime(pub i64);
 
 impl UnixTime {
-    fn from_ms(ms: f64) -> UnixTime {
-        UnixTime((ms * 1000.0).round() as i64)
+    fn from_millis_f64(millis: f64) -> UnixTime {
+        UnixTime((millis * 1000.0).round() as i64)
     }
 }
 
@@ -19,71 +54,108 @@
 pub enum Line {
     /// The number of the last event that the bus has, as a bare number or alone in an object.
     Heartbeat(u64),
+    /// A change of the endpoint list.
     Event(Event),
 }
 
+/// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
+    /// The event's number; numbers have no gaps.
     pub offset: u64,
-    /// The whole list, not only what has changed.
+    /// Whether these are all engines, not only those that have changed.
     pub complete: bool,
+    /// The entries that can be used.
     pub engines: Vec<EndpointEntry>,
-    /// What is wrong with entries that can't be used.
-    pub malformed: Vec<String>,
+    /// What is wrong with the other entries.
+    pub malformed: Vec<FieldError>,
 }
 
+/// One engine of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
+    /// The engine's name, which no other engine has.
     pub name: String,
+    /// Host and port; not yet checked.
     pub address: String,
+    /// The name of its zone.
     pub zone: String,
+    /// The name of its machine type.
     pub machine_type: String,
+    /// The number of its cell.
     pub cell: usize,
+    /// Whether it takes jobs.
     pub lifecycle: LifecycleState,
+    /// Its capacity as a multiple of the usual one.
     pub weight: f64,
+    /// When it started, by the clock of whoever stamped the entry.
     pub started: Option<UnixTime>,
 }
 
-pub fn line(line: &str) -> FieldResult<Line> {
-    let json: Json = serde_json::from_str(line).map_err(|e| format!("the line is not JSON: {e}"))?;
-    if let Some(last) = json.as_u64() {
-        return Ok(Line::Heartbeat(last));
+/// A line that can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum LineError {
+    /// The line is no JSON at all.
+    #[error("the line is not JSON: {0}")]
+    NotJson(#[from] serde_json::Error),
+    /// A field of the event is missing or malformed.
+    #[error(transparent)]
+    Field(#[from] FieldError),
+}
+
+/// Decodes one line.
+///
+/// # Errors
+/// If the line is not JSON, or a field of the event itself can't be used. Single entries that can't be used are part
+/// of the event.
+pub fn decode_line(line: &str) -> Result<Line, LineError> {
+    let json: Json = serde_json::from_str(line)?;
+    if let Some(last_event) = json.as_u64() {
+        return Ok(Line::Heartbeat(last_event));
     }
-    let fields = Fields { name: "event", json: &json };
-    match fields.get("topology") {
-        None => fields.whole("offset").map(Line::Heartbeat),
-        Some(_) => event(&json).map(Line::Event),
+    let fields = Fields { name: EVENT_OBJECT, json: &json };
+    if fields.get(TOPOLOGY).is_none() {
+        return Ok(Line::Heartbeat(fields.whole(OFFSET)?));
     }
+    Ok(Line::Event(decode_event(&json)?))
 }
 
-pub fn event(json: &Json) -> FieldResult<Event> {
-    let event = Fields { name: "event", json };
-    let topology = event.object("topology")?;
+/// Decodes one event.
+///
+/// # Errors
+/// If a field of the event itself can't be used.
+pub fn decode_event(json: &Json) -> Result<Event, FieldError> {
+    let event = Fields { name: EVENT_OBJECT, json };
+    let topology = event.object(TOPOLOGY)?;
     let (mut engines, mut malformed) = (Vec::new(), Vec::new());
-    for json in topology.list("instances")? {
-        match entry(Fields { name: "instances", json }) {
+    for json in topology.list(INSTANCES)? {
+        match decode_entry(Fields { name: ENTRY_OBJECT, json }) {
             Ok(entry) => engines.push(entry),
-            Err(why) => malformed.push(why),
+            Err(error) => malformed.push(error),
         }
     }
-    Ok(Event { offset: event.whole("offset")?, complete: topology.flag("reset")?, engines, malformed })
+    Ok(Event { offset: event.whole(OFFSET)?, complete: topology.flag(RESET)?, engines, malformed })
 }
 
-fn entry(entry: Fields) -> FieldResult<EndpointEntry> {
-    let started = entry.number_or("startedAtMs", 0.0)?;
+fn decode_entry(entry: Fields) -> Result<EndpointEntry, FieldError> {
+    let started_at_ms = entry.number_or(STARTED_AT_MS, 0.0)?;
     Ok(EndpointEntry {
-        name: entry.text("instanceId")?.to_string(),
-        address: entry.text("hostPort")?.to_string(),
-        zone: entry.text("zone")?.to_string(),
-        machine_type: entry.text("machineType")?.to_string(),
-        cell: entry.whole_or_zero("cell")? as usize,
-        lifecycle: match entry.text("lifecycle")? {
-            "in_service" => LifecycleState::Running,
-            "terminating" => LifecycleState::Draining,
-            "terminated" => LifecycleState::Gone,
-            _ => return Err(entry.wrong("lifecycle", "in_service, terminating or terminated")),
-        },
-        weight: entry.number_or("weight", 1.0)?,
-        started: (started > 0.0).then(|| UnixTime::from_ms(started)),
+        name: entry.text(NAME)?.to_string(),
+        address: entry.text(ADDRESS)?.to_string(),
+        zone: entry.text(ZONE)?.to_string(),
+        machine_type: entry.text(MACHINE_TYPE)?.to_string(),
+        cell: entry.whole_or_zero(CELL)? as usize,
+        lifecycle: decode_lifecycle(entry)?,
+        weight: entry.number_or(WEIGHT, DEFAULT_WEIGHT)?,
+        started: (started_at_ms > 0.0).then(|| UnixTime::from_millis_f64(started_at_ms)),
     })
 }
+
+fn decode_lifecycle(entry: Fields) -> Result<LifecycleState, FieldError> {
+    match entry.text(LIFECYCLE)? {
+        LIFECYCLE_RUNNING => Ok(LifecycleState::Running),
+        LIFECYCLE_DRAINING => Ok(LifecycleState::Draining),
+        LIFECYCLE_GONE => Ok(LifecycleState::Gone),
+        _ => Err(entry.error(LIFECYCLE, LIFECYCLE_WANTED)),
+    }
+}
--- a/crates/server/src/config/connection_settings.rs
+++ b/crates/server/src/config/connection_settings.rs
@@ -1,17 +1,52 @@
 //! How connections to engines are made and kept.
 
+use crate::config::setting_names::{
+    CONNECTION_IDLE_TIMEOUT, DIAL_TIMEOUT, LOAD_REPORT_MODE, LOAD_REPORT_PULL, PROGRESS_INTERVAL,
+    STREAMS_PER_CONNECTION,
+};
+use pebblevane::settings::Settings;
 use std::time::Duration;
 
-/// What the settings say of connections.
+const DEFAULT_STREAMS_PER_CONNECTION: f64 = 32.0;
+const DEFAULT_DIAL_TIMEOUT_MS: f64 = 250.0;
+const DEFAULT_IDLE_TIMEOUT_MS: f64 = 15_000.0;
+
+/// How connections to engines are made and kept.
 #[derive(Clone, Copy)]
 pub struct ConnectionSettings {
+    /// Dispatches that one connection carries at a time.
     pub streams: usize,
+    /// How long a connect may take.
     pub dial: Duration,
+    /// A connection that has been idle for this time is not used again.
     pub idle: Duration,
-    /// Notes come this often on what is out, if at all.
+    /// How often engines report progress of what is in flight, if they do.
     pub notes: Option<Duration>,
-    /// Connections to one engine.
+    /// Connections to one engine at the most.
     pub connections: usize,
-    /// Probes ask for a load report.
+    /// Whether health checks ask for a load report.
     pub reports: bool,
 }
+
+impl ConnectionSettings {
+    /// Reads them; `max_connections` is the limit for one engine. Connections are given up a quarter before the time
+    /// after which engines close them: the close may be under way when one is to be used.
+    pub fn read(settings: &Settings, max_connections: usize) -> ConnectionSettings {
+        let streams = settings.number(STREAMS_PER_CONNECTION).unwrap_or(DEFAULT_STREAMS_PER_CONNECTION);
+        let progress_interval = duration(settings, PROGRESS_INTERVAL, 0.0);
+        ConnectionSettings {
+            streams: streams.max(1.0) as usize,
+            dial: duration(settings, DIAL_TIMEOUT, DEFAULT_DIAL_TIMEOUT_MS),
+            idle: duration(settings, CONNECTION_IDLE_TIMEOUT, DEFAULT_IDLE_TIMEOUT_MS) * 3 / 4,
+            notes: Some(progress_interval).filter(|interval| !interval.is_zero()),
+            connections: max_connections,
+            reports: settings.text(LOAD_REPORT_MODE) == LOAD_REPORT_PULL,
+        }
+    }
+}
+
+/// A time in milliseconds; the default where it is missing or not above 0.
+fn duration(settings: &Settings, name: &str, default_ms: f64) -> Duration {
+    let millis = settings.number(name).filter(|millis| *millis > 0.0).unwrap_or(default_ms);
+    Duration::from_micros((millis * 1000.0) as u64)
+}
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -1,122 +1,167 @@
-//! The configuration, checked before anything starts.
+//! The configuration of the process, checked before anything starts.
+//!
+//! It comes from a JSON file that the environment names. The controller's own settings are part of it; of those the
+//! server reads a few itself.
 
 pub mod connection_settings;
+mod error;
 mod location_names;
 pub mod retry_semantics;
 mod setting_names;
 
+pub use connection_settings::ConnectionSettings;
+pub use error::ConfigError;
 pub use location_names::LocationNames;
+pub use retry_semantics::RetrySemantics;
 
 use crate::codec::event_bus::{self, Event};
 use crate::limits::Limits;
-use connection_settings::ConnectionSettings;
 use pebblevane::settings::Settings;
 use pebblevane::time::TimeDelta;
-use pebblevane_adapter_common::{FieldResult, Fields, settings};
-use retry_semantics::RetrySemantics;
+use pebblevane_adapter_common::{FieldError, Fields, Wanted, flatten_settings};
 use serde_json::Value as Json;
+use setting_names::{
+    CLASS_CLIENT_TIMEOUT, CLASS_LATENCY_OBJECTIVE, CLASS_NAME, CLASSES, ENV_CONFIG_PATH, ENV_LISTEN,
+    ENV_NAME, EVENT_BUS, INITIAL_EVENTS, INITIAL_EVENTS_LAST, INITIAL_EVENTS_LIST, LIMITS, LIMITS_MEMORY_MB,
+    LIMITS_SOCKETS, LISTEN, NAME, SEED, SETTINGS,
+};
 use std::net::SocketAddr;
-use std::time::Duration;
 
+/// What errors call the environment.
+const ENVIRONMENT: &str = "environment";
+/// What errors call the configuration file's object.
+const CONFIGURATION: &str = "configuration";
 /// With fewer descriptors nothing is left for engines.
-const FEWEST_SOCKETS: usize = 100;
+const MIN_SOCKETS: usize = 100;
 /// With less memory nothing is left for jobs.
-const LEAST_MEMORY_MB: usize = 24;
+const MIN_MEMORY_MB: usize = 24;
+const SEED_RADIX: u32 = 16;
 
+/// The configuration of the process.
 pub struct Config {
+    /// The name of this process, for the log.
     pub name: String,
+    /// The address to listen on for clients.
     pub listen: SocketAddr,
+    /// The seed of the controller's random numbers.
     pub seed: u64,
+    /// What the process may use.
     pub limits: Limits,
+    /// The address of the event bus.
     pub event_bus: SocketAddr,
     /// The number of the last event that `initial_events` holds.
     pub last_event: u64,
+    /// The events of the event bus that are known at the start.
     pub initial_events: Vec<Event>,
+    /// The controller's settings.
     pub settings: Settings,
 }
 
 impl Config {
-    pub fn read(var: impl Fn(&str) -> Option<String>) -> FieldResult<Config> {
-        let path = var("NODE_CONFIG").ok_or("NODE_CONFIG is not set, the path of a file is wanted")?;
-        let text =
-            std::fs::read_to_string(&path).map_err(|e| format!("NODE_CONFIG: cannot read {path}: {e}"))?;
-        let json: Json = serde_json::from_str(&text).map_err(|e| format!("configuration: not JSON: {e}"))?;
-        let fields = Fields { name: "configuration", json: &json };
-        let address = |of: &str, field: &str, told: &str| {
-            told.parse()
-                .map_err(|_| format!("{of}: field {field} is {told:?}, an address with a port is wanted"))
+    /// Reads the file that the environment names; `variable` reads a variable of the environment.
+    ///
+    /// # Errors
+    /// If the file can't be read, or a field of it is missing, malformed or out of range.
+    pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let json = read_file(variable(ENV_CONFIG_PATH))?;
+        let fields = Fields { name: CONFIGURATION, json: &json };
+        let listen = match variable(ENV_LISTEN) {
+            Some(address) => parse_address(ENVIRONMENT, ENV_LISTEN, &address)?,
+            None => parse_address(CONFIGURATION, LISTEN, fields.text(LISTEN)?)?,
         };
-        let listen = match var("NODE_LISTEN") {
-            Some(told) => address("environment", "NODE_LISTEN", &told)?,
-            None => address("configuration", "listen", fields.text("listen")?)?,
-        };
-        let known = fields.object("known")?;
-        let in_known = |why: String| format!("configuration: field known: {why}");
-        let events = known.list("batch")?.iter().map(event_bus::event);
-        let events = events.collect::<FieldResult<Vec<Event>>>().map_err(in_known)?;
-        if let Some(why) = events.iter().flat_map(|event| &event.malformed).next() {
-            return Err(in_known(why.clone()));
-        }
-        let limits = fields.object("limits")?;
-        let at_least = |field: &str, least: usize| match limits.whole(field)? as usize {
-            enough if enough >= least => Ok(enough),
-            _ => Err(limits.wrong(field, &format!("at least {least}"))),
-        };
-        let flat = settings(fields.object("settings")?.json);
-        if flat.entries("Classes", "Name") == 0 || flat.entries("Classes", "Aim") == 0 {
-            return Err("settings: field Classes is missing or empty, reservation types are wanted".into());
-        }
-        let seed = fields.text("seed")?;
+        let known = fields.object(INITIAL_EVENTS)?;
+        let initial_events = read_initial_events(known)?;
+        let limits = fields.object(LIMITS)?;
+        let settings = read_settings(fields)?;
+        let seed = fields.text(SEED)?;
         Ok(Config {
-            name: match var("NODE_NAME") {
+            name: match variable(ENV_NAME) {
                 Some(name) => name,
-                None => fields.text("name")?.to_string(),
+                None => fields.text(NAME)?.to_string(),
             },
             listen,
-            seed: u64::from_str_radix(seed, 16).map_err(|_| fields.wrong("seed", "a hexadecimal number"))?,
+            seed: u64::from_str_radix(seed, SEED_RADIX)
+                .map_err(|_| fields.error(SEED, Wanted::Described("a hexadecimal number")))?,
             limits: Limits {
-                sockets: at_least("sockets", FEWEST_SOCKETS)?,
-                memory_mb: at_least("memory_mb", LEAST_MEMORY_MB)?,
+                sockets: at_least(limits, LIMITS_SOCKETS, MIN_SOCKETS)?,
+                memory_mb: at_least(limits, LIMITS_MEMORY_MB, MIN_MEMORY_MB)?,
             },
-            event_bus: address("configuration", "bus", fields.text("bus")?)?,
-            last_event: known.whole("offset")?,
-            initial_events: events,
-            settings: flat,
+            event_bus: parse_address(CONFIGURATION, EVENT_BUS, fields.text(EVENT_BUS)?)?,
+            last_event: known.whole(INITIAL_EVENTS_LAST)?,
+            initial_events,
+            settings,
         })
     }
 
+    /// The names of the job classes, in their order.
     pub fn class_names(&self) -> Vec<String> {
-        let types = 0..self.settings.entries("Classes", "Name");
-        types.map(|i| self.settings.text(&format!("Classes.{i}.Name")).to_string()).collect()
+        let positions = self.class_positions();
+        positions.map(|position| self.settings.text(&class_field(position, CLASS_NAME)).to_string()).collect()
     }
 
-    /// What the settings say of repeating each type's jobs.
+    /// Whether the jobs of each class may be retried, in the order of the classes.
     pub fn retry_semantics(&self) -> Vec<RetrySemantics> {
-        let types = 0..self.settings.entries("Classes", "Name");
-        types.map(|i| RetrySemantics::read(&self.settings, i)).collect()
+        let positions = self.class_positions();
+        positions.map(|position| RetrySemantics::read(&self.settings, position)).collect()
     }
 
-    /// How long a client waits at most, as far as the settings tell.
+    /// The longest time that clients of any class wait. A class without one counts as endless.
     pub fn longest_client_timeout(&self) -> TimeDelta {
-        let types = 0..self.settings.entries("Classes", "Name");
-        let waits = types.map(|i| self.settings.number(&format!("Classes.{i}.GiveUp")).unwrap_or(f64::MAX));
-        TimeDelta::from_millis_f64(waits.fold(0.0, f64::max))
+        let timeouts_ms = self.class_positions().map(|position| {
+            self.settings.number(&class_field(position, CLASS_CLIENT_TIMEOUT)).unwrap_or(f64::MAX)
+        });
+        TimeDelta::from_millis_f64(timeouts_ms.fold(0.0, f64::max))
     }
 
-    /// How connections to engines are kept. One that has been idle nearly as long as engines allow is not
-    /// used again, since its end may be under way.
-    pub fn connection_settings(&self, connections: usize) -> ConnectionSettings {
-        let span = |name: &str, absent: f64| {
-            let told = self.settings.number(name).filter(|ms| *ms > 0.0).unwrap_or(absent);
-            Duration::from_micros((told * 1000.0) as u64)
-        };
-        ConnectionSettings {
-            streams: self.settings.number("Ceilings.StreamsPerConn").unwrap_or(32.0).max(1.0) as usize,
-            dial: span("Ceilings.DialTimeout", 250.0),
-            idle: span("Ceilings.ConnIdle", 15_000.0) * 3 / 4,
-            notes: Some(span("Extra.Progress", 0.0)).filter(|notes| !notes.is_zero()),
-            connections,
-            reports: self.settings.text("Report.How") == "pull",
-        }
+    /// How connections to engines are made and kept; `max_connections` is the limit for one engine.
+    pub fn connection_settings(&self, max_connections: usize) -> ConnectionSettings {
+        ConnectionSettings::read(&self.settings, max_connections)
+    }
+
+    fn class_positions(&self) -> std::ops::Range<usize> {
+        0..self.settings.entries(CLASSES, CLASS_NAME)
+    }
+}
+
+fn class_field(position: usize, name: &str) -> String {
+    format!("{CLASSES}.{position}.{name}")
+}
+
+fn read_file(path: Option<String>) -> Result<Json, ConfigError> {
+    let path = path.ok_or(ConfigError::PathMissing)?;
+    match std::fs::read_to_string(&path) {
+        Ok(text) => serde_json::from_str(&text).map_err(ConfigError::NotJson),
+        Err(source) => Err(ConfigError::Unreadable { path, source }),
     }
 }
+
+fn parse_address(
+    origin: &'static str,
+    field: &'static str,
+    address: &str,
+) -> Result<SocketAddr, ConfigError> {
+    let malformed = |_| ConfigError::Address { origin, field, found: address.to_string() };
+    address.parse().map_err(malformed)
+}
+
+/// Reads the events that are known at the start, of which no entry may be malformed.
+fn read_initial_events(known: Fields) -> Result<Vec<Event>, ConfigError> {
+    let events = known.list(INITIAL_EVENTS_LIST)?.iter().map(event_bus::decode_event);
+    let events: Vec<Event> = events.collect::<Result<_, FieldError>>().map_err(ConfigError::InitialEvents)?;
+    match events.iter().flat_map(|event| &event.malformed).next() {
+        Some(error) => Err(ConfigError::InitialEvents(error.clone())),
+        None => Ok(events),
+    }
+}
+
+fn read_settings(fields: Fields) -> Result<Settings, ConfigError> {
+    let settings = flatten_settings(fields.object(SETTINGS)?.json);
+    let has_classes = settings.entries(CLASSES, CLASS_NAME) > 0;
+    let has_objectives = settings.entries(CLASSES, CLASS_LATENCY_OBJECTIVE) > 0;
+    if has_classes && has_objectives { Ok(settings) } else { Err(ConfigError::NoClasses) }
+}
+
+fn at_least(limits: Fields, field: &str, least: usize) -> Result<usize, FieldError> {
+    let value = limits.whole(field)? as usize;
+    if value >= least { Ok(value) } else { Err(limits.error(field, Wanted::AtLeast(least))) }
+}
--- a/crates/server/src/config/retry_semantics.rs
+++ b/crates/server/src/config/retry_semantics.rs
@@ -1,29 +1,41 @@
-//! What the settings say of retrying the jobs of a class.
+//! Whether the jobs of a class may be retried once they may have run.
 
+use crate::config::setting_names::{
+    CLASS_IDEMPOTENCY_SCOPE, CLASS_IDEMPOTENCY_WINDOW, CLASS_SEMANTICS, CLASSES, IDEMPOTENCY_SCOPE_ALL,
+    SEMANTICS_IDEMPOTENCY_KEY, SEMANTICS_RESTARTABLE,
+};
 use pebblevane::settings::Settings;
 use pebblevane::time::TimeDelta;
 
-/// What the settings say of repeating a reservation type's jobs.
+/// Whether the jobs of a class may be retried once they may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetrySemantics {
-    /// A repeat is harmless.
+    /// A retry is harmless at any time.
     Restartable,
-    /// A repeat is harmless within this time of the first run: on every engine, or on some only.
-    Keyed { window: TimeDelta, anywhere: bool },
-    /// A repeat does harm.
+    /// A retry is harmless as long as engines remember the idempotency key of the first run.
+    Keyed {
+        /// The time for which they do, from the first run.
+        window: TimeDelta,
+        /// Whether all engines know the key, not only some.
+        anywhere: bool,
+    },
+    /// A retry does harm.
     RunOnce,
 }
 
 impl RetrySemantics {
-    /// Reads those of the type at this position.
+    /// Those of the class at this position of the settings.
     pub fn read(settings: &Settings, position: usize) -> RetrySemantics {
-        let field = |name: &str| format!("Classes.{position}.{name}");
-        match settings.text(&field("Semantics")) {
-            "read_like" => RetrySemantics::Restartable,
-            "idempotency_key" => RetrySemantics::Keyed {
-                window: TimeDelta::from_millis_f64(settings.number(&field("DedupWindow")).unwrap_or(0.0)),
-                anywhere: settings.text(&field("Group")) == "all",
-            },
+        let field = |name: &str| format!("{CLASSES}.{position}.{name}");
+        match settings.text(&field(CLASS_SEMANTICS)) {
+            SEMANTICS_RESTARTABLE => RetrySemantics::Restartable,
+            SEMANTICS_IDEMPOTENCY_KEY => {
+                let window_ms = settings.number(&field(CLASS_IDEMPOTENCY_WINDOW)).unwrap_or(0.0);
+                RetrySemantics::Keyed {
+                    window: TimeDelta::from_millis_f64(window_ms),
+                    anywhere: settings.text(&field(CLASS_IDEMPOTENCY_SCOPE)) == IDEMPOTENCY_SCOPE_ALL,
+                }
+            }
             _ => RetrySemantics::RunOnce,
         }
     }
--- a/crates/server/src/config/setting_names.rs
+++ b/crates/server/src/config/setting_names.rs
@@ -1,5 +1,68 @@
 //! The names under which the environment, the configuration file and the settings hold what the server reads.
 
+/// The environment's variable with the path of the configuration file.
+pub(super) const ENV_CONFIG_PATH: &str = "NODE_CONFIG";
+/// The environment's variable with the address to listen on; it goes before the file's.
+pub(super) const ENV_LISTEN: &str = "NODE_LISTEN";
+/// The environment's variable with the name of this process; it goes before the file's.
+pub(super) const ENV_NAME: &str = "NODE_NAME";
+
+/// The name of this process.
+pub(super) const NAME: &str = "name";
+/// The address to listen on.
+pub(super) const LISTEN: &str = "listen";
+/// The address of the event bus.
+pub(super) const EVENT_BUS: &str = "bus";
+/// The seed of the controller's random numbers, in hexadecimal digits.
+pub(super) const SEED: &str = "seed";
+/// What the process may use.
+pub(super) const LIMITS: &str = "limits";
+/// In [`LIMITS`]: the descriptors.
+pub(super) const LIMITS_SOCKETS: &str = "sockets";
+/// In [`LIMITS`]: the memory in megabytes.
+pub(super) const LIMITS_MEMORY_MB: &str = "memory_mb";
+/// The events of the event bus that are known at the start.
+pub(super) const INITIAL_EVENTS: &str = "known";
+/// In [`INITIAL_EVENTS`]: the number of the last of them.
+pub(super) const INITIAL_EVENTS_LAST: &str = "offset";
+/// In [`INITIAL_EVENTS`]: the list of them.
+pub(super) const INITIAL_EVENTS_LIST: &str = "batch";
+/// The controller's settings.
+pub(super) const SETTINGS: &str = "settings";
+
+/// The list of job classes.
+pub(super) const CLASSES: &str = "Classes";
+/// Of a class: its name.
+pub(super) const CLASS_NAME: &str = "Name";
+/// Of a class: its latency objective.
+pub(super) const CLASS_LATENCY_OBJECTIVE: &str = "Aim";
+/// Of a class: how long clients wait, in milliseconds.
+pub(super) const CLASS_CLIENT_TIMEOUT: &str = "GiveUp";
+/// Of a class: whether its jobs may be retried.
+pub(super) const CLASS_SEMANTICS: &str = "Semantics";
+/// A value of [`CLASS_SEMANTICS`]: a retry is harmless.
+pub(super) const SEMANTICS_RESTARTABLE: &str = "read_like";
+/// A value of [`CLASS_SEMANTICS`]: a retry is harmless for a while.
+pub(super) const SEMANTICS_IDEMPOTENCY_KEY: &str = "idempotency_key";
+/// Of a class: for how long a retry is harmless, in milliseconds.
+pub(super) const CLASS_IDEMPOTENCY_WINDOW: &str = "DedupWindow";
+/// Of a class: on which engines a retry is harmless.
+pub(super) const CLASS_IDEMPOTENCY_SCOPE: &str = "Group";
+/// A value of [`CLASS_IDEMPOTENCY_SCOPE`]: on all of them.
+pub(super) const IDEMPOTENCY_SCOPE_ALL: &str = "all";
+
+/// Dispatches that a connection to an engine carries at a time.
+pub(super) const STREAMS_PER_CONNECTION: &str = "Ceilings.StreamsPerConn";
+/// How long a connect to an engine may take, in milliseconds.
+pub(super) const DIAL_TIMEOUT: &str = "Ceilings.DialTimeout";
+/// After which time engines close idle connections, in milliseconds.
+pub(super) const CONNECTION_IDLE_TIMEOUT: &str = "Ceilings.ConnIdle";
+/// How often engines report progress, in milliseconds.
+pub(super) const PROGRESS_INTERVAL: &str = "Extra.Progress";
+/// How load reports come.
+pub(super) const LOAD_REPORT_MODE: &str = "Report.How";
+/// A value of [`LOAD_REPORT_MODE`]: health checks ask for them.
+pub(super) const LOAD_REPORT_PULL: &str = "pull";
 /// The list of the names of zones.
 pub(super) const ZONES: &str = "Zones";
 /// The list of the names of machine types.
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// How long the thread waits where no timer is set.
-const LONGEST_WAIT: Duration = Duration::from_secs(3600);
+const LONGEST_WAIT: Duration = Duration::from_hours(1);
 
 /// The state of the controller's thread.
 pub(super) struct ControllerThread {
--- a/crates/server/src/decision/endpoint_directory.rs
+++ b/crates/server/src/decision/endpoint_directory.rs
@@ -180,7 +180,9 @@
     fn remove_all_but(&mut self, endpoints: &[Endpoint]) {
         let is_listed = |id: &EngineId| endpoints.iter().any(|endpoint| endpoint.engine == *id);
         let missing: Vec<EngineId> = self.engines.keys().copied().filter(|id| !is_listed(id)).collect();
-        missing.into_iter().for_each(|id| self.remove(id));
+        for id in missing {
+            self.remove(id);
+        }
     }
 
     /// Removes an engine: nothing is sent there any more, and what is in flight there ends by itself.
--- a/crates/server/src/decision/handle.rs
+++ b/crates/server/src/decision/handle.rs
@@ -4,7 +4,7 @@
 use crate::codec::client::Reply;
 use crate::codec::event_bus::Event;
 use crate::decision::event::ControllerEvent;
-use crate::discovery::event_bus::EndpointListener;
+use crate::discovery::EndpointListener;
 use crate::job::{AdmittedJob, JobReporter};
 use crossbeam_channel::Sender;
 use pebblevane::interface::{DispatchResult, EngineId, Job, JobId, ProgressUpdate};
--- /dev/null
+++ b/crates/server/src/discovery/backoff.rs
@@ -0,0 +1,42 @@
+//! The pauses between two connections to the event bus.
+
+use std::time::Duration;
+
+const INITIAL_PAUSE_MS: u64 = 50;
+const MAX_PAUSE_MS: u64 = 800;
+/// The linear congruential generator of Knuth's MMIX.
+const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+const LCG_INCREMENT: u64 = 1_442_695_040_888_963_407;
+/// The low bits of such a generator repeat soon.
+const LCG_DISCARDED_BITS: u32 = 33;
+
+/// Exponential backoff with jitter: processes that lost the event bus together do not come back together.
+pub(super) struct Backoff {
+    pause_ms: u64,
+    random: u64,
+}
+
+impl Backoff {
+    /// A backoff whose jitter follows from this seed.
+    pub(super) fn new(seed: u64) -> Backoff {
+        Backoff { pause_ms: INITIAL_PAUSE_MS, random: seed | 1 }
+    }
+
+    /// Starts over with the shortest pause.
+    pub(super) fn reset(&mut self) {
+        self.pause_ms = INITIAL_PAUSE_MS;
+    }
+
+    /// Doubles the pause, up to a limit.
+    pub(super) fn increase(&mut self) {
+        self.pause_ms = (self.pause_ms * 2).min(MAX_PAUSE_MS);
+    }
+
+    /// The present pause, with jitter: from half of it to one and a half.
+    #[must_use]
+    pub(super) fn next_pause(&mut self) -> Duration {
+        self.random = self.random.wrapping_mul(LCG_MULTIPLIER).wrapping_add(LCG_INCREMENT);
+        let jitter_ms = (self.random >> LCG_DISCARDED_BITS) % self.pause_ms;
+        Duration::from_millis(self.pause_ms / 2 + jitter_ms)
+    }
+}
--- /dev/null
+++ b/crates/server/src/discovery/follower.rs
@@ -0,0 +1,160 @@
+//! Follows the event bus: connects, subscribes to what comes after the last event that was read, and reads on. A gap, a
+//! connection that falls silent or ends, and a new address lead to a new connection.
+
+use crate::codec::event_bus::{self, Event, Line};
+use crate::discovery::backoff::Backoff;
+use crate::discovery::connection::EventBusConnector;
+use crate::discovery::disconnect::DisconnectReason;
+use crate::discovery::line_reader::LineReader;
+use crate::lifecycle::clock;
+use crate::telemetry::counters;
+use pebblevane::time::Timestamp;
+use std::net::{SocketAddr, TcpStream};
+use std::time::{Duration, Instant};
+
+/// Within this time a whole line comes: two heartbeats and some slack.
+const LINE_TIMEOUT: Duration = Duration::from_millis(2200);
+/// Within this time a new connection brings its first line, since a heartbeat is due each second. It is shorter than
+/// [`LINE_TIMEOUT`] so that a draining engine is known within 7 s, even if the bus falls silent, a connect fails and
+/// two new connections stay silent.
+const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(1500);
+
+/// Receives what the event bus brings.
+pub trait EndpointListener {
+    /// The endpoint list has changed; `last_complete` is when it was last known to be complete before that.
+    fn endpoints_changed(&self, event: Event, last_complete: Option<Timestamp>);
+    /// The connection to the event bus was lost.
+    fn connection_lost(&self);
+}
+
+/// Follows the event bus. Its address may change while the program runs.
+pub struct EventBusFollower {
+    connector: EventBusConnector,
+    max_line_bytes: usize,
+}
+
+/// How far the event bus has been read.
+struct ReadPosition {
+    /// The number of the last event that was read.
+    event: u64,
+    /// The event after which there was a gap last.
+    gap_after: Option<u64>,
+    /// When the list was last known to be complete.
+    complete_at: Option<Timestamp>,
+}
+
+impl EventBusFollower {
+    /// A follower of the bus at this address that reads lines of up to `max_line_bytes`.
+    pub fn new(address: SocketAddr, max_line_bytes: usize) -> EventBusFollower {
+        EventBusFollower { connector: EventBusConnector::new(address), max_line_bytes }
+    }
+
+    /// Leaves the old address at once, whether the follower reads, connects or pauses.
+    pub fn move_to(&self, address: SocketAddr) {
+        self.connector.move_to(address);
+    }
+
+    /// Follows the bus for ever, from the event after `last_event`. The jitter of the pauses follows from `seed`.
+    pub fn follow(&self, listener: &impl EndpointListener, last_event: u64, seed: u64) {
+        let mut position = ReadPosition { event: last_event, gap_after: None, complete_at: None };
+        let mut backoff = Backoff::new(seed);
+        loop {
+            let (event_before, begun) = (position.event, Instant::now());
+            let reason = self.follow_connection(listener, &mut position);
+            self.connector.disconnected();
+            tracing::info!(reason = %reason, last_event = position.event, "event bus connection lost");
+            listener.connection_lost();
+            let served = position.event > event_before || begun.elapsed() > LINE_TIMEOUT;
+            if served {
+                backoff.reset();
+            } else {
+                backoff.increase();
+            }
+            if self.connector.wait_for_move(backoff.next_pause()) {
+                backoff.reset();
+            }
+        }
+    }
+
+    /// Makes a connection and reads it to its end; returns why it is given up.
+    fn follow_connection(
+        &self,
+        listener: &impl EndpointListener,
+        position: &mut ReadPosition,
+    ) -> DisconnectReason {
+        match self.connector.connect(position.event) {
+            Ok(stream) => self.read_lines(stream, listener, position),
+            Err(e) => DisconnectReason::CannotConnect(e),
+        }
+    }
+
+    fn read_lines(
+        &self,
+        stream: TcpStream,
+        listener: &impl EndpointListener,
+        position: &mut ReadPosition,
+    ) -> DisconnectReason {
+        let mut reader = LineReader::new(stream, self.max_line_bytes);
+        let mut timeout = FIRST_LINE_TIMEOUT;
+        loop {
+            let handled = reader.read_line(timeout).and_then(|line| position.handle_line(&line, listener));
+            if let Err(reason) = handled {
+                return reason;
+            }
+            timeout = LINE_TIMEOUT;
+        }
+    }
+}
+
+impl ReadPosition {
+    /// Handles one line. A malformed one is counted and ignored: the next heartbeat or event shows what it was.
+    ///
+    /// # Errors
+    /// If the line shows that an event did not come.
+    fn handle_line(&mut self, line: &str, listener: &impl EndpointListener) -> Result<(), DisconnectReason> {
+        match event_bus::decode_line(line) {
+            Ok(Line::Heartbeat(last_event)) => self.handle_heartbeat(last_event),
+            Ok(Line::Event(event)) => self.handle_event(event, listener),
+            Err(error) => {
+                counters::ODD_EVENTS.add();
+                tracing::warn!(reason = %error, "malformed event bus line ignored");
+                Ok(())
+            }
+        }
+    }
+
+    fn handle_heartbeat(&mut self, last_event: u64) -> Result<(), DisconnectReason> {
+        if last_event > self.event {
+            return Err(DisconnectReason::EventMissed { last_event });
+        }
+        self.complete_at = Some(clock::now());
+        Ok(())
+    }
+
+    /// Passes a new event on; one that has come before is ignored.
+    fn handle_event(
+        &mut self,
+        event: Event,
+        listener: &impl EndpointListener,
+    ) -> Result<(), DisconnectReason> {
+        if event.offset <= self.event {
+            return Ok(());
+        }
+        if event.offset > self.event + 1 && !event.complete && self.is_new_gap() {
+            return Err(DisconnectReason::Gap { event: event.offset, previous: self.event });
+        }
+        self.event = event.offset;
+        for error in &event.malformed {
+            counters::ODD_EVENTS.add();
+            tracing::warn!(event = event.offset, reason = %error, "malformed endpoint ignored");
+        }
+        listener.endpoints_changed(event, self.complete_at);
+        Ok(())
+    }
+
+    /// Notes a gap after the last event; returns whether it is seen for the first time. Where the bus shows the same
+    /// gap again it no longer has the missing events, and it is better to miss them than all that follow.
+    fn is_new_gap(&mut self) -> bool {
+        self.gap_after.replace(self.event) != Some(self.event)
+    }
+}
--- /dev/null
+++ b/crates/server/src/discovery/line_reader.rs
@@ -0,0 +1,70 @@
+//! Reads lines of a connection, each within a time limit.
+
+use crate::discovery::disconnect::DisconnectReason;
+use std::borrow::Cow;
+use std::io::{BufRead, BufReader, ErrorKind};
+use std::net::TcpStream;
+use std::time::{Duration, Instant};
+
+/// A read waits at least this long: the system takes no time limit of zero.
+const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
+
+/// Reads the lines of one connection.
+pub(super) struct LineReader {
+    stream: BufReader<TcpStream>,
+    line: Vec<u8>,
+    max_bytes: usize,
+}
+
+impl LineReader {
+    /// Reads lines of up to `max_bytes`.
+    pub(super) fn new(stream: TcpStream, max_bytes: usize) -> LineReader {
+        LineReader { stream: BufReader::new(stream), line: Vec::new(), max_bytes }
+    }
+
+    /// Reads one line. The limit is for the whole line, however slowly its bytes come.
+    ///
+    /// # Errors
+    /// If the line is not whole in time or too long, or the connection fails or ends.
+    pub(super) fn read_line(&mut self, timeout: Duration) -> Result<Cow<'_, str>, DisconnectReason> {
+        self.line.clear();
+        let due = Instant::now() + timeout;
+        while !self.read_part(due)? {
+            if self.line.len() > self.max_bytes {
+                return Err(DisconnectReason::LineTooLong { max_bytes: self.max_bytes });
+            }
+            if Instant::now() >= due {
+                return Err(DisconnectReason::LineUnfinished);
+            }
+        }
+        Ok(String::from_utf8_lossy(&self.line))
+    }
+
+    /// Reads what has come of the line; returns whether that is its end.
+    fn read_part(&mut self, due: Instant) -> Result<bool, DisconnectReason> {
+        let bytes = fill_buffer(&mut self.stream, due)?;
+        if bytes.is_empty() {
+            return Err(DisconnectReason::Closed);
+        }
+        let line_end = bytes.iter().position(|byte| *byte == b'\n');
+        let count = line_end.map_or(bytes.len(), |position| position + 1);
+        self.line.extend_from_slice(&bytes[..count]);
+        self.stream.consume(count);
+        Ok(line_end.is_some())
+    }
+}
+
+/// The bytes that have come and are not consumed; waits for some until this time.
+fn fill_buffer(stream: &mut BufReader<TcpStream>, due: Instant) -> Result<&[u8], DisconnectReason> {
+    loop {
+        let left = due.saturating_duration_since(Instant::now()).max(MIN_READ_TIMEOUT);
+        stream.get_ref().set_read_timeout(Some(left)).map_err(DisconnectReason::CannotSetTimeout)?;
+        match stream.fill_buf() {
+            Ok(_) => break,
+            // A process that was stopped and continued reads on.
+            Err(e) if e.kind() == ErrorKind::Interrupted => {}
+            Err(e) => return Err(DisconnectReason::NoLine(e)),
+        }
+    }
+    Ok(stream.buffer())
+}
--- a/crates/server/src/discovery/mod.rs
+++ b/crates/server/src/discovery/mod.rs
@@ -1,4 +1,11 @@
 //! Following the endpoint list on the event bus.
 
-pub mod event_bus;
+mod backoff;
+mod connection;
+mod disconnect;
+mod follower;
+mod line_reader;
 pub mod start_clock;
+
+pub use disconnect::DisconnectReason;
+pub use follower::{EndpointListener, EventBusFollower};
--- a/crates/server/src/job/admitted_job.rs
+++ b/crates/server/src/job/admitted_job.rs
@@ -23,5 +23,5 @@
     /// The bytes that the statement and the result may take.
     pub memory: Permit,
     /// Its place among the open jobs, held until the job is dropped.
-    pub _job_slot: Permit,
+    pub job_slot: Permit,
 }
--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// How long a job waits where nothing is due.
-const LONGEST_WAIT: Duration = Duration::from_secs(3600);
+const LONGEST_WAIT: Duration = Duration::from_hours(1);
 
 /// A job of which something is dispatched.
 #[must_use]
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -24,7 +24,9 @@
     // Signals are waited for before anything starts: none may end the program unheard.
     let signals = retry_transient_errors(|| Signals::new([SIGTERM, SIGINT, SIGHUP]))
         .map_err(|e| format!("cannot wait for signals: {e}"));
-    match signals.and_then(|signals| server::run(signals, Config::read(server::environment)?)) {
+    match signals.and_then(|signals| {
+        server::run(signals, Config::read(server::environment).map_err(|e| e.to_string())?)
+    }) {
         Ok(()) => ExitCode::SUCCESS,
         Err(trouble) => {
             eprintln!("pebblevane: {trouble}");
--- a/crates/server/src/server/mod.rs
+++ b/crates/server/src/server/mod.rs
@@ -5,7 +5,7 @@
 use crate::client::{acceptor, connection};
 use crate::config::Config;
 use crate::decision::ControllerHandle;
-use crate::discovery::event_bus;
+use crate::discovery::EventBusFollower;
 use crate::engine::registry::EngineRegistry;
 use crate::lifecycle::startup::retry_transient_errors;
 use crate::lifecycle::threads::{self, STACK_BYTES};
@@ -57,7 +57,7 @@
         let _ = left.send(());
     };
     threads::spawn_required("clients", STACK_BYTES, serve).map_err(cannot("start a thread"))?;
-    let bus = Arc::new(event_bus::EventBusFollower::new(config.event_bus, shares.list_line));
+    let bus = Arc::new(EventBusFollower::new(config.event_bus, shares.list_line));
     let (follower, teller, offset, seed) = (bus.clone(), module.clone(), config.last_event, config.seed);
     threads::spawn_required("event bus", STACK_BYTES, move || follower.follow(&*teller, offset, seed))
         .map_err(cannot("start a thread"))?;
--- a/crates/server/src/server/reload.rs
+++ b/crates/server/src/server/reload.rs
@@ -1,9 +1,8 @@
 //! A new configuration while the program runs: the event bus moves to its new address, all else stays as it
 //! was at the start. `known` is not read again, since the numbers of the events carry on.
 
-use crate::config::Config;
-use crate::discovery::event_bus::EventBusFollower;
-use pebblevane_adapter_common::FieldResult;
+use crate::config::{Config, ConfigError};
+use crate::discovery::EventBusFollower;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -29,19 +28,20 @@
     }
 
     /// The file is to be read, from now on until it can be used.
-    pub fn begin(&mut self, told: FieldResult<Config>) {
+    pub fn begin(&mut self, told: Result<Config, ConfigError>) {
         self.odd = None;
         self.read(told);
     }
 
     /// Takes over what was read. A configuration that can't be used changes nothing.
-    pub fn read(&mut self, told: FieldResult<Config>) {
+    pub fn read(&mut self, told: Result<Config, ConfigError>) {
         match told {
             Ok(new) => {
                 self.odd = None;
                 self.take_over(new);
             }
-            Err(why) => {
+            Err(error) => {
+                let why = error.to_string();
                 let (since, known) =
                     self.odd.take().map_or((Instant::now(), None), |(at, why)| (at, Some(why)));
                 if known.as_ref() != Some(&why) {
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -65,7 +65,7 @@
             rest = &rest[length..];
         }
         let bytes = chance.spoil(event.to_vec());
-        events += usize::from(event_bus::line(&String::from_utf8_lossy(&bytes)).is_ok());
+        events += usize::from(event_bus::decode_line(&String::from_utf8_lossy(&bytes)).is_ok());
     }
     // Some come through, or nothing was tried.
     assert!(jobs > 1000 && pages > 1000 && events > 1000, "{jobs} {pages} {events}");
--- /dev/null
+++ b/crates/simulator-adapter/src/codec/decode.rs
@@ -0,0 +1,154 @@
+//! Decodes the fields of events into the controller's types.
+
+use crate::codec::wire_names::{ENGINE, endpoint_fields, job_fields, progress_fields, result_fields};
+use pebblevane::interface::{
+    ActualCost, DispatchResult, DispatchStatus, Endpoint, EngineId, Job, LifecycleState, LoadReport,
+    ProgressUpdate,
+};
+use pebblevane::time::{TimeDelta, Timestamp};
+use pebblevane_adapter_common::{FieldError, Fields, Wanted};
+use serde_json::Value as Json;
+
+const KEY_RADIX: u32 = 16;
+
+/// Decodes a submitted job.
+pub(crate) fn decode_job(event: Fields) -> Result<Job, FieldError> {
+    let flags = event.whole_or_zero(job_fields::FLAGS)?;
+    let memory_mb = event.number_or(job_fields::MEMORY_MB, 0.0)?;
+    let key = decode_key(event)?;
+    Ok(Job {
+        class: event.whole_or_zero(job_fields::TYPE)? as usize,
+        customer: event.whole_or_zero(job_fields::ORG)? as usize,
+        key,
+        time_left: event.millis(job_fields::LEFT)?,
+        cost: if flags & job_fields::FLAG_HAS_COST != 0 {
+            Some(TimeDelta::from_millis_f64(event.number_or(job_fields::COST, 0.0)?))
+        } else {
+            None
+        },
+        memory_mb: (memory_mb > 0.0).then_some(memory_mb),
+        table_group: event.whole_or_zero(job_fields::TABLES)?,
+        is_retry: flags & job_fields::FLAG_IS_RETRY != 0,
+        writes: flags & job_fields::FLAG_WRITES != 0,
+    })
+}
+
+/// The job's key; none where it is missing or empty.
+fn decode_key(event: Fields) -> Result<Option<u64>, FieldError> {
+    if event.get(job_fields::RELATION).is_none() {
+        return Ok(None);
+    }
+    let digits = event.text(job_fields::RELATION)?;
+    if digits.is_empty() {
+        return Ok(None);
+    }
+    match u64::from_str_radix(digits, KEY_RADIX) {
+        Ok(key) => Ok(Some(key)),
+        Err(_) => Err(event.error(job_fields::RELATION, Wanted::Described("16 hex digits"))),
+    }
+}
+
+/// Decodes how a dispatch or a health check ended.
+pub(crate) fn decode_result(event: Fields) -> Result<DispatchResult, FieldError> {
+    let used_up = event.whole_or_zero(result_fields::USED_UP)?;
+    Ok(DispatchResult {
+        status: decode_status(event)?,
+        elapsed: event.millis(result_fields::RTT)?,
+        job_finished: event.flag(result_fields::COMPLETE)?,
+        engine_reachable: false,
+        actual_cost: decode_actual_cost(used_up),
+        load_report: decode_load_report(event),
+    })
+}
+
+fn decode_status(event: Fields) -> Result<DispatchStatus, FieldError> {
+    Ok(match event.text(result_fields::VERDICT)? {
+        result_fields::SUCCESS => DispatchStatus::Completed,
+        result_fields::FAILURE => DispatchStatus::Failed,
+        result_fields::OVERLOADED => DispatchStatus::Overloaded,
+        result_fields::TIMED_OUT => DispatchStatus::TimedOut,
+        result_fields::UNREACHABLE => DispatchStatus::Unreachable,
+        result_fields::BROKEN => DispatchStatus::ConnectionLost,
+        result_fields::WITHDRAWN => DispatchStatus::Cancelled,
+        result_fields::VOID => DispatchStatus::Expired,
+        _ => return Err(event.error(result_fields::VERDICT, Wanted::Described("an outcome code"))),
+    })
+}
+
+/// Work and memory; none where the engine has not said so.
+fn decode_actual_cost(used_up: u64) -> Option<ActualCost> {
+    let memory_steps = used_up % result_fields::USED_UP_MEMORY_STEPS;
+    (used_up > 0).then(|| ActualCost {
+        work: TimeDelta::from_millis_f64((used_up / result_fields::USED_UP_MEMORY_STEPS) as f64),
+        memory_mb: memory_steps as f64 * result_fields::USED_UP_MEMORY_STEP_MB,
+    })
+}
+
+/// The load report, as an object or as a list of pairs; values that are no numbers are ignored.
+fn decode_load_report(event: Fields) -> Option<LoadReport> {
+    let values = load_report_values(event);
+    let value = |wanted: &str| values.iter().find(|(name, _)| *name == wanted).map(|(_, value)| *value);
+    (!values.is_empty()).then(|| LoadReport {
+        jobs_in_flight: value(result_fields::CONCURRENT),
+        processor_utilization: value(result_fields::LOAD_SHARE),
+        memory_utilization: value(result_fields::MEMORY_SHARE),
+    })
+}
+
+fn load_report_values(event: Fields<'_>) -> Vec<(&str, f64)> {
+    match event.get(result_fields::TELEMETRY) {
+        Some(Json::Object(values)) => {
+            values.iter().filter_map(|(name, value)| Some((name.as_str(), value.as_f64()?))).collect()
+        }
+        Some(Json::Array(pairs)) => {
+            pairs.iter().filter_map(|pair| Some((pair.get(0)?.as_str()?, pair.get(1)?.as_f64()?))).collect()
+        }
+        _ => Vec::new(),
+    }
+}
+
+/// Decodes the progress of a dispatch; none if it is of an unknown sort.
+pub(crate) fn decode_progress(event: Fields) -> Result<Option<ProgressUpdate>, FieldError> {
+    let amount = event.number_or(progress_fields::AMOUNT, 0.0)?;
+    Ok(match (event.whole(progress_fields::SORT)?, amount as u64) {
+        (progress_fields::SORT_COMPLETED, _) => Some(ProgressUpdate::CompletedFraction(amount)),
+        (progress_fields::SORT_SPILLING, _) => Some(ProgressUpdate::SpillingToDisk(amount)),
+        (progress_fields::SORT_WAITING, progress_fields::WAITING_FOR_MEMORY) => {
+            Some(ProgressUpdate::WaitingForMemory)
+        }
+        (progress_fields::SORT_WAITING, progress_fields::WAITING_FOR_BULK_LOAD) => {
+            Some(ProgressUpdate::WaitingForBulkLoad)
+        }
+        _ => None,
+    })
+}
+
+/// Decodes one entry of the endpoint list; `assign_id` gives the id of the engine of this name.
+pub(crate) fn decode_endpoint(
+    entry: Fields,
+    assign_id: impl FnOnce(&str) -> EngineId,
+) -> Result<Endpoint, FieldError> {
+    let name = entry.text(ENGINE)?;
+    let ready_at_ms = entry.number_or(endpoint_fields::READY_AT, 0.0)?;
+    Ok(Endpoint {
+        engine: assign_id(name),
+        name: name.to_string(),
+        machine: entry.whole_or_zero(endpoint_fields::KIND)? as usize,
+        location: entry.whole_or_zero(endpoint_fields::SITE)? as usize,
+        cell: entry.whole_or_zero(endpoint_fields::CELL)? as usize,
+        lifecycle: decode_lifecycle(entry)?,
+        started_at: (ready_at_ms > 0.0).then(|| Timestamp::from_millis_f64(ready_at_ms)),
+        capacity_hint: entry.number_or(endpoint_fields::CAPACITY_HINT, 1.0)?,
+    })
+}
+
+fn decode_lifecycle(entry: Fields) -> Result<LifecycleState, FieldError> {
+    match entry.text(endpoint_fields::STAGE_STATE)? {
+        endpoint_fields::RUNNING => Ok(LifecycleState::Running),
+        endpoint_fields::STOPPING => Ok(LifecycleState::Draining),
+        endpoint_fields::DELETED => Ok(LifecycleState::Gone),
+        _ => {
+            Err(entry.error(endpoint_fields::STAGE_STATE, Wanted::Described("Running, Stopping or Deleted")))
+        }
+    }
+}
