--- a/crates/server/src/decision/actions.rs
+++ b/crates/server/src/decision/actions.rs
@@ -1,6 +1,7 @@
 //! Carries out the actions that the controller returns, in their order.
 
 use crate::decision::controller_thread::ControllerThread;
+use crate::engine::handle::HealthCheckResult;
 use crate::job::{DispatchCommand, JobCommand};
 use crate::lifecycle::clock;
 use pebblevane::interface::{
@@ -79,10 +80,12 @@
     /// Sends a health check. One that the engine's connections can't take has timed out.
     fn check_health(&mut self, engine: EngineId) {
         let handle = self.handle.clone();
-        let finished = move |status: DispatchStatus, report: Option<LoadReport>, elapsed: TimeDelta| {
-            handle.health_check_finished(engine, health_check_result(status, report, elapsed));
+        let finished = move |result: HealthCheckResult| {
+            let result = health_check_result(result.status, result.load_report, result.elapsed);
+            handle.health_check_finished(engine, result);
         };
-        let sent = self.endpoints.engine(engine).is_some_and(|handle| handle.probe(Box::new(finished)));
+        let sent =
+            self.endpoints.engine(engine).is_some_and(|handle| handle.check_health(Box::new(finished)));
         if !sent {
             let result = health_check_result(DispatchStatus::TimedOut, None, TimeDelta::default());
             let now = clock::now();
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -86,7 +86,7 @@
         events: &Receiver<ControllerEvent>,
         urgent_events: &Receiver<ControllerEvent>,
     ) -> Option<ControllerEvent> {
-        let wait = self.next_timer.map_or(LONGEST_WAIT, clock::until);
+        let wait = self.next_timer.map_or(LONGEST_WAIT, clock::duration_until);
         urgent_events.try_recv().ok().or_else(|| {
             select! {
                 recv(urgent_events) -> event => event.ok(),
--- a/crates/server/src/decision/endpoint_directory.rs
+++ b/crates/server/src/decision/endpoint_directory.rs
@@ -155,7 +155,7 @@
             Some(known) => known.update(lifecycle, start),
             None => self.add_engine(id, address, lifecycle, start),
         }
-        self.engines[&id].handle.open(lifecycle == LifecycleState::Running);
+        self.engines[&id].handle.set_accepts_dispatches(lifecycle == LifecycleState::Running);
         if lifecycle == LifecycleState::Gone {
             self.remove(id);
         }
@@ -171,7 +171,10 @@
         self.remove(id);
         if lifecycle == LifecycleState::Running {
             // The engine that had this address before has gone, whether or not the list has said so.
-            self.engines.values().filter(|old| old.address == address).for_each(|old| old.handle.gone());
+            self.engines
+                .values()
+                .filter(|old| old.address == address)
+                .for_each(|old| old.handle.engine_removed());
         }
         let handle = EngineHandle::new(&self.registry, self.ids.name(id), address);
         self.engines.insert(id, KnownEngine { handle, address, start, lifecycle });
@@ -188,7 +191,7 @@
     /// Removes an engine: nothing is sent there any more, and what is in flight there ends by itself.
     fn remove(&mut self, id: EngineId) {
         if let Some(old) = self.engines.remove(&id) {
-            old.handle.gone();
+            old.handle.engine_removed();
         }
     }
 }
@@ -197,7 +200,7 @@
     fn update(&mut self, lifecycle: LifecycleState, start: Option<EngineStart>) {
         let known_stamp = self.start.map(|start| start.stamp);
         if let Some(start) = start.filter(|start| known_stamp != Some(start.stamp)) {
-            self.handle.restarted(start.at);
+            self.handle.engine_restarted(start.at);
         }
         (self.start, self.lifecycle) = (start, lifecycle);
     }
--- a/crates/server/src/decision/handle.rs
+++ b/crates/server/src/decision/handle.rs
@@ -49,12 +49,12 @@
         let responder = admitted.responder.clone();
         let mut next_job = locked(&self.next_job);
         let id = JobId(*next_job);
-        responder.open(id);
+        responder.register(id);
         self.open_jobs.fetch_add(1, SeqCst);
         let event = ControllerEvent::JobSubmitted { id, job, arrived, admitted: Box::new(admitted) };
         if self.events.try_send(event).is_err() {
             self.open_jobs.fetch_sub(1, SeqCst);
-            responder.answer(&Reply::Throttled(RETRY_AFTER));
+            responder.respond(&Reply::Rejected { retry_after: RETRY_AFTER });
             return false;
         }
         *next_job += 1;
--- a/crates/server/src/decision/open_job.rs
+++ b/crates/server/src/decision/open_job.rs
@@ -40,7 +40,7 @@
 
     /// Whether the job has its answer, or its client has disconnected, whether or not the controller knows.
     pub(super) fn is_over(&self) -> bool {
-        self.responder.is_over()
+        self.responder.is_finished()
     }
 
     /// Whether the controller's thread knows that no answer is owed any more.
@@ -89,9 +89,9 @@
             Ok(()) => JobState::Running(commands),
             Err(e) => {
                 tracing::warn!(job = id.0, reason = %e, "no thread for a job");
-                counters::AT_LIMIT.add();
+                counters::LOCAL_LIMIT_REJECTIONS.increment();
                 self.answered = true;
-                self.responder.answer(&Reply::Throttled(RETRY_AFTER));
+                self.responder.respond(&Reply::Rejected { retry_after: RETRY_AFTER });
                 JobState::Rejected
             }
         }
@@ -102,13 +102,13 @@
         self.answered = true;
         match answer {
             FinalAnswer::Rejected { retry_after } => {
-                counters::THROTTLED.add();
-                self.ledger.throttled();
-                self.responder.answer(&Reply::Throttled(retry_after));
+                counters::JOBS_REJECTED.increment();
+                self.ledger.check_rejection();
+                self.responder.respond(&Reply::Rejected { retry_after });
             }
             FinalAnswer::Cancelled => {
-                counters::CANCELLED.add();
-                self.responder.answer(&Reply::Failed("cancelled"));
+                counters::JOBS_CANCELLED.increment();
+                self.responder.respond(&Reply::Failed { reason: "cancelled" });
             }
         }
     }
--- a/crates/server/src/discovery/follower.rs
+++ b/crates/server/src/discovery/follower.rs
@@ -116,7 +116,7 @@
             Ok(Line::Heartbeat(last_event)) => self.handle_heartbeat(last_event),
             Ok(Line::Event(event)) => self.handle_event(event, listener),
             Err(error) => {
-                counters::ODD_EVENTS.add();
+                counters::MALFORMED_EVENTS.increment();
                 tracing::warn!(reason = %error, "malformed event bus line ignored");
                 Ok(())
             }
@@ -145,7 +145,7 @@
         }
         self.event = event.offset;
         for error in &event.malformed {
-            counters::ODD_EVENTS.add();
+            counters::MALFORMED_EVENTS.increment();
             tracing::warn!(event = event.offset, reason = %error, "malformed endpoint ignored");
         }
         listener.endpoints_changed(event, self.complete_at);
--- a/crates/server/src/job/dispatch_end.rs
+++ b/crates/server/src/job/dispatch_end.rs
@@ -1,6 +1,6 @@
 //! How an attempt ended, and the report of that.
 
-use crate::engine::dispatch_ledger::DispatchLedger;
+use crate::engine::dispatch_ledger::{DispatchLedger, Execution};
 use crate::engine::handle::DispatchHandle;
 use crate::job::command::JobReporter;
 use crate::job::in_flight_dispatch::InFlightDispatch;
@@ -91,18 +91,19 @@
 
     /// Cancels the attempt at its engine. What is returned disconnects once the cancellation has been written.
     pub(super) fn cancel_at_engine(&self) -> Receiver<()> {
-        self.handle.give_up()
+        self.handle.cancel()
     }
 
     /// Enters the end in the job's ledger, gives back what the engine still holds, then reports the end.
     pub(super) fn report(self, job: JobId, ledger: &DispatchLedger, reporter: &dyn JobReporter) {
         let FinishedDispatch { handle, sent, attempt, result } = self;
-        if handle.left() {
+        if handle.may_have_been_sent() {
             let never_ran = matches!(
                 result.status,
                 DispatchStatus::Overloaded | DispatchStatus::Unreachable | DispatchStatus::Expired
             );
-            ledger.ended(sent, !never_ran);
+            let execution = if never_ran { Execution::NeverRan } else { Execution::MayHaveRun };
+            ledger.record_end(sent, execution);
         }
         drop(handle);
         reporter.dispatch_finished(job, attempt, result);
--- a/crates/server/src/job/in_flight_dispatch.rs
+++ b/crates/server/src/job/in_flight_dispatch.rs
@@ -1,6 +1,6 @@
 //! An attempt of which the engine's answer is still awaited.
 
-use crate::engine::handle::{DispatchHandle, Request};
+use crate::engine::handle::{DispatchHandle, EngineRequest};
 use crate::job::admitted_job::AdmittedJob;
 use crate::job::command::DispatchCommand;
 use crate::job::result_pages::ResultPages;
@@ -30,14 +30,14 @@
     #[must_use]
     pub(super) fn send(job: &AdmittedJob, command: &DispatchCommand) -> InFlightDispatch {
         let sent = clock::now();
-        let request = Request {
+        let request = EngineRequest {
             id: job.client_job_id.clone(),
             class: job.class.clone(),
-            ends: command.deadline,
+            deadline: command.deadline,
             begin_by: command.begin_by,
-            wanted: job.responder.clone(),
+            liveness: job.responder.clone(),
             ledger: job.ledger.clone(),
-            rank: command.priority,
+            priority: command.priority,
             statement: job.statement.clone(),
         };
         InFlightDispatch {
@@ -70,7 +70,7 @@
     /// Whether it still waits for a connection at the time by which it has to begin. It never leaves then.
     pub(super) fn missed_begin_by(&mut self) -> bool {
         let due = self.begin_by.take_if(|begin_by| *begin_by <= clock::now());
-        due.is_some() && self.handle.keep_back()
+        due.is_some() && self.handle.withhold_if_queued()
     }
 
     /// Whether it has timed out.
--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -73,12 +73,12 @@
 
     fn next_event(&self) -> TaskEvent {
         let (no_dispatch, no_cancellation) = (never(), never());
-        let events = self.in_flight.as_ref().map_or(&no_dispatch, |dispatch| &dispatch.handle.words);
+        let events = self.in_flight.as_ref().map_or(&no_dispatch, |dispatch| &dispatch.handle.events);
         let cancellation_written =
             self.cancelled.as_ref().map_or(&no_cancellation, CancelledDispatch::cancellation_written);
         let next_check = self.in_flight.as_ref().map(InFlightDispatch::next_check);
         let due = next_check.or(self.cancelled.as_ref().map(CancelledDispatch::report_at));
-        let wait = due.map_or(LONGEST_WAIT, clock::until);
+        let wait = due.map_or(LONGEST_WAIT, clock::duration_until);
         select! {
             recv(cancellation_written) -> _ => TaskEvent::CancellationWritten,
             recv(self.commands) -> command => TaskEvent::Command(command.ok()),
@@ -90,7 +90,7 @@
     /// Cancels an attempt, if it is the one in flight.
     fn cancel(&mut self, attempt: u32) {
         let Some(dispatch) = self.in_flight.take_if(|dispatch| dispatch.attempt == attempt) else { return };
-        let end = if dispatch.handle.withhold() {
+        let end = if dispatch.handle.forbid_sending() {
             DispatchEnd::never_left()
         } else {
             DispatchEnd::new(DispatchStatus::Cancelled)
@@ -106,7 +106,7 @@
         } else if let Some(dispatch) = self.in_flight.take_if(InFlightDispatch::missed_begin_by) {
             self.finish(dispatch, &DispatchEnd::never_left());
         } else if let Some(dispatch) = self.in_flight.take_if(|dispatch| dispatch.is_overdue()) {
-            let status = if dispatch.handle.withhold() {
+            let status = if dispatch.handle.forbid_sending() {
                 DispatchStatus::Unreachable
             } else {
                 DispatchStatus::TimedOut
@@ -118,8 +118,8 @@
     fn handle_dispatch_event(&mut self, event: Option<DispatchEvent>) {
         let Some(dispatch) = self.in_flight.take() else { return };
         match event {
-            Some(DispatchEvent::EngineMessage(message)) => self.handle_message(dispatch, message),
-            Some(DispatchEvent::Lost(status, engine_reachable)) => {
+            Some(DispatchEvent::Message(message)) => self.handle_message(dispatch, message),
+            Some(DispatchEvent::Lost { status, engine_reachable }) => {
                 self.finish(dispatch, &DispatchEnd::new(status).engine_reachable(engine_reachable));
             }
             None => self.finish(dispatch, &DispatchEnd::new(DispatchStatus::ConnectionLost)),
@@ -128,28 +128,30 @@
 
     fn handle_message(&mut self, mut dispatch: InFlightDispatch, message: EngineMessage) {
         match message {
-            EngineMessage::Info(update) => {
+            EngineMessage::Progress(update) => {
                 if let Some(update) = update {
                     self.report_progress(&mut dispatch, update);
                 }
                 self.in_flight = Some(dispatch);
             }
-            EngineMessage::Hit { page, sheets, bill, report } => {
-                dispatch.result = Some(ResultPages::new(page, sheets, bill, report));
+            EngineMessage::FirstPage { page, page_count, actual_cost, load_report } => {
+                dispatch.result = Some(ResultPages::new(page, page_count, actual_cost, load_report));
                 self.collect_result(dispatch);
             }
-            EngineMessage::Part { page, sheet } => {
+            EngineMessage::FurtherPage { page, page_number } => {
                 if let Some(result) = &mut dispatch.result {
-                    result.add(sheet, page);
+                    result.add(page_number, page);
                 }
                 self.collect_result(dispatch);
             }
-            EngineMessage::Shed(report) => self.finish_unrun(dispatch, DispatchStatus::Overloaded, report),
-            EngineMessage::Late(report) => self.finish_unrun(dispatch, DispatchStatus::Expired, report),
-            EngineMessage::Fault(report) => {
+            EngineMessage::Overloaded(report) => {
+                self.finish_unrun(dispatch, DispatchStatus::Overloaded, report);
+            }
+            EngineMessage::Expired(report) => self.finish_unrun(dispatch, DispatchStatus::Expired, report),
+            EngineMessage::Failed(report) => {
                 self.finish(dispatch, &DispatchEnd::new(DispatchStatus::Failed).load_report(report));
             }
-            EngineMessage::Pong(_) | EngineMessage::Sick(_) => self.in_flight = Some(dispatch),
+            EngineMessage::Healthy(_) | EngineMessage::Unhealthy(_) => self.in_flight = Some(dispatch),
         }
     }
 
@@ -183,13 +185,13 @@
             return;
         }
         if !result.is_complete() {
-            result.take_requests().for_each(|page| dispatch.handle.fetch(page));
+            result.take_requests().for_each(|page| dispatch.handle.fetch_page(page));
             self.in_flight = Some(dispatch);
             return;
         }
         // The client hears its answer before the controller does: of two answers the first one counts.
-        if self.job.responder.answer(&Reply::Done(result.rows())) {
-            counters::DONE.add();
+        if self.job.responder.respond(&Reply::Completed { rows: result.rows() }) {
+            counters::JOBS_COMPLETED.increment();
         }
         let end = DispatchEnd::new(DispatchStatus::Completed)
             .actual_cost(result.actual_cost())
--- a/crates/server/src/server/mod.rs
+++ b/crates/server/src/server/mod.rs
@@ -34,8 +34,11 @@
 pub fn run(mut signals: Signals, mut config: Config) -> Result<(), String> {
     let cannot = |what: &'static str| move |e: std::io::Error| format!("cannot {what}: {e}");
     let (types, rules) = (config.class_names(), config.retry_semantics());
-    let shares = ResourceQuotas::of(config.limits);
-    let (sockets, terms) = (ResourceBudget::new(shares.engines), config.connection_settings(shares.engine));
+    let shares = ResourceQuotas::from_limits(config.limits);
+    let (sockets, terms) = (
+        ResourceBudget::new(shares.engine_connections),
+        config.connection_settings(shares.connections_per_engine),
+    );
     let owners = EngineRegistry::start(terms, sockets, clock::now, threads::spawn)
         .map_err(cannot("start the engines' thread"))?;
     let module = ControllerHandle::start(
@@ -57,7 +60,7 @@
         let _ = left.send(());
     };
     threads::spawn_required("clients", STACK_BYTES, serve).map_err(cannot("start a thread"))?;
-    let bus = Arc::new(EventBusFollower::new(config.event_bus, shares.list_line));
+    let bus = Arc::new(EventBusFollower::new(config.event_bus, shares.event_line_bytes));
     let (follower, teller, offset, seed) = (bus.clone(), module.clone(), config.last_event, config.seed);
     threads::spawn_required("event bus", STACK_BYTES, move || follower.follow(&*teller, offset, seed))
         .map_err(cannot("start a thread"))?;
@@ -74,7 +77,7 @@
                 Ok(SIGHUP) => reload.begin(Config::read(environment)),
                 Ok(_) => {
                     if let Some(schedule) = health.begin(longest_wait) {
-                        module.begin_shutdown(schedule.answered);
+                        module.begin_shutdown(schedule.answered_by);
                         tracing::info!(open_jobs = module.open_jobs.load(SeqCst), "graceful shutdown started");
                     }
                 }
