--- a/crates/server/src/codec/sql.rs
+++ b/crates/server/src/codec/sql.rs
@@ -1,106 +1,174 @@
-//! Finds the group of tables that a statement reads or writes: the number behind the underscore in the name
-//! of its schema, as 17 in `sales_17.orders`. Strings, comments and the schema `staging` do not count.
+//! Finds the table group that a statement reads or writes: the number behind the underscore in the name of its schema,
+//! as 17 in `sales_17.orders`. Strings and comments don't count, nor do schemas without a number, as `staging`.
 
-/// Words after which a table is named.
-const BEFORE_TABLES: [&[u8]; 9] =
+/// Keywords after which a table is named.
+const TABLE_KEYWORDS: [&[u8]; 9] =
     [b"from", b"join", b"into", b"update", b"table", b"only", b"using", b"copy", b"truncate"];
 
-/// The group of the first table that has one; where none is named as a table, of the first schema.
+/// The group of the first table that has one; where no table has one, that of the first schema which has one anywhere
+/// else.
 pub fn group(statement: &[u8]) -> Option<u64> {
-    let mut rest = statement;
-    let mut names: Vec<&[u8]> = Vec::new(); // a chain of names with dots between, as far as it has come
-    let (mut dot, mut word_before, mut fallback): (bool, &[u8], _) = (false, b"", None);
-    loop {
-        let (token, after) = next(rest);
-        rest = after;
+    let mut search = GroupSearch::default();
+    let found = Tokens { rest: statement }.find_map(|token| search.add(token));
+    found.or_else(|| search.finish())
+}
+
+/// How far a statement has been searched.
+#[derive(Default)]
+struct GroupSearch<'a> {
+    /// Names with dots between, as far as they have come: schemas, then the name of a table or column.
+    qualified_name: Vec<&'a [u8]>,
+    /// The last token was a dot within a qualified name.
+    after_dot: bool,
+    /// The single name in front of the qualified one; empty if there is something else.
+    previous_word: &'a [u8],
+    /// The group of the first schema that does not stand where a table is named.
+    fallback: Option<u64>,
+}
+
+impl<'a> GroupSearch<'a> {
+    /// Adds a token; returns the group if the token ends the name of a table that has one.
+    fn add(&mut self, token: Token<'a>) -> Option<u64> {
         match token {
-            Token::ClientJobId(name) if dot || names.is_empty() => {
-                names.push(name);
-                dot = false;
-                continue;
+            Token::Name(name) if self.after_dot || self.qualified_name.is_empty() => {
+                self.qualified_name.push(name);
+                self.after_dot = false;
+                None
             }
-            Token::Dot if !names.is_empty() => {
-                dot = true;
-                continue;
+            Token::Name(name) => {
+                let group = self.end_qualified_name();
+                self.qualified_name.push(name);
+                group
+            }
+            Token::Dot if !self.qualified_name.is_empty() => {
+                self.after_dot = true;
+                None
+            }
+            Token::Dot | Token::Other => {
+                let group = self.end_qualified_name();
+                self.previous_word = b"";
+                group
             }
-            _ => {}
         }
-        // The chain has ended: the schema is what stands before a table's own name.
-        let schemas = &names[..names.len().saturating_sub(1)];
-        if BEFORE_TABLES.iter().any(|word| word.eq_ignore_ascii_case(word_before))
-            && let Some(group) = schemas.last().and_then(|schema| number(schema))
+    }
+
+    /// Ends the search at the end of the statement.
+    fn finish(mut self) -> Option<u64> {
+        self.end_qualified_name().or(self.fallback)
+    }
+
+    /// Ends the qualified name; returns the group if it is the name of a table that has one.
+    fn end_qualified_name(&mut self) -> Option<u64> {
+        let names = std::mem::take(&mut self.qualified_name);
+        self.after_dot = false;
+        let (_, schemas) = names.split_last()?;
+        if is_table_keyword(self.previous_word)
+            && let Some(group) = schemas.last().and_then(|schema| schema_group(schema))
         {
             return Some(group);
         }
-        fallback = fallback.or_else(|| schemas.iter().find_map(|schema| number(schema)));
-        if let [only] = names[..] {
-            word_before = only;
-        } else if !names.is_empty() {
-            word_before = b"";
-        }
-        (names, dot) = (Vec::new(), false);
-        match token {
-            Token::ClientJobId(name) => names.push(name),
-            Token::End => return fallback,
-            // A list of tables goes on; anything else does not lead to one.
-            Token::Other | Token::Dot => word_before = b"",
-        }
+        self.fallback = self.fallback.or_else(|| schemas.iter().find_map(|schema| schema_group(schema)));
+        self.previous_word = if schemas.is_empty() { names[0] } else { b"" };
+        None
     }
 }
 
+fn is_table_keyword(word: &[u8]) -> bool {
+    TABLE_KEYWORDS.iter().any(|keyword| keyword.eq_ignore_ascii_case(word))
+}
+
+/// The number behind the last underscore of a schema's name.
+fn schema_group(schema: &[u8]) -> Option<u64> {
+    let (name, digits) = std::str::from_utf8(schema).ok()?.rsplit_once('_')?;
+    let is_number = digits.bytes().all(|byte| byte.is_ascii_digit());
+    if is_number && !name.is_empty() { digits.parse().ok() } else { None }
+}
+
 enum Token<'a> {
-    ClientJobId(&'a [u8]),
+    /// A keyword, a number that begins like one, or a name with or without quotes.
+    Name(&'a [u8]),
     Dot,
-    /// A string, number or sign.
+    /// A string or a sign.
     Other,
-    End,
 }
 
-/// The next token and what comes after it.
-fn next(mut rest: &[u8]) -> (Token<'_>, &[u8]) {
-    loop {
-        match rest {
-            [] => return (Token::End, rest),
-            [b'-', b'-', ..] => rest = &rest[end(rest, |byte| byte == b'\n')..],
-            [b'/', b'*', after @ ..] => rest = comment(after),
-            [b'\'', after @ ..] => return (Token::Other, quoted(after, b'\'').1),
-            [mark @ (b'"' | b'`'), after @ ..] => {
-                let (name, after) = quoted(after, *mark);
-                return (Token::ClientJobId(name), after);
+/// The tokens of a statement. Whitespace and comments are skipped.
+struct Tokens<'a> {
+    rest: &'a [u8],
+}
+
+impl<'a> Iterator for Tokens<'a> {
+    type Item = Token<'a>;
+
+    fn next(&mut self) -> Option<Token<'a>> {
+        loop {
+            match self.rest {
+                [] => return None,
+                [b'-', b'-', ..] => {
+                    let line_length = length_until(self.rest, |byte| byte == b'\n');
+                    self.rest = &self.rest[line_length..];
+                }
+                [b'/', b'*', after @ ..] => self.rest = skip_block_comment(after),
+                [first, after @ ..] if first.is_ascii_whitespace() => self.rest = after,
+                [first, after @ ..] => return Some(self.take_token(*first, after)),
             }
-            [b'.', after @ ..] => return (Token::Dot, after),
-            [first, after @ ..] if first.is_ascii_whitespace() => rest = after,
-            [first, ..] if in_name(*first) => {
-                let (name, after) = rest.split_at(end(rest, |byte| !in_name(byte)));
-                return (Token::ClientJobId(name), after);
+        }
+    }
+}
+
+impl<'a> Tokens<'a> {
+    fn take_token(&mut self, first: u8, after: &'a [u8]) -> Token<'a> {
+        match first {
+            b'\'' => {
+                self.rest = split_quoted(after, first).1;
+                Token::Other
+            }
+            b'"' | b'`' => {
+                let (name, rest) = split_quoted(after, first);
+                self.rest = rest;
+                Token::Name(name)
+            }
+            b'.' => {
+                self.rest = after;
+                Token::Dot
+            }
+            _ if is_name_byte(first) => {
+                let (name, rest) = self.rest.split_at(length_until(self.rest, |byte| !is_name_byte(byte)));
+                self.rest = rest;
+                Token::Name(name)
+            }
+            _ => {
+                self.rest = after;
+                Token::Other
             }
-            [_, after @ ..] => return (Token::Other, after),
         }
     }
 }
 
-fn end(rest: &[u8], is_end: impl Fn(u8) -> bool) -> usize {
-    rest.iter().position(|byte| is_end(*byte)).unwrap_or(rest.len())
+/// The length of what stands before the first such byte.
+fn length_until(bytes: &[u8], is_end: impl Fn(u8) -> bool) -> usize {
+    bytes.iter().position(|byte| is_end(*byte)).unwrap_or(bytes.len())
 }
 
-fn in_name(byte: u8) -> bool {
+fn is_name_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'$' || byte >= 0x80
 }
 
-/// What stands before the closing mark, in which a doubled one does not close, and what comes after.
-fn quoted(rest: &[u8], mark: u8) -> (&[u8], &[u8]) {
-    let mut at = 0;
+/// Splits behind an opening quote: what stands before the closing one, and what comes after it. A doubled quote does
+/// not close.
+fn split_quoted(bytes: &[u8], quote: u8) -> (&[u8], &[u8]) {
+    let mut position = 0;
     loop {
-        at += end(&rest[at..], |byte| byte == mark);
-        match rest.get(at + 1) {
-            Some(next) if *next == mark => at += 2,
-            _ => return (&rest[..at], rest.get(at + 1..).unwrap_or_default()),
+        position += length_until(&bytes[position..], |byte| byte == quote);
+        match bytes.get(position + 1) {
+            Some(next) if *next == quote => position += 2,
+            _ => return (&bytes[..position], bytes.get(position + 1..).unwrap_or_default()),
         }
     }
 }
 
-/// What comes after a block comment, in which others may nest.
-fn comment(mut rest: &[u8]) -> &[u8] {
+/// What comes after a block comment that has been opened. Block comments nest.
+fn skip_block_comment(mut rest: &[u8]) -> &[u8] {
     let mut depth = 1;
     while depth > 0 {
         rest = match rest {
@@ -118,9 +186,3 @@
     }
     rest
 }
-
-fn number(schema: &[u8]) -> Option<u64> {
-    let (name, digits) = std::str::from_utf8(schema).ok()?.rsplit_once('_')?;
-    let digits = Some(digits).filter(|digits| digits.bytes().all(|byte| byte.is_ascii_digit()));
-    digits.filter(|_| !name.is_empty())?.parse().ok()
-}
