--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// How long a job waits where nothing is due.
-const LONGEST_WAIT: Duration = Duration::from_secs(3600);
+const LONGEST_WAIT: Duration = Duration::from_hours(1);
 
 /// A job of which something is dispatched.
 #[must_use]
@@ -134,18 +134,18 @@
                 }
                 self.in_flight = Some(dispatch);
             }
-            EngineMessage::FirstPage { page, page_count: sheets, actual_cost: bill, load_report: report } => {
-                dispatch.result = Some(ResultPages::new(page, sheets, bill, report));
+            EngineMessage::FirstPage { page, page_count, actual_cost, load_report } => {
+                dispatch.result = Some(ResultPages::new(page, page_count, actual_cost, load_report));
                 self.collect_result(dispatch);
             }
-            EngineMessage::FurtherPage { page, page_number: sheet } => {
+            EngineMessage::FurtherPage { page, page_number } => {
                 if let Some(result) = &mut dispatch.result {
-                    result.add(sheet, page);
+                    result.add(page_number, page);
                 }
                 self.collect_result(dispatch);
             }
             EngineMessage::Overloaded(report) => {
-                self.finish_unrun(dispatch, DispatchStatus::Overloaded, report)
+                self.finish_unrun(dispatch, DispatchStatus::Overloaded, report);
             }
             EngineMessage::Expired(report) => self.finish_unrun(dispatch, DispatchStatus::Expired, report),
             EngineMessage::Failed(report) => {
