--- /dev/null
+++ b/crates/server/src/client/admission.rs
@@ -0,0 +1,156 @@
+//! Processes the messages of clients, and hands jobs to the admission controller.
+
+use super::close_reason::ReadError;
+use super::context::ClientContext;
+use crate::codec::client::{
+    ClientRequest, FailureReason, InvalidRequest, Message, ProtocolError, Reply, RequestId,
+};
+use crate::codec::sql;
+use crate::decision::controller_thread::BACK_IN;
+use crate::engine::dispatch_ledger::DispatchLedger;
+use crate::job::task::{AdmittedJob, USUAL_RESULT};
+use crate::lifecycle::clock;
+use crate::limits::Permit;
+use crate::session::client_job_ids::ClientJobId;
+use crate::session::client_session::ClientSession;
+use crate::session::responder::Responder;
+use crate::telemetry::counters;
+use pebblevane::interface::Job;
+use pebblevane::time::Timestamp;
+use std::sync::Arc;
+
+/// What became of a message. Clients whose messages are refused are read more slowly.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Outcome {
+    /// The job was handed to the controller, or the message was carried out.
+    Accepted,
+    /// The message is of no use, or a limit of the program is reached.
+    Refused,
+}
+
+/// What a job holds of the program's limits.
+struct JobPermits {
+    job_slot: Permit,
+    memory: Permit,
+}
+
+/// Processes a message. `arrived_at` is when it may have arrived at the earliest.
+///
+/// # Errors
+/// A request whose id equals that of an open request: any answer would be taken for the open request's.
+pub(super) fn handle_message(
+    context: &ClientContext,
+    session: &Arc<ClientSession>,
+    message: Message,
+    arrived_at: Timestamp,
+) -> Result<Outcome, ReadError> {
+    if message.request_id().is_some_and(|request_id| session.is_open(request_id)) {
+        return Err(ProtocolError::DuplicateRequestId.into());
+    }
+    Ok(match message {
+        Message::Submit(request) => admit(context, session, request, arrived_at),
+        Message::Cancel(request_ids) => {
+            cancel_requests(context, session, &request_ids);
+            Outcome::Accepted
+        }
+        Message::HealthCheck(request_id) => {
+            session.write(request_id, &Reply::Health(context.shutdown.is_healthy()));
+            Outcome::Accepted
+        }
+        Message::Invalid { request_id, reason } => refuse_invalid(session, request_id, reason),
+        Message::UnknownNotification => Outcome::Refused,
+    })
+}
+
+fn cancel_requests(context: &ClientContext, session: &ClientSession, request_ids: &[RequestId]) {
+    for job in request_ids.iter().filter_map(|request_id| session.cancel(*request_id)) {
+        counters::JOBS_ABANDONED.increment();
+        context.controller.gone(job);
+    }
+}
+
+fn refuse_invalid(session: &ClientSession, request_id: RequestId, reason: InvalidRequest) -> Outcome {
+    counters::INVALID_REQUESTS.increment();
+    session.write(request_id, &Reply::Failed { reason: FailureReason::InvalidRequest(reason) });
+    Outcome::Refused
+}
+
+/// Hands a job to the controller, if its id is free and the program's own limits allow it.
+fn admit(
+    context: &ClientContext,
+    session: &Arc<ClientSession>,
+    request: ClientRequest,
+    arrived_at: Timestamp,
+) -> Outcome {
+    let Some(job_id) = context.client_job_ids.reserve(&request.job_id) else {
+        return refuse_invalid(session, request.request_id, InvalidRequest::DuplicateJobId);
+    };
+    let Some(permits) = acquire_permits(context, session, &request) else {
+        return reject_at_limit(session, request.request_id);
+    };
+    let deadline = arrived_at + request.client_timeout;
+    let left_ms = (deadline - clock::now()).as_millis_f64();
+    tracing::debug!(job = %request.job_id, left_ms, "job submitted");
+    let job = controller_job(&request);
+    let admitted = admitted_job(context, session, request, job_id, permits, deadline);
+    if context.controller.take(job, arrived_at, admitted) {
+        counters::JOBS_ADMITTED.increment();
+        Outcome::Accepted
+    } else {
+        counters::LOCAL_LIMIT_REJECTIONS.increment();
+        Outcome::Refused
+    }
+}
+
+fn acquire_permits(
+    context: &ClientContext,
+    session: &ClientSession,
+    request: &ClientRequest,
+) -> Option<JobPermits> {
+    let job_slot = session.has_capacity().then(|| context.open_jobs.acquire(1)).flatten();
+    let memory = context.buffer_bytes.acquire(request.statement.len() + USUAL_RESULT);
+    Some(JobPermits { job_slot: job_slot?, memory: memory? })
+}
+
+/// Rejects a job that the controller never sees: the program's only decision of its own.
+fn reject_at_limit(session: &ClientSession, request_id: RequestId) -> Outcome {
+    counters::LOCAL_LIMIT_REJECTIONS.increment();
+    session.write(request_id, &Reply::Rejected { retry_after: BACK_IN });
+    Outcome::Refused
+}
+
+/// The job as the controller sees it.
+fn controller_job(request: &ClientRequest) -> Job {
+    Job {
+        class: request.class,
+        time_left: request.client_timeout,
+        cost: request.estimated_cost,
+        memory_mb: request.memory_mb,
+        table_group: sql::group(&request.statement).unwrap_or(0),
+        is_retry: request.is_retry,
+        ..Job::default()
+    }
+}
+
+/// The job as the threads see it that dispatch and answer it.
+fn admitted_job(
+    context: &ClientContext,
+    session: &Arc<ClientSession>,
+    request: ClientRequest,
+    job_id: ClientJobId,
+    permits: JobPermits,
+    deadline: Timestamp,
+) -> AdmittedJob {
+    let class = &context.classes[request.class];
+    let responder = Responder::new(session.clone(), request.request_id, job_id, deadline);
+    let ledger = DispatchLedger::new(&request.job_id, class.retry_semantics, deadline);
+    AdmittedJob {
+        responder: Arc::new(responder),
+        ledger: Arc::new(ledger),
+        name: request.job_id,
+        class: class.name.clone(),
+        statement: request.statement.into(),
+        bytes: permits.memory,
+        _place: permits.job_slot,
+    }
+}
--- a/crates/server/src/client/arrival_time.rs
+++ b/crates/server/src/client/arrival_time.rs
@@ -1,51 +1,60 @@
-//! When what is found on connections may have come. A program that is short of its core finds requests some time after
-//! they came, and their clients' waits have run on meanwhile.
+//! Estimates when received messages arrived. A process that gets little processor time finds them late, while their
+//! clients' timeouts are running.
 
 use pebblevane::time::{TimeDelta, Timestamp};
 
-/// A wait for events that ends within this time found them there: the call alone takes a program with a tenth of a core
-/// some tenths of a millisecond. Counting what came within it from the wait before is wrong by no more than a pass.
-const AT_ONCE: TimeDelta = TimeDelta(2_000);
-/// A wait that ends this much later than it was to was held up.
-const HELD_UP: TimeDelta = TimeDelta(10_000);
+/// A wait that returns within this time found its events waiting. The call itself may take some tenths of a
+/// millisecond on a fraction of a core.
+const IMMEDIATE_RETURN: TimeDelta = TimeDelta(2_000);
+/// A wait that returns this much later than its timeout was delayed by the system.
+const DELAYED_RETURN: TimeDelta = TimeDelta(10_000);
 
-/// The waits for events of one thread.
+/// Follows the waits for events of one thread.
 pub struct ArrivalTimeEstimator {
-    /// Whatever had come by then has been found.
+    /// Whatever arrived before has been found.
     seen_until: Timestamp,
 }
 
 /// One wait for events.
 pub struct PollWait {
-    pub began: Timestamp,
-    pub ended: Timestamp,
-    /// How long it was to be at the most.
-    pub longest: TimeDelta,
+    /// When the wait was begun.
+    pub started_at: Timestamp,
+    /// When it returned.
+    pub returned_at: Timestamp,
+    /// The longest that it was to last.
+    pub timeout: TimeDelta,
+    /// A signal ended it.
     pub interrupted: bool,
 }
 
 impl PollWait {
-    /// What it was for was there before it.
-    pub fn found_at_once(&self) -> bool {
-        self.ended - self.began < AT_ONCE
+    /// Whether the events were there when the wait began.
+    pub fn returned_immediately(&self) -> bool {
+        self.returned_at - self.started_at < IMMEDIATE_RETURN
+    }
+
+    fn was_delayed(&self) -> bool {
+        self.returned_at - self.started_at > self.timeout + DELAYED_RETURN
     }
 }
 
 impl ArrivalTimeEstimator {
+    /// An estimator for a thread that begins its first wait now.
     pub fn new(now: Timestamp) -> ArrivalTimeEstimator {
         ArrivalTimeEstimator { seen_until: now }
     }
 
-    /// The earliest time at which events that a wait has found can have come, as far as the wait tells.
-    pub fn earliest(&mut self, wait: &PollWait) -> Timestamp {
-        let took = wait.ended - wait.began;
-        let held_up = took > wait.longest + HELD_UP;
-        let earliest = match () {
-            _ if wait.found_at_once() => self.seen_until,
-            _ if held_up => wait.began,
-            _ => wait.ended,
+    /// The earliest time at which the events that a wait has found can have arrived.
+    pub fn earliest_arrival(&mut self, wait: &PollWait) -> Timestamp {
+        let was_delayed = wait.was_delayed();
+        let earliest = if wait.returned_immediately() {
+            self.seen_until
+        } else if was_delayed {
+            wait.started_at
+        } else {
+            wait.returned_at
         };
-        self.seen_until = if held_up || wait.interrupted { wait.began } else { wait.ended };
+        self.seen_until = if was_delayed || wait.interrupted { wait.started_at } else { wait.returned_at };
         earliest
     }
 }
--- /dev/null
+++ b/crates/server/src/client/event_loop/accept.rs
@@ -0,0 +1,57 @@
+//! Accepting connections.
+
+use super::{ClientEventLoop, ConnectionId, READ_AND_WRITE};
+use crate::client::connection::ClientConnection;
+use crate::limits::Permit;
+use crate::session::client_session::ClientSession;
+use mio::unix::SourceFd;
+use std::io::{Error, ErrorKind};
+use std::net::TcpStream;
+use std::os::fd::AsRawFd;
+
+impl ClientEventLoop {
+    /// Accepts all connections that wait, as far as descriptors are left. Others are accepted in a later pass.
+    pub(super) fn accept(&mut self) {
+        self.accept_pending = false;
+        loop {
+            let Some(descriptor) = self.acquire_descriptor() else {
+                self.accept_pending = true;
+                return;
+            };
+            let Some(listener) = &self.listener else { return };
+            let added = match listener.accept() {
+                Ok((stream, _)) => self.add_connection(stream, descriptor),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
+                Err(e) if e.kind() == ErrorKind::Interrupted => continue,
+                Err(e) => Err(e),
+            };
+            if let Err(e) = added {
+                // The connection has ended already, or the system has no descriptor left. Others may still wait.
+                tracing::debug!(reason = %e, "accepting a client failed");
+                self.accept_pending = true;
+                return;
+            }
+        }
+    }
+
+    /// A descriptor for a client, after evicting idle connections if none is left.
+    fn acquire_descriptor(&mut self) -> Option<Permit> {
+        self.context.descriptors.acquire(1).or_else(|| {
+            self.evict();
+            self.context.descriptors.acquire(1)
+        })
+    }
+
+    fn add_connection(&mut self, stream: TcpStream, descriptor: Permit) -> Result<(), Error> {
+        stream.set_nodelay(true)?;
+        stream.set_nonblocking(true)?;
+        let empty_permit = || self.context.buffer_bytes.acquire(0).ok_or(ErrorKind::OutOfMemory);
+        let (received_permit, output_permit) = (empty_permit()?, empty_permit()?);
+        let id = ConnectionId(self.unused_ids.next().expect("the range has no end"));
+        self.poll.registry().register(&mut SourceFd(&stream.as_raw_fd()), id.token(), READ_AND_WRITE)?;
+        let session = ClientSession::new(stream, descriptor, output_permit);
+        let connection = ClientConnection::new(session, received_permit, self.pass);
+        self.connections.insert(id, connection);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/server/src/client/event_loop/close.rs
@@ -0,0 +1,70 @@
+//! Ending connections: at once, or gracefully.
+
+use super::{ClientEventLoop, ConnectionId};
+use crate::client::close_reason::CloseReason;
+use crate::client::connection::ClientConnection;
+use crate::session::client_session::ClientSession;
+use crate::telemetry::counters;
+use crate::telemetry::invariants::{self, Invariant};
+use mio::unix::SourceFd;
+use std::os::fd::AsRawFd;
+
+impl ClientEventLoop {
+    /// Ends a connection at once, where its client has left or gets no more time. Its open requests are cancelled.
+    pub(super) fn abort(&mut self, id: ConnectionId, reason: &CloseReason) {
+        let Some(connection) = self.connections.remove(&id) else { return };
+        tracing::debug!(connection = id.0, reason = %reason, "client connection ended");
+        let session = &connection.session;
+        // The descriptor is closed with the session in any case.
+        let _ = self.poll.registry().deregister(&mut SourceFd(&session.stream().as_raw_fd()));
+        self.cancel_open_requests(session);
+        session.abort();
+    }
+
+    /// Begins a graceful close, whatever the reason. Open requests are cancelled, and the answers that were given are
+    /// written before the connection ends.
+    pub(super) fn close(&mut self, id: ConnectionId, reason: &CloseReason) {
+        let Some(connection) = self.connections.get_mut(&id).filter(|it| it.closing.is_none()) else {
+            return;
+        };
+        tracing::debug!(connection = id.0, reason = %reason, "closing client connection");
+        connection.begin_closing();
+        let session = connection.session.clone();
+        self.cancel_open_requests(&session);
+        self.advance_close(id);
+    }
+
+    /// Closes a connection that is not needed, unless what has been received since then says otherwise.
+    pub(super) fn close_unless_needed(
+        &mut self,
+        id: ConnectionId,
+        is_unneeded: impl Fn(&ClientConnection) -> bool,
+        reason: &CloseReason,
+    ) {
+        self.read(id);
+        let Some(connection) = self.connections.get(&id).filter(|it| is_unneeded(it)) else { return };
+        if !connection.session.is_idle() {
+            invariants::violated(Invariant::ClosedOnlyWhenIdle, &reason.to_string());
+        }
+        self.close(id, reason);
+    }
+
+    /// Takes the next step of a graceful close, if one is in progress.
+    pub(super) fn advance_close(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Some(closing) = &mut connection.closing else { return };
+        if !closing.has_ended() && connection.session.finish_writing() {
+            closing.set_ended();
+        }
+        if closing.is_overdue() {
+            self.abort(id, &CloseReason::LingerTimeout);
+        }
+    }
+
+    fn cancel_open_requests(&self, session: &ClientSession) {
+        for job in session.cancel_all() {
+            counters::JOBS_ABANDONED.increment();
+            self.context.controller.gone(job);
+        }
+    }
+}
--- /dev/null
+++ b/crates/server/src/client/event_loop/evict.rs
@@ -0,0 +1,84 @@
+//! Closing idle connections: after the usual time, or sooner where new connections wait for a descriptor.
+
+use super::{ClientEventLoop, ConnectionId};
+use crate::client::close_reason::CloseReason;
+use crate::client::closing::ClosingConnection;
+use crate::client::connection::ClientConnection;
+use crate::client::idle::{IDLE_LIMITS, IDLE_LIMITS_AT_CAPACITY};
+use crate::telemetry::counters;
+use std::time::Duration;
+
+/// Connections that are evicted at a time. Searching all connections for each new one would take too much time when
+/// hundreds come.
+const EVICTION_BATCH: usize = 8;
+/// No more connections are evicted while this many are being closed.
+const MAX_CLOSING: usize = 32;
+
+/// The order in which connections are evicted, the greatest first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionRank {
+    /// A message is due. Such connections are evicted before those that are idle between messages.
+    owes_message: bool,
+    overdue_for: Duration,
+}
+
+impl EvictionRank {
+    /// The rank of a connection, or `None` if it may not be evicted.
+    fn of(connection: &ClientConnection) -> Option<EvictionRank> {
+        let overdue_for = connection.overdue_for(&IDLE_LIMITS_AT_CAPACITY)?;
+        Some(EvictionRank { owes_message: connection.message_due_since.is_some(), overdue_for })
+    }
+}
+
+impl ClientEventLoop {
+    /// Closes connections that have been silent for too long, and writes buffered answers, which cuts off clients that
+    /// do not read theirs.
+    pub(super) fn sweep(&mut self) {
+        let is_overdue = |connection: &ClientConnection| connection.overdue_for(&IDLE_LIMITS).is_some();
+        for id in self.connections.keys().copied().collect::<Vec<ConnectionId>>() {
+            let Some(connection) = self.connections.get(&id) else { continue };
+            connection.session.flush();
+            if connection.closing.is_some() {
+                self.advance_close(id);
+            } else if is_overdue(connection) {
+                self.close_unless_needed(id, is_overdue, &CloseReason::Idle);
+            }
+        }
+    }
+
+    /// Ends connections for the sake of new ones: those whose end the client was shown, then those that owe a message,
+    /// then those that are idle between messages, in each case the longest first.
+    pub(super) fn evict(&mut self) {
+        self.abort_lingering();
+        for id in self.eviction_candidates() {
+            counters::CONNECTIONS_EVICTED.increment();
+            let may_be_evicted = |connection: &ClientConnection| EvictionRank::of(connection).is_some();
+            self.close_unless_needed(id, may_be_evicted, &CloseReason::Evicted);
+        }
+    }
+
+    /// Aborts the connections whose clients have had time to read the end.
+    fn abort_lingering(&mut self) {
+        let is_overdue = |connection: &ClientConnection| {
+            connection.closing.as_ref().is_some_and(ClosingConnection::is_overdue_at_limit)
+        };
+        let overdue = self.connections.iter().filter(|(_, connection)| is_overdue(connection));
+        for id in overdue.map(|(id, _)| *id).collect::<Vec<ConnectionId>>() {
+            self.read(id);
+            self.abort(id, &CloseReason::Evicted);
+        }
+    }
+
+    /// The next connections to be evicted, in their order.
+    fn eviction_candidates(&self) -> Vec<ConnectionId> {
+        let closing = self.connections.values().filter(|connection| connection.closing.is_some()).count();
+        let ranked = self.connections.iter().filter_map(|(id, connection)| {
+            let rank = EvictionRank::of(connection)?;
+            Some((rank, *id))
+        });
+        let mut ranked: Vec<(EvictionRank, ConnectionId)> = ranked.collect();
+        ranked.sort_unstable_by(|a, b| b.cmp(a));
+        let count = EVICTION_BATCH.min(MAX_CLOSING.saturating_sub(closing));
+        ranked.into_iter().take(count).map(|(_, id)| id).collect()
+    }
+}
--- /dev/null
+++ b/crates/server/src/client/event_loop/mod.rs
@@ -0,0 +1,238 @@
+//! The thread that accepts, reads and closes all client connections.
+//!
+//! Each pass waits for events, reads the connections that have some, accepts new connections, and takes the next steps
+//! of what is due: closing idle connections, logging the counters, shutting down.
+
+mod accept;
+mod close;
+mod evict;
+mod shutdown;
+
+use super::arrival_time::{ArrivalTimeEstimator, PollWait};
+use super::close_reason::{CloseReason, ReadError};
+use super::connection::{ClientConnection, Pass};
+use super::context::ClientContext;
+use super::reading::ReadProgress;
+use crate::lifecycle::clock;
+use crate::lifecycle::startup::retry_transient_errors;
+use crate::telemetry::counters;
+use mio::unix::SourceFd;
+use mio::{Events, Interest, Poll, Token};
+use pebblevane::time::TimeDelta;
+use std::collections::HashMap;
+use std::net::TcpListener;
+use std::ops::RangeFrom;
+use std::os::fd::AsRawFd;
+use std::time::{Duration, Instant};
+
+/// How often idle connections are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// How often the counters are logged.
+const COUNTERS_INTERVAL: Duration = Duration::from_secs(30);
+/// The longest wait for events. A wait that is delayed by the system is noticed only if it is longer than this.
+const POLL_TIMEOUT: Duration = Duration::from_millis(100);
+/// The same while new connections wait for a descriptor, and during a shutdown.
+const BUSY_POLL_TIMEOUT: Duration = Duration::from_millis(20);
+const EVENTS_CAPACITY: usize = 256;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+const LISTENER_TOKEN: Token = Token(usize::MAX);
+const READ_AND_WRITE: Interest = Interest::READABLE.add(Interest::WRITABLE);
+
+/// The number of a connection, which is never used again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct ConnectionId(usize);
+
+impl ConnectionId {
+    fn token(self) -> Token {
+        Token(self.0)
+    }
+}
+
+/// The thread that accepts, reads and closes all client connections.
+pub struct ClientEventLoop {
+    context: ClientContext,
+    poll: Poll,
+    /// `None` once no new connections are accepted.
+    listener: Option<TcpListener>,
+    /// New connections wait for a descriptor.
+    accept_pending: bool,
+    connections: HashMap<ConnectionId, ClientConnection>,
+    /// Connections of which nothing is read for a while.
+    paused: Vec<ConnectionId>,
+    unused_ids: RangeFrom<usize>,
+    read_buffer: Vec<u8>,
+    arrivals: ArrivalTimeEstimator,
+    pass: Pass,
+    /// The last wait found its events waiting.
+    returned_immediately: bool,
+    last_sweep: Instant,
+    last_counters_line: Instant,
+}
+
+/// What a wait for events has found.
+#[derive(Default)]
+struct Wakeup {
+    /// Connections that their clients have closed, whatever is still to be read before their end.
+    closed: Vec<ConnectionId>,
+    ready: Vec<ConnectionId>,
+    has_new_connections: bool,
+}
+
+impl ClientEventLoop {
+    /// An event loop for this listener.
+    ///
+    /// # Errors
+    /// The system's error if it refuses a poller, or the listener can't be polled.
+    pub fn new(context: ClientContext, listener: TcpListener) -> std::io::Result<ClientEventLoop> {
+        let poll = retry_transient_errors(Poll::new)?;
+        listener.set_nonblocking(true)?;
+        poll.registry().register(&mut SourceFd(&listener.as_raw_fd()), LISTENER_TOKEN, Interest::READABLE)?;
+        Ok(ClientEventLoop {
+            context,
+            poll,
+            listener: Some(listener),
+            accept_pending: false,
+            connections: HashMap::new(),
+            paused: Vec::new(),
+            unused_ids: 0..,
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            arrivals: ArrivalTimeEstimator::new(clock::now()),
+            pass: Pass { number: 0, earliest_arrival: clock::now() },
+            returned_immediately: false,
+            last_sweep: Instant::now(),
+            last_counters_line: Instant::now(),
+        })
+    }
+
+    /// Serves clients until a shutdown is over: all requests are answered and all connections closed, or its time has
+    /// run out.
+    pub fn run(mut self) {
+        let mut events = Events::with_capacity(EVENTS_CAPACITY);
+        loop {
+            let shutdown = self.context.shutdown.schedule();
+            let wakeup = self.wait(&mut events, shutdown.is_some());
+            self.process(wakeup);
+            self.run_periodic_tasks();
+            if shutdown.is_some_and(|schedule| self.advance_shutdown(&schedule, clock::now())) {
+                return;
+            }
+        }
+    }
+
+    /// Waits for events and notes when they can have arrived.
+    fn wait(&mut self, events: &mut Events, is_shutting_down: bool) -> Wakeup {
+        let timeout = self.poll_timeout(is_shutting_down);
+        let started_at = clock::now();
+        // An interrupted wait has no events.
+        let interrupted = self.poll.poll(events, Some(timeout)).is_err();
+        let returned_at = clock::now();
+        let timeout = TimeDelta(timeout.as_micros() as i64);
+        let wait = PollWait { started_at, returned_at, timeout, interrupted };
+        self.pass =
+            Pass { number: self.pass.number + 1, earliest_arrival: self.arrivals.earliest_arrival(&wait) };
+        self.returned_immediately = wait.returned_immediately();
+        self.collect_ready(events)
+    }
+
+    /// The time to the end of the first pause, within the usual timeout.
+    fn poll_timeout(&self, is_shutting_down: bool) -> Duration {
+        let timeout = if self.accept_pending || is_shutting_down { BUSY_POLL_TIMEOUT } else { POLL_TIMEOUT };
+        let paused = self.paused.iter().filter_map(|id| self.connections.get(id)?.paused_until);
+        let pauses = paused.map(|until| until.saturating_duration_since(Instant::now()));
+        pauses.min().map_or(timeout, |pause| pause.min(timeout))
+    }
+
+    fn collect_ready(&mut self, events: &Events) -> Wakeup {
+        let mut wakeup = Wakeup { has_new_connections: self.accept_pending, ..Wakeup::default() };
+        for event in events {
+            match event.token() {
+                LISTENER_TOKEN => wakeup.has_new_connections = true,
+                Token(id) if event.is_read_closed() => wakeup.closed.push(ConnectionId(id)),
+                Token(id) => wakeup.ready.push(ConnectionId(id)),
+            }
+        }
+        self.resume_paused(&mut wakeup.ready);
+        wakeup
+    }
+
+    /// Moves the connections whose pause is over to those that are ready.
+    fn resume_paused(&mut self, ready: &mut Vec<ConnectionId>) {
+        let now = Instant::now();
+        let connections = &mut self.connections;
+        self.paused.retain(|id| {
+            let Some(connection) = connections.get_mut(id) else { return false };
+            let is_paused = connection.paused_until.is_some_and(|until| until > now);
+            if !is_paused {
+                connection.paused_until = None;
+                ready.push(*id);
+            }
+            is_paused
+        });
+    }
+
+    fn process(&mut self, wakeup: Wakeup) {
+        for id in wakeup.closed {
+            self.closed_by_client(id);
+        }
+        for id in wakeup.ready {
+            self.read(id);
+        }
+        if wakeup.has_new_connections {
+            self.accept();
+        }
+    }
+
+    fn run_periodic_tasks(&mut self) {
+        if self.last_sweep.elapsed() >= SWEEP_INTERVAL {
+            self.last_sweep = Instant::now();
+            self.sweep();
+        }
+        if self.last_counters_line.elapsed() >= COUNTERS_INTERVAL {
+            self.last_counters_line = Instant::now();
+            tracing::info!("counts: {}", counters::line());
+        }
+    }
+
+    /// Reads and processes what a connection has received, unless its reading is paused.
+    fn read(&mut self, id: ConnectionId) {
+        let pass = self.pass;
+        let Some(connection) = self.connections.get_mut(&id).filter(|it| it.paused_until.is_none()) else {
+            return;
+        };
+        connection.session.flush();
+        // What the first wait after it was accepted finds at once may have arrived before it was accepted.
+        let accepted_before_wait = connection.accepted_in.number + 1 == pass.number;
+        let arrived_in =
+            if accepted_before_wait && self.returned_immediately { connection.accepted_in } else { pass };
+        match connection.read(&self.context, &mut self.read_buffer, arrived_in.earliest_arrival) {
+            Ok(ReadProgress::Drained) => {}
+            Ok(ReadProgress::Paused) => self.paused.push(id),
+            Ok(ReadProgress::MoreAvailable) => self.request_event(id),
+            Err(ReadError::Abort(reason)) => self.abort(id, &reason),
+            Err(ReadError::Close(reason)) => self.close(id, &reason),
+        }
+        self.advance_close(id);
+    }
+
+    /// Asks for a new event if the connection has more to be read.
+    fn request_event(&self, id: ConnectionId) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        let descriptor = connection.session.stream().as_raw_fd();
+        // Registering a registered descriptor anew does not fail.
+        let _ = self.poll.registry().reregister(&mut SourceFd(&descriptor), id.token(), READ_AND_WRITE);
+    }
+
+    /// The client has closed the connection, or its side of it. The two can't be told apart, and clients of this protocol
+    /// gain nothing from half a connection, so its open requests are cancelled.
+    fn closed_by_client(&mut self, id: ConnectionId) {
+        match self.connections.get_mut(&id) {
+            // It may still read the last answers. What it has sent is read to its end, as unread bytes would reset
+            // the connection.
+            Some(connection) if connection.closing.is_some() => {
+                connection.paused_until = None;
+                self.read(id);
+            }
+            _ => self.abort(id, &CloseReason::ClosedByClient),
+        }
+    }
+}
--- /dev/null
+++ b/crates/server/src/client/reading.rs
@@ -0,0 +1,199 @@
+//! Reads a client connection and splits what was received into messages.
+
+use super::admission::{Outcome, handle_message};
+use super::close_reason::{CloseReason, ReadError};
+use super::connection::ClientConnection;
+use super::context::ClientContext;
+use crate::codec::client::{self as codec, Frame, Message, ProtocolError, RequestId};
+use crate::telemetry::counters;
+use pebblevane::time::Timestamp;
+use std::collections::HashMap;
+use std::io::{ErrorKind, Read};
+use std::time::{Duration, Instant};
+
+/// Bytes of an incomplete message that are not taken from the budget, and the capacity that a buffer keeps.
+const SMALL_BUFFER_BYTES: usize = 4096;
+/// Reads from one connection before others have their turn.
+const READS_PER_TURN: usize = 4;
+/// Reading pauses for this long after each refused message in a row.
+const REFUSAL_PAUSE: Duration = Duration::from_millis(5);
+/// The refused messages that lengthen the pause.
+const MAX_PAUSE_FACTOR: u32 = 20;
+/// The same while a request is open: its client has to be heard well within the 0.1 s in which a dispatch may still be
+/// sent after a cancellation.
+const MAX_PAUSE_FACTOR_WITH_OPEN_REQUEST: u32 = 4;
+
+/// What was left when reading a connection came to its end.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum ReadProgress {
+    /// All that had come was read.
+    Drained,
+    /// There may be more to read.
+    MoreAvailable,
+    /// Nothing is read until the pause is over.
+    Paused,
+}
+
+/// The messages that were received completely.
+#[derive(Default)]
+struct ReceivedMessages {
+    messages: Vec<Message>,
+    /// Bytes that they take.
+    length: usize,
+    /// What is wrong with the bytes behind them.
+    error: Option<ProtocolError>,
+}
+
+impl ClientConnection {
+    /// Reads what has come, then processes it. All is read before any of it is processed, so that a client that has
+    /// left or cancelled a job is heard first. `arrived_at` is when the bytes may have arrived at the earliest.
+    pub fn read(
+        &mut self,
+        context: &ClientContext,
+        buffer: &mut [u8],
+        arrived_at: Timestamp,
+    ) -> Result<ReadProgress, ReadError> {
+        let session = self.session.clone();
+        let mut position = session.lock_read_position();
+        let progress = self.read_and_process(context, buffer, arrived_at);
+        position.inside_message = !self.received.is_empty();
+        progress
+    }
+
+    fn read_and_process(
+        &mut self,
+        context: &ClientContext,
+        buffer: &mut [u8],
+        arrived_at: Timestamp,
+    ) -> Result<ReadProgress, ReadError> {
+        let progress = self.receive(buffer).map_err(ReadError::Abort)?;
+        if self.closing.is_some() {
+            return Ok(progress);
+        }
+        let refusals_before = self.consecutive_refusals;
+        self.process_received(context, arrived_at)?;
+        if self.consecutive_refusals > refusals_before {
+            self.paused_until = Some(Instant::now() + self.refusal_pause());
+            return Ok(ReadProgress::Paused);
+        }
+        Ok(progress)
+    }
+
+    /// The pause slows down clients that send many messages which are refused.
+    fn refusal_pause(&self) -> Duration {
+        let max_factor =
+            if self.session.is_idle() { MAX_PAUSE_FACTOR } else { MAX_PAUSE_FACTOR_WITH_OPEN_REQUEST };
+        REFUSAL_PAUSE * self.consecutive_refusals.min(max_factor)
+    }
+
+    /// Reads what has come, up to a limit. During a graceful close it is discarded.
+    fn receive(&mut self, buffer: &mut [u8]) -> Result<ReadProgress, CloseReason> {
+        for _ in 0..READS_PER_TURN {
+            match self.session.stream().read(buffer) {
+                Ok(0) => return Err(CloseReason::ClosedByClient),
+                Ok(count) => self.keep_or_discard(&buffer[..count])?,
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadProgress::Drained),
+                Err(e) => return Err(e.into()),
+            }
+        }
+        Ok(ReadProgress::MoreAvailable)
+    }
+
+    fn keep_or_discard(&mut self, bytes: &[u8]) -> Result<(), CloseReason> {
+        if let Some(closing) = &mut self.closing {
+            return closing.discard(bytes.len()).then_some(()).ok_or(CloseReason::LingerBytesExceeded);
+        }
+        self.session.record_activity();
+        if self.received.is_empty() {
+            self.message_due_since = Some(Instant::now());
+        }
+        self.received.extend_from_slice(bytes);
+        Ok(())
+    }
+
+    /// Processes all messages that were received completely.
+    fn process_received(&mut self, context: &ClientContext, arrived_at: Timestamp) -> Result<(), ReadError> {
+        let ReceivedMessages { messages, length, error } = self.decode_received(&context.class_names);
+        let last_cancellations = last_cancellations(&messages);
+        for (position, message) in messages.into_iter().enumerate() {
+            if self.is_cancelled_later(&message, position, &last_cancellations) {
+                counters::JOBS_ABANDONED.increment();
+                continue;
+            }
+            match handle_message(context, &self.session, message, arrived_at)? {
+                Outcome::Accepted => self.consecutive_refusals = 0,
+                Outcome::Refused => self.consecutive_refusals += 1,
+            }
+        }
+        if let Some(error) = error {
+            return Err(error.into());
+        }
+        self.remove_processed(length)
+    }
+
+    /// Decodes messages up to the first incomplete or invalid one.
+    fn decode_received(&self, class_names: &[String]) -> ReceivedMessages {
+        let mut received = ReceivedMessages::default();
+        loop {
+            let rest = &self.received[received.length..];
+            match codec::frame(rest) {
+                Frame::Complete(length) => {
+                    received.length += length;
+                    match codec::decode(&rest[..length], class_names) {
+                        Some(message) => received.messages.push(message),
+                        None => received.error = Some(ProtocolError::UnknownMessageType),
+                    }
+                }
+                Frame::Incomplete => return received,
+                Frame::Invalid(error) => received.error = Some(error),
+            }
+            if received.error.is_some() {
+                return received;
+            }
+        }
+    }
+
+    /// Whether this message submits a job that a later one of the same bytes cancels: it is never admitted.
+    fn is_cancelled_later(
+        &self,
+        message: &Message,
+        position: usize,
+        last_cancellations: &HashMap<RequestId, usize>,
+    ) -> bool {
+        let Message::Submit(request) = message else { return false };
+        let cancelled_at = last_cancellations.get(&request.request_id);
+        cancelled_at.is_some_and(|cancelled_at| *cancelled_at > position)
+            && !self.session.is_open(request.request_id)
+    }
+
+    /// Removes the first `length` received bytes, and takes what is left from the budget of bytes.
+    fn remove_processed(&mut self, length: usize) -> Result<(), ReadError> {
+        self.received.drain(..length);
+        if length > 0 {
+            self.received.shrink_to(SMALL_BUFFER_BYTES);
+            self.message_due_since = None;
+            self.awaits_first_message = false;
+        }
+        if !self.received.is_empty() {
+            self.message_due_since.get_or_insert_with(Instant::now);
+        }
+        let budgeted_bytes = self.received.len().saturating_sub(SMALL_BUFFER_BYTES);
+        if !self.received_permit.grow_to(budgeted_bytes) {
+            return Err(ReadError::Close(CloseReason::OutOfBufferBytes));
+        }
+        self.received_permit.shrink_to(budgeted_bytes);
+        Ok(())
+    }
+}
+
+/// The position of the last message that cancels each request.
+fn last_cancellations(messages: &[Message]) -> HashMap<RequestId, usize> {
+    let mut positions = HashMap::new();
+    for (position, message) in messages.iter().enumerate() {
+        if let Message::Cancel(request_ids) = message {
+            positions.extend(request_ids.iter().map(|request_id| (*request_id, position)));
+        }
+    }
+    positions
+}
--- /dev/null
+++ b/crates/server/src/codec/client/frame.rs
@@ -0,0 +1,160 @@
+//! Finds the end of a message, and enforces the limits on its size before anything of it is decoded.
+
+use super::ProtocolError;
+use rmp::Marker;
+
+/// The longest message, in bytes.
+pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
+const MAX_NESTING: usize = 6;
+const MAX_TEXT_BYTES: usize = 4096;
+const MAX_ENTRIES: usize = 64;
+const MAX_VALUES: usize = 512;
+
+/// What the beginning of a sequence of bytes holds.
+#[derive(Debug, PartialEq)]
+pub enum Frame {
+    /// A complete message of this many bytes.
+    Complete(usize),
+    /// The beginning of a message.
+    Incomplete,
+    /// No message of this protocol.
+    Invalid(ProtocolError),
+}
+
+/// Finds the end of the first message without decoding it.
+pub fn frame(bytes: &[u8]) -> Frame {
+    match scan(bytes) {
+        Ok(Some(length)) => Frame::Complete(length),
+        Ok(None) => Frame::Incomplete,
+        Err(error) => Frame::Invalid(error),
+    }
+}
+
+/// The length of the first message in bytes, or `None` if its end is missing.
+fn scan(bytes: &[u8]) -> Result<Option<usize>, ProtocolError> {
+    let mut nesting = Nesting::default();
+    let (mut position, mut values) = (0, 0);
+    while nesting.expects_value() {
+        let Some(header) = ValueHeader::read(&bytes[position..])? else { return Ok(None) };
+        if position == 0 && !header.begins_message() {
+            return Err(ProtocolError::NotAMessage);
+        }
+        values += 1;
+        position += header.length;
+        if values > MAX_VALUES || position > MAX_MESSAGE_BYTES {
+            return Err(ProtocolError::MessageTooLong);
+        }
+        nesting.add_value(header.entries)?;
+        if position > bytes.len() {
+            return Ok(None);
+        }
+    }
+    Ok(Some(position))
+}
+
+/// The values that are still to come, at each level of nesting.
+struct Nesting {
+    expected: [usize; MAX_NESTING],
+    depth: usize,
+}
+
+impl Default for Nesting {
+    /// Expects one value, the message.
+    fn default() -> Nesting {
+        let mut expected = [0; MAX_NESTING];
+        expected[0] = 1;
+        Nesting { expected, depth: 0 }
+    }
+}
+
+impl Nesting {
+    /// Leaves the levels that are complete; false if that is all of them.
+    fn expects_value(&mut self) -> bool {
+        while self.expected[self.depth] == 0 {
+            if self.depth == 0 {
+                return false;
+            }
+            self.depth -= 1;
+        }
+        true
+    }
+
+    /// Counts a value, and enters it if it has entries of its own.
+    fn add_value(&mut self, entries: usize) -> Result<(), ProtocolError> {
+        self.expected[self.depth] -= 1;
+        if entries == 0 {
+            return Ok(());
+        }
+        self.depth += 1;
+        if self.depth == MAX_NESTING {
+            return Err(ProtocolError::NestedTooDeep);
+        }
+        self.expected[self.depth] = entries;
+        Ok(())
+    }
+}
+
+/// The first bytes of a value, which tell its type and size.
+struct ValueHeader {
+    marker: Marker,
+    /// Bytes of the value, without its entries.
+    length: usize,
+    /// Values that belong to it, if it is a list or a map.
+    entries: usize,
+}
+
+impl ValueHeader {
+    /// The header at the beginning of `bytes`, or `None` if a part of it is missing.
+    fn read(bytes: &[u8]) -> Result<Option<ValueHeader>, ProtocolError> {
+        let Some(&first) = bytes.first() else { return Ok(None) };
+        let marker = Marker::from_u8(first);
+        let header_bytes = 1 + size_field_bytes(marker);
+        let Some(size_field) = bytes.get(1..header_bytes) else { return Ok(None) };
+        let size = size_field.iter().fold(0usize, |size, byte| size << 8 | usize::from(*byte));
+        let (payload_bytes, entries) = match entries(marker, size) {
+            Some(entries) => (0, entries),
+            None => (payload_bytes(marker, size).ok_or(ProtocolError::UnsupportedValue)?, 0),
+        };
+        Ok(Some(ValueHeader { marker, length: header_bytes + payload_bytes, entries }))
+    }
+
+    fn begins_message(&self) -> bool {
+        matches!(self.marker, Marker::FixArray(3 | 4))
+    }
+}
+
+/// The bytes behind the marker that hold the length of a text, or the number of entries of a list or map.
+fn size_field_bytes(marker: Marker) -> usize {
+    match marker {
+        Marker::Str8 | Marker::Bin8 => 1,
+        Marker::Str16 | Marker::Bin16 | Marker::Array16 | Marker::Map16 => 2,
+        Marker::Str32 | Marker::Bin32 | Marker::Array32 | Marker::Map32 => 4,
+        _ => 0,
+    }
+}
+
+/// The number of values in a list or map; a map's keys are values, too. `None` for other types and above the limit.
+fn entries(marker: Marker, size: usize) -> Option<usize> {
+    match marker {
+        Marker::FixArray(count) => Some(usize::from(count)),
+        Marker::FixMap(count) => Some(2 * usize::from(count)),
+        Marker::Array16 | Marker::Array32 if size <= MAX_ENTRIES => Some(size),
+        Marker::Map16 | Marker::Map32 if size <= MAX_ENTRIES => Some(2 * size),
+        _ => None,
+    }
+}
+
+/// The bytes behind the header of a number, text or the like. `None` for other types and above the limit.
+fn payload_bytes(marker: Marker, size: usize) -> Option<usize> {
+    match marker {
+        Marker::FixPos(_) | Marker::FixNeg(_) | Marker::Null | Marker::True | Marker::False => Some(0),
+        Marker::U8 | Marker::I8 => Some(1),
+        Marker::U16 | Marker::I16 => Some(2),
+        Marker::U32 | Marker::I32 | Marker::F32 => Some(4),
+        Marker::U64 | Marker::I64 | Marker::F64 => Some(8),
+        Marker::FixStr(length) => Some(usize::from(length)),
+        Marker::Str8 | Marker::Str16 | Marker::Str32 if size <= MAX_TEXT_BYTES => Some(size),
+        Marker::Bin8 | Marker::Bin16 | Marker::Bin32 if size <= MAX_MESSAGE_BYTES => Some(size),
+        _ => None,
+    }
+}
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -2,7 +2,7 @@
 //! each `Actions` is carried out in its order before the next call. What the engine list tells, a planned stop and
 //! clients that leave don't wait behind those. It decides nothing.
 
-use crate::codec::client::Reply;
+use crate::codec::client::{FailureReason, Reply};
 use crate::codec::event_bus::{Event, UnixTime};
 use crate::discovery::event_bus::EndpointListener;
 use crate::discovery::start_clock::StartClock;
@@ -513,7 +513,7 @@
             }
             FinalAnswer::Cancelled => {
                 counters::JOBS_CANCELLED.increment();
-                self.responder.respond(&Reply::Failed { reason: "cancelled" });
+                self.responder.respond(&Reply::Failed { reason: FailureReason::Cancelled });
             }
         }
     }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,34 +1,51 @@
-//! The program `pebblevane`: sets up logging, signals and the panic hook, then runs the service.
+//! The program `pebblevane`: sets up logging, the panic hook and signals, then runs the service.
 
 use pebblevane_server::config::Config;
 use pebblevane_server::lifecycle::clock;
 use pebblevane_server::lifecycle::startup::retry_transient_errors;
-use pebblevane_server::server;
+use pebblevane_server::server::{self, ServerError};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::process::ExitCode;
 
+/// The variable of the environment that holds the log level.
+const LOG_LEVEL_VARIABLE: &str = "PEBBLEVANE_LOG";
+
 fn main() -> ExitCode {
+    // Starts the program's clock.
     clock::now();
-    let level = std::env::var("PEBBLEVANE_LOG").ok().and_then(|level| level.parse().ok());
+    init_logging();
+    abort_on_panic();
+    match run() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("pebblevane: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn run() -> Result<(), ServerError> {
+    // Signals are received before anything starts, so that none of them ends the process abruptly.
+    let signals =
+        retry_transient_errors(|| Signals::new([SIGTERM, SIGINT, SIGHUP])).map_err(ServerError::Signals)?;
+    let config = Config::read(server::environment).map_err(ServerError::Config)?;
+    server::run(signals, config)
+}
+
+fn init_logging() {
+    let level = server::environment(LOG_LEVEL_VARIABLE).and_then(|level| level.parse().ok());
     tracing_subscriber::fmt()
         .with_max_level(level.unwrap_or(tracing::Level::INFO))
         .with_ansi(false)
         .with_target(false)
         .init();
-    // A thread that panics may have left a job without an answer: the whole program ends, and says why.
+}
+
+/// A thread that panics may leave a job without an answer, so the whole process ends.
+fn abort_on_panic() {
     std::panic::set_hook(Box::new(|info| {
         eprintln!("pebblevane: {info}");
         std::process::abort();
     }));
-    // Signals are waited for before anything starts: none may end the program unheard.
-    let signals = retry_transient_errors(|| Signals::new([SIGTERM, SIGINT, SIGHUP]))
-        .map_err(|e| format!("cannot wait for signals: {e}"));
-    match signals.and_then(|signals| server::run(signals, Config::read(server::environment)?)) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(trouble) => {
-            eprintln!("pebblevane: {trouble}");
-            ExitCode::FAILURE
-        }
-    }
 }
--- a/crates/server/src/server/mod.rs
+++ b/crates/server/src/server/mod.rs
@@ -1,90 +1,77 @@
-//! Puts the parts of the service together: starts every thread, then waits for signals.
+//! The service: starts every thread, then handles signals until a graceful shutdown is over.
 
-pub mod reload;
+mod error;
+mod reload;
+mod startup;
+
+pub use error::ServerError;
 
-use crate::client::{acceptor, connection};
 use crate::config::Config;
-use crate::decision::controller_thread::ControllerHandle;
-use crate::discovery::event_bus;
-use crate::engine::registry::EngineRegistry;
-use crate::lifecycle::startup::retry_transient_errors;
 use crate::lifecycle::threads::{self, STACK_BYTES};
-use crate::lifecycle::{clock, shutdown};
-use crate::limits::{ResourceBudget, ResourceQuotas};
-use crossbeam_channel::{bounded, select};
+use crossbeam_channel::{Receiver, bounded, select};
+use reload::ConfigReloader;
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
-use std::net::TcpListener;
-use std::sync::Arc;
+use startup::Service;
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::Duration;
 
 /// Signals that wait to be handled.
 const SIGNAL_QUEUE: usize = 16;
+/// The longest wait for a signal. The configuration is read after that.
+const MAX_SIGNAL_WAIT: Duration = Duration::from_hours(1);
 
-/// Reads a variable of the environment.
+/// Reads a variable of the environment; `None` if it is not set or no text.
 pub fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// Runs the service until a stop has come to its end.
+/// Runs the service until a graceful shutdown is over. SIGHUP reloads the configuration, other signals begin the
+/// shutdown.
 ///
 /// # Errors
-/// What the system or the configuration keeps from starting, or a signal thread that ended.
-pub fn run(mut signals: Signals, mut config: Config) -> Result<(), String> {
-    let cannot = |what: &'static str| move |e: std::io::Error| format!("cannot {what}: {e}");
-    let (types, rules) = (config.types(), config.repeat_rules());
-    let shares = ResourceQuotas::from_limits(config.limits);
-    let (sockets, terms) =
-        (ResourceBudget::new(shares.engine_connections), config.terms(shares.connections_per_engine));
-    let owners = EngineRegistry::start(terms, sockets, clock::now, threads::spawn)
-        .map_err(cannot("start the engines' thread"))?;
-    let module = ControllerHandle::start(
-        config.settings.clone(),
-        config.seed,
-        std::mem::take(&mut config.known),
-        owners,
-    )
-    .map_err(cannot("start the module's thread"))?;
-    let health = Arc::new(shutdown::ShutdownState::default());
-    let shared = connection::Shared::new(module.clone(), health.clone(), types, rules, &shares);
-    let listener = retry_transient_errors(|| TcpListener::bind(config.listen))
-        .map_err(|e| format!("field listen: cannot listen on {}: {e}", config.listen))?;
-    let listens = listener.local_addr().map_err(cannot("listen"))?;
-    let clients = acceptor::Acceptor::new(shared, listener).map_err(cannot("listen"))?;
-    let ((left, all_left), (heard, signal)) = (bounded(1), bounded(SIGNAL_QUEUE));
-    let serve = move || {
-        clients.run();
-        let _ = left.send(());
+/// Whatever keeps the service from starting, or the end of the thread that receives signals.
+pub fn run(signals: Signals, mut config: Config) -> Result<(), ServerError> {
+    let service = Service::start(&mut config)?;
+    let signals = receive_signals(signals)?;
+    tracing::info!(name = %config.name, address = %service.address, "listening for clients");
+    handle_signals(&service, &signals, config)?;
+    let open_jobs = service.controller.open.load(SeqCst);
+    tracing::info!(open_jobs, "graceful shutdown finished");
+    Ok(())
+}
+
+/// Starts the thread that receives signals. It is not joined: it ends with the process, as signals are handled until
+/// then.
+fn receive_signals(mut signals: Signals) -> Result<Receiver<i32>, ServerError> {
+    let (sender, receiver) = bounded(SIGNAL_QUEUE);
+    let forward = move || {
+        for signal in signals.forever() {
+            if sender.send(signal).is_err() {
+                return;
+            }
+        }
     };
-    threads::spawn_required("clients", STACK_BYTES, serve).map_err(cannot("start a thread"))?;
-    let bus = Arc::new(event_bus::EventBusFollower::new(config.bus, shares.event_line_bytes));
-    let (follower, teller, offset, seed) = (bus.clone(), module.clone(), config.offset, config.seed);
-    threads::spawn_required("event bus", STACK_BYTES, move || follower.follow(&*teller, offset, seed))
-        .map_err(cannot("start a thread"))?;
-    let listen = move || signals.forever().take_while(|signal| heard.send(*signal).is_ok()).for_each(drop);
-    threads::spawn_required("signals", STACK_BYTES, listen).map_err(cannot("start a thread"))?;
-    tracing::info!(name = %config.name, address = %listens, "listening for clients");
-    let longest_wait = config.longest_wait();
-    let mut reload = reload::ConfigReloader::new(config, bus);
-    // Signals are heard to the end: a stop takes seconds, and the event bus may move meanwhile.
+    threads::spawn_required("signals", STACK_BYTES, forward)
+        .map_err(ServerError::cannot("start a thread"))?;
+    Ok(receiver)
+}
+
+/// Handles signals until all client connections have ended. A shutdown takes seconds, in which a SIGHUP may still move
+/// the event bus.
+fn handle_signals(service: &Service, signals: &Receiver<i32>, config: Config) -> Result<(), ServerError> {
+    let longest_client_timeout = config.longest_wait();
+    let mut reloader = ConfigReloader::new(config, service.event_bus.clone());
     loop {
-        let again = reload.again().unwrap_or(Duration::from_secs(3600));
+        let wait = reloader.retry_after().unwrap_or(MAX_SIGNAL_WAIT);
         select! {
-            recv(signal) -> signal => match signal {
-                Ok(SIGHUP) => reload.begin(Config::read(environment)),
-                Ok(_) => {
-                    if let Some(schedule) = health.begin(longest_wait) {
-                        module.stopping(schedule.answered_by);
-                        tracing::info!(open_jobs = module.open.load(SeqCst), "graceful shutdown started");
-                    }
-                }
-                Err(_) => return Err("the thread that waits for signals has ended".to_string()),
+            recv(signals) -> signal => match signal {
+                Ok(SIGHUP) => reloader.reload(Config::read(environment)),
+                Ok(_) => service.begin_shutdown(longest_client_timeout),
+                Err(_) => return Err(ServerError::SignalThreadEnded),
             },
-            recv(all_left) -> _ => break,
-            default(again) => reload.read(Config::read(environment)),
+            recv(service.clients_closed) -> _ => return Ok(()),
+            default(wait) => reloader.retry(Config::read(environment)),
         }
     }
-    tracing::info!(open_jobs = module.open.load(SeqCst), "graceful shutdown finished");
-    Ok(())
 }
--- a/crates/server/src/server/reload.rs
+++ b/crates/server/src/server/reload.rs
@@ -1,5 +1,8 @@
-//! A new configuration while the program runs: the event bus moves to its new address, all else stays as it
-//! was at the start. `known` is not read again, since the numbers of the events carry on.
+//! Reloading the configuration while the program runs.
+//!
+//! The event bus moves to its new address; other changes take effect at the next start. The initial endpoint list is
+//! not read again, since the event numbers carry on. A file that can't be used may still be being written, so it is read
+//! again for a while.
 
 use crate::config::Config;
 use crate::discovery::event_bus::EventBusFollower;
@@ -7,64 +10,82 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A file that can't be used may still be being written: it is read again at this pace, for so long.
-const AGAIN: Duration = Duration::from_millis(50);
-const PATIENCE: Duration = Duration::from_secs(2);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(2);
 
-pub struct ConfigReloader {
+/// Applies configurations that are read while the program runs.
+pub(super) struct ConfigReloader {
     config: Config,
-    bus: Arc<EventBusFollower>,
-    /// Since when, and why, the file can't be used.
-    odd: Option<(Instant, String)>,
+    event_bus: Arc<EventBusFollower>,
+    /// Set while a reload fails and is retried.
+    failure: Option<ReloadFailure>,
+}
+
+/// A reload that fails.
+struct ReloadFailure {
+    /// When it failed first.
+    since: Instant,
+    /// Why it failed last.
+    reason: String,
 }
 
 impl ConfigReloader {
-    pub fn new(config: Config, bus: Arc<EventBusFollower>) -> ConfigReloader {
-        ConfigReloader { config, bus, odd: None }
+    /// A reloader for a program that runs with this configuration.
+    pub fn new(config: Config, event_bus: Arc<EventBusFollower>) -> ConfigReloader {
+        ConfigReloader { config, event_bus, failure: None }
     }
 
-    /// The pause before the file is to be read again, if it is.
-    pub fn again(&self) -> Option<Duration> {
-        self.odd.as_ref().map(|_| AGAIN)
+    /// The pause before the configuration is to be read again, if the last reload failed.
+    pub fn retry_after(&self) -> Option<Duration> {
+        self.failure.as_ref().map(|_| RETRY_INTERVAL)
     }
 
-    /// The file is to be read, from now on until it can be used.
-    pub fn begin(&mut self, told: FieldResult<Config>) {
-        self.odd = None;
-        self.read(told);
+    /// Applies what was read for a new reload.
+    pub fn reload(&mut self, result: FieldResult<Config>) {
+        self.failure = None;
+        self.retry(result);
     }
 
-    /// Takes over what was read. A configuration that can't be used changes nothing.
-    pub fn read(&mut self, told: FieldResult<Config>) {
-        match told {
-            Ok(new) => {
-                self.odd = None;
-                self.take_over(new);
-            }
-            Err(why) => {
-                let (since, known) =
-                    self.odd.take().map_or((Instant::now(), None), |(at, why)| (at, Some(why)));
-                if known.as_ref() != Some(&why) {
-                    tracing::warn!(reason = %why, "configuration reload failed, keeping the previous one");
-                }
-                self.odd = Some((since, why)).filter(|_| since.elapsed() < PATIENCE);
+    /// Applies what was read for a reload that may have failed before. A configuration that can't be used changes
+    /// nothing.
+    pub fn retry(&mut self, result: FieldResult<Config>) {
+        match result {
+            Ok(config) => {
+                self.failure = None;
+                self.apply(&config);
             }
+            Err(reason) => self.record_failure(reason),
+        }
+    }
+
+    /// Logs a failure unless the last one had the same reason, and ends the retries once they take too long.
+    fn record_failure(&mut self, reason: String) {
+        let previous = self.failure.take();
+        if previous.as_ref().is_none_or(|previous| previous.reason != reason) {
+            tracing::warn!(reason = %reason, "configuration reload failed, keeping the previous one");
         }
+        let since = previous.map_or_else(Instant::now, |previous| previous.since);
+        self.failure = Some(ReloadFailure { since, reason }).filter(|_| since.elapsed() < RETRY_TIMEOUT);
     }
 
-    fn take_over(&mut self, new: Config) {
-        let config = &mut self.config;
-        let left = [
-            ("name", new.name != config.name),
-            ("listen", new.listen != config.listen),
-            ("limits", new.limits != config.limits),
-            ("settings", new.settings.0 != config.settings.0),
+    fn apply(&mut self, new: &Config) {
+        self.log_unapplied(new);
+        tracing::info!(event_bus = %new.bus, "configuration reloaded");
+        self.event_bus.move_to(new.bus);
+        self.config.bus = new.bus;
+    }
+
+    /// Logs each change that takes effect at the next start only.
+    fn log_unapplied(&self, new: &Config) {
+        let current = &self.config;
+        let changes = [
+            ("name", new.name != current.name),
+            ("listen", new.listen != current.listen),
+            ("limits", new.limits != current.limits),
+            ("settings", new.settings.0 != current.settings.0),
         ];
-        for (field, _) in left.iter().filter(|(_, changed)| *changed) {
+        for (field, _) in changes.iter().filter(|(_, has_changed)| *has_changed) {
             tracing::warn!(field, "changed setting takes effect at the next start");
         }
-        tracing::info!(event_bus = %new.bus, "configuration reloaded");
-        self.bus.move_to(new.bus);
-        config.bus = new.bus;
     }
 }
--- /dev/null
+++ b/crates/server/src/server/startup.rs
@@ -0,0 +1,117 @@
+//! Starts the parts of the service in the order in which they depend on each other.
+//!
+//! None of their threads is joined: each ends with the process, and the service ends once the clients' thread reports
+//! that all connections are closed.
+
+use super::ServerError;
+use crate::client::context::ClientContext;
+use crate::client::event_loop::ClientEventLoop;
+use crate::codec::event_bus::Event;
+use crate::config::Config;
+use crate::decision::controller_thread::ControllerHandle;
+use crate::discovery::event_bus::EventBusFollower;
+use crate::engine::registry::EngineRegistry;
+use crate::lifecycle::clock;
+use crate::lifecycle::shutdown::ShutdownState;
+use crate::lifecycle::startup::retry_transient_errors;
+use crate::lifecycle::threads::{self, STACK_BYTES};
+use crate::limits::{ResourceBudget, ResourceQuotas};
+use crossbeam_channel::{Receiver, bounded};
+use pebblevane::time::TimeDelta;
+use std::net::{SocketAddr, TcpListener};
+use std::sync::Arc;
+use std::sync::atomic::Ordering::SeqCst;
+
+/// The running service.
+pub(super) struct Service {
+    pub controller: Arc<ControllerHandle>,
+    pub event_bus: Arc<EventBusFollower>,
+    /// The address on which clients connect.
+    pub address: SocketAddr,
+    /// Receives a message once all client connections have ended.
+    pub clients_closed: Receiver<()>,
+    shutdown: Arc<ShutdownState>,
+}
+
+impl Service {
+    /// Starts all threads of the service but that of the signals. The initial events are taken out of `config`.
+    pub fn start(config: &mut Config) -> Result<Service, ServerError> {
+        let quotas = ResourceQuotas::from_limits(config.limits);
+        let engines = start_engines(config, &quotas)?;
+        let initial_events = std::mem::take(&mut config.known);
+        let controller = start_controller(config, initial_events, engines)?;
+        let shutdown = Arc::new(ShutdownState::default());
+        let context = ClientContext::new(
+            controller.clone(),
+            shutdown.clone(),
+            config.types(),
+            config.repeat_rules(),
+            &quotas,
+        );
+        let listener = listen(config.listen)?;
+        let address = listener.local_addr().map_err(ServerError::cannot("listen"))?;
+        let clients_closed = start_clients(context, listener)?;
+        let event_bus = start_event_bus(config, &quotas, controller.clone())?;
+        Ok(Service { controller, event_bus, address, clients_closed, shutdown })
+    }
+
+    /// Begins a graceful shutdown, unless one has begun.
+    pub fn begin_shutdown(&self, longest_client_timeout: TimeDelta) {
+        if let Some(schedule) = self.shutdown.begin(longest_client_timeout) {
+            self.controller.stopping(schedule.answered_by);
+            let open_jobs = self.controller.open.load(SeqCst);
+            tracing::info!(open_jobs, "graceful shutdown started");
+        }
+    }
+}
+
+/// Starts the thread of all engine connections.
+fn start_engines(config: &Config, quotas: &ResourceQuotas) -> Result<Arc<EngineRegistry>, ServerError> {
+    let descriptors = ResourceBudget::new(quotas.engine_connections);
+    let settings = config.terms(quotas.connections_per_engine);
+    EngineRegistry::start(settings, descriptors, clock::now, threads::spawn)
+        .map_err(ServerError::cannot("start the engines' thread"))
+}
+
+/// Starts the thread that owns the admission controller.
+fn start_controller(
+    config: &Config,
+    initial_events: Vec<Event>,
+    engines: Arc<EngineRegistry>,
+) -> Result<Arc<ControllerHandle>, ServerError> {
+    ControllerHandle::start(config.settings.clone(), config.seed, initial_events, engines)
+        .map_err(ServerError::cannot("start the module's thread"))
+}
+
+fn listen(address: SocketAddr) -> Result<TcpListener, ServerError> {
+    retry_transient_errors(|| TcpListener::bind(address))
+        .map_err(|source| ServerError::Listen { address, source })
+}
+
+/// Starts the thread of all client connections, and returns what reports its end.
+fn start_clients(context: ClientContext, listener: TcpListener) -> Result<Receiver<()>, ServerError> {
+    let event_loop = ClientEventLoop::new(context, listener).map_err(ServerError::cannot("listen"))?;
+    let (closed, clients_closed) = bounded(1);
+    let serve = move || {
+        event_loop.run();
+        // Nobody waits for it if the service has ended with an error.
+        let _ = closed.send(());
+    };
+    threads::spawn_required("clients", STACK_BYTES, serve).map_err(ServerError::cannot("start a thread"))?;
+    Ok(clients_closed)
+}
+
+/// Starts the thread that follows the event bus.
+fn start_event_bus(
+    config: &Config,
+    quotas: &ResourceQuotas,
+    controller: Arc<ControllerHandle>,
+) -> Result<Arc<EventBusFollower>, ServerError> {
+    let event_bus = Arc::new(EventBusFollower::new(config.bus, quotas.event_line_bytes));
+    let follower = event_bus.clone();
+    let (last_event, seed) = (config.offset, config.seed);
+    let follow = move || follower.follow(&*controller, last_event, seed);
+    threads::spawn_required("event bus", STACK_BYTES, follow)
+        .map_err(ServerError::cannot("start a thread"))?;
+    Ok(event_bus)
+}
--- a/crates/server/src/session/responder.rs
+++ b/crates/server/src/session/responder.rs
@@ -1,90 +1,110 @@
-//! The one way of a request to its one answer, whoever gives it: the module, the job's thread or whoever admits jobs.
+//! The way from a request to its one answer, whoever gives it: the controller, the job's thread, or admission.
 
-use crate::codec::client::Reply;
+use super::cancellation::{CancellationToken, ClientLiveness};
+use super::client_job_ids::ClientJobId;
+use super::client_session::ClientSession;
+use super::lock;
+use crate::codec::client::{Reply, RequestId};
 use crate::lifecycle::clock;
-use crate::session::cancellation::{CancellationToken, ClientLiveness};
-use crate::session::client_session::{ClientJobId, ClientSession};
 use crate::telemetry::counters;
 use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::interface::JobId;
 use pebblevane::time::{TimeDelta, Timestamp};
-use std::sync::{Arc, Mutex, OnceLock, PoisonError};
+use std::sync::{Arc, Mutex, OnceLock};
 
-/// An answer later than this after its client's wait counts as a lost request.
+/// A request counts as lost if it is answered later than this after the client's timeout.
 const LOST_AFTER: TimeDelta = TimeDelta(500_000);
 
+/// Answers one request, at most once. A registered request has to be answered before this is dropped, unless its
+/// client has cancelled it.
 pub struct Responder {
-    client: Arc<ClientSession>,
-    message: u32,
+    session: Arc<ClientSession>,
+    request_id: RequestId,
     /// The client's own id of the job, for the log.
-    id: Box<str>,
-    /// The client's hold on that id until the answer.
-    name: Mutex<Option<ClientJobId>>,
-    /// When the client stops waiting.
+    job_id: Box<str>,
+    /// Reserves that id until the answer.
+    reserved_id: Mutex<Option<ClientJobId>>,
+    /// The end of the client's timeout.
     deadline: Timestamp,
     job: OnceLock<JobId>,
-    wanted: Arc<CancellationToken>,
+    cancellation: Arc<CancellationToken>,
 }
 
 impl Responder {
+    /// A responder for a request that is not registered yet. `deadline` is the end of the client's timeout.
     pub fn new(
-        client: Arc<ClientSession>,
-        message: u32,
-        id: &str,
-        name: ClientJobId,
+        session: Arc<ClientSession>,
+        request_id: RequestId,
+        job_id: ClientJobId,
         deadline: Timestamp,
     ) -> Responder {
-        let (name, wanted) = (Mutex::new(Some(name)), Arc::default());
-        Responder { client, message, id: id.into(), name, deadline, job: OnceLock::new(), wanted }
+        Responder {
+            session,
+            request_id,
+            job_id: job_id.as_str().into(),
+            reserved_id: Mutex::new(Some(job_id)),
+            deadline,
+            job: OnceLock::new(),
+            cancellation: Arc::default(),
+        }
     }
 
-    /// From now on an answer is owed, until it is given or the client takes the request back.
+    /// Opens the request under the controller's id of its job. From then on it is owed an answer, until that is given
+    /// or the client cancels the request.
     pub fn register(&self, job: JobId) {
+        // A request is registered once.
         let _ = self.job.set(job);
-        self.client.open(self.message, job, self.wanted.clone());
+        self.session.open(self.request_id, job, self.cancellation.clone());
     }
 
-    /// The job has its answer, or its client has left.
+    /// Whether the request has been answered or cancelled.
     pub fn is_finished(&self) -> bool {
-        self.wanted.is_cancelled()
+        self.cancellation.is_cancelled()
     }
 
-    /// Gives the answer, unless it has been given or the client has left; says whether it did. Whoever has it may ask
-    /// again under the same id at once.
+    /// Answers the request and returns true, or returns false if it has been answered or cancelled before. The
+    /// client's id of the job is released first, so that a client that has its answer may use the id again.
     pub fn respond(&self, reply: &Reply) -> bool {
-        drop(self.name.lock().unwrap_or_else(PoisonError::into_inner).take());
-        let answered = self.client.answer(self.message, reply);
-        if answered {
-            let late = clock::now() - self.deadline;
-            tracing::debug!(job = %self.id, answer = reply.kind(), overdue_ms = late.as_millis_f64(), "job answered");
-            if late > TimeDelta(0) {
-                counters::LATE_RESPONSES.increment();
-            }
-            if late > LOST_AFTER {
-                invariants::violated(Invariant::AnsweredInTime, &self.id);
-            }
+        drop(lock(&self.reserved_id).take());
+        let responded = self.session.respond(self.request_id, reply);
+        if responded {
+            self.record_response(reply);
+        }
+        responded
+    }
+
+    fn record_response(&self, reply: &Reply) {
+        let overdue = clock::now() - self.deadline;
+        tracing::debug!(job = %self.job_id, answer = reply.kind(), overdue_ms = overdue.as_millis_f64(), "job answered");
+        if overdue > TimeDelta(0) {
+            counters::LATE_RESPONSES.increment();
         }
-        answered
+        if overdue > LOST_AFTER {
+            invariants::violated(Invariant::AnsweredInTime, &self.job_id);
+        }
+    }
+
+    /// Whether the request is registered and neither answered nor cancelled.
+    fn is_open(&self) -> bool {
+        self.job.get().is_some_and(|job| self.session.awaits(self.request_id, *job))
     }
 }
 
 impl ClientLiveness for Responder {
-    /// Also looks at what the client has sent and nobody has read yet.
+    /// Also looks for a cancellation in what was received from the client and not read yet.
     fn is_waiting(&self) -> bool {
-        let owed = self.job.get().is_some_and(|job| self.client.waits_for(self.message, *job));
-        if owed && self.client.has_withdrawn(self.message) {
-            tracing::debug!(job = %self.id, "job cancelled by unread bytes");
-            self.client.forget(self.message);
+        if self.is_open() && self.session.has_unread_cancellation(self.request_id) {
+            tracing::debug!(job = %self.job_id, "job cancelled by unread bytes");
+            self.session.cancel(self.request_id);
         }
-        !self.wanted.is_cancelled()
+        !self.is_finished()
     }
 }
 
 impl Drop for Responder {
-    /// Whoever drops the last hold on a request has answered it, or its client has left.
     fn drop(&mut self) {
-        if self.job.get().is_some_and(|job| self.client.waits_for(self.message, *job)) {
-            invariants::violated(Invariant::Answered, &self.id);
+        if self.is_open() {
+            invariants::violated(Invariant::Answered, &self.job_id);
         }
     }
 }
