--- a/crates/server/src/client/admission.rs
+++ b/crates/server/src/client/admission.rs
@@ -6,9 +6,9 @@
     ClientRequest, FailureReason, InvalidRequest, Message, ProtocolError, Reply, RequestId,
 };
 use crate::codec::sql;
-use crate::decision::controller_thread::BACK_IN;
+use crate::decision::RETRY_AFTER;
 use crate::engine::dispatch_ledger::DispatchLedger;
-use crate::job::task::{AdmittedJob, USUAL_RESULT};
+use crate::job::{AdmittedJob, USUAL_RESULT_BYTES};
 use crate::lifecycle::clock;
 use crate::limits::Permit;
 use crate::session::client_job_ids::ClientJobId;
@@ -65,7 +65,7 @@
 fn cancel_requests(context: &ClientContext, session: &ClientSession, request_ids: &[RequestId]) {
     for job in request_ids.iter().filter_map(|request_id| session.cancel(*request_id)) {
         counters::JOBS_ABANDONED.increment();
-        context.controller.gone(job);
+        context.controller.client_disconnected(job);
     }
 }
 
@@ -93,7 +93,7 @@
     tracing::debug!(job = %request.job_id, left_ms, "job submitted");
     let job = controller_job(&request);
     let admitted = admitted_job(context, session, request, job_id, permits, deadline);
-    if context.controller.take(job, arrived_at, admitted) {
+    if context.controller.submit(job, arrived_at, admitted) {
         counters::JOBS_ADMITTED.increment();
         Outcome::Accepted
     } else {
@@ -108,14 +108,14 @@
     request: &ClientRequest,
 ) -> Option<JobPermits> {
     let job_slot = session.has_capacity().then(|| context.open_jobs.acquire(1)).flatten();
-    let memory = context.buffer_bytes.acquire(request.statement.len() + USUAL_RESULT);
+    let memory = context.buffer_bytes.acquire(request.statement.len() + USUAL_RESULT_BYTES);
     Some(JobPermits { job_slot: job_slot?, memory: memory? })
 }
 
 /// Rejects a job that the controller never sees: the program's only decision of its own.
 fn reject_at_limit(session: &ClientSession, request_id: RequestId) -> Outcome {
     counters::LOCAL_LIMIT_REJECTIONS.increment();
-    session.write(request_id, &Reply::Rejected { retry_after: BACK_IN });
+    session.write(request_id, &Reply::Rejected { retry_after: RETRY_AFTER });
     Outcome::Refused
 }
 
@@ -147,10 +147,10 @@
     AdmittedJob {
         responder: Arc::new(responder),
         ledger: Arc::new(ledger),
-        name: request.job_id,
+        client_job_id: request.job_id,
         class: class.name.clone(),
         statement: request.statement.into(),
-        bytes: permits.memory,
-        _place: permits.job_slot,
+        memory: permits.memory,
+        _job_slot: permits.job_slot,
     }
 }
--- a/crates/server/src/client/context.rs
+++ b/crates/server/src/client/context.rs
@@ -1,7 +1,7 @@
 //! What all client connections share.
 
 use crate::config::retry_semantics::RetrySemantics;
-use crate::decision::controller_thread::ControllerHandle;
+use crate::decision::ControllerHandle;
 use crate::lifecycle::shutdown::ShutdownState;
 use crate::limits::{ResourceBudget, ResourceQuotas};
 use crate::session::client_job_ids::ClientJobIds;
--- a/crates/server/src/client/event_loop/close.rs
+++ b/crates/server/src/client/event_loop/close.rs
@@ -64,7 +64,7 @@
     fn cancel_open_requests(&self, session: &ClientSession) {
         for job in session.cancel_all() {
             counters::JOBS_ABANDONED.increment();
-            self.context.controller.gone(job);
+            self.context.controller.client_disconnected(job);
         }
     }
 }
--- a/crates/server/src/server/mod.rs
+++ b/crates/server/src/server/mod.rs
@@ -36,7 +36,7 @@
     let signals = receive_signals(signals)?;
     tracing::info!(name = %config.name, address = %service.address, "listening for clients");
     handle_signals(&service, &signals, config)?;
-    let open_jobs = service.controller.open.load(SeqCst);
+    let open_jobs = service.controller.open_jobs.load(SeqCst);
     tracing::info!(open_jobs, "graceful shutdown finished");
     Ok(())
 }
@@ -60,7 +60,7 @@
 /// Handles signals until all client connections have ended. A shutdown takes seconds, in which a SIGHUP may still move
 /// the event bus.
 fn handle_signals(service: &Service, signals: &Receiver<i32>, config: Config) -> Result<(), ServerError> {
-    let longest_client_timeout = config.longest_wait();
+    let longest_client_timeout = config.longest_client_timeout();
     let mut reloader = ConfigReloader::new(config, service.event_bus.clone());
     loop {
         let wait = reloader.retry_after().unwrap_or(MAX_SIGNAL_WAIT);
--- a/crates/server/src/server/reload.rs
+++ b/crates/server/src/server/reload.rs
@@ -70,9 +70,9 @@
 
     fn apply(&mut self, new: &Config) {
         self.log_unapplied(new);
-        tracing::info!(event_bus = %new.bus, "configuration reloaded");
-        self.event_bus.move_to(new.bus);
-        self.config.bus = new.bus;
+        tracing::info!(event_bus = %new.event_bus, "configuration reloaded");
+        self.event_bus.move_to(new.event_bus);
+        self.config.event_bus = new.event_bus;
     }
 
     /// Logs each change that takes effect at the next start only.
--- a/crates/server/src/server/startup.rs
+++ b/crates/server/src/server/startup.rs
@@ -8,7 +8,7 @@
 use crate::client::event_loop::ClientEventLoop;
 use crate::codec::event_bus::Event;
 use crate::config::Config;
-use crate::decision::controller_thread::ControllerHandle;
+use crate::decision::ControllerHandle;
 use crate::discovery::event_bus::EventBusFollower;
 use crate::engine::registry::EngineRegistry;
 use crate::lifecycle::clock;
@@ -38,14 +38,14 @@
     pub fn start(config: &mut Config) -> Result<Service, ServerError> {
         let quotas = ResourceQuotas::from_limits(config.limits);
         let engines = start_engines(config, &quotas)?;
-        let initial_events = std::mem::take(&mut config.known);
+        let initial_events = std::mem::take(&mut config.initial_events);
         let controller = start_controller(config, initial_events, engines)?;
         let shutdown = Arc::new(ShutdownState::default());
         let context = ClientContext::new(
             controller.clone(),
             shutdown.clone(),
-            config.types(),
-            config.repeat_rules(),
+            config.class_names(),
+            config.retry_semantics(),
             &quotas,
         );
         let listener = listen(config.listen)?;
@@ -58,8 +58,8 @@
     /// Begins a graceful shutdown, unless one has begun.
     pub fn begin_shutdown(&self, longest_client_timeout: TimeDelta) {
         if let Some(schedule) = self.shutdown.begin(longest_client_timeout) {
-            self.controller.stopping(schedule.answered_by);
-            let open_jobs = self.controller.open.load(SeqCst);
+            self.controller.begin_shutdown(schedule.answered_by);
+            let open_jobs = self.controller.open_jobs.load(SeqCst);
             tracing::info!(open_jobs, "graceful shutdown started");
         }
     }
@@ -68,7 +68,7 @@
 /// Starts the thread of all engine connections.
 fn start_engines(config: &Config, quotas: &ResourceQuotas) -> Result<Arc<EngineRegistry>, ServerError> {
     let descriptors = ResourceBudget::new(quotas.engine_connections);
-    let settings = config.terms(quotas.connections_per_engine);
+    let settings = config.connection_settings(quotas.connections_per_engine);
     EngineRegistry::start(settings, descriptors, clock::now, threads::spawn)
         .map_err(ServerError::cannot("start the engines' thread"))
 }
@@ -107,9 +107,9 @@
     quotas: &ResourceQuotas,
     controller: Arc<ControllerHandle>,
 ) -> Result<Arc<EventBusFollower>, ServerError> {
-    let event_bus = Arc::new(EventBusFollower::new(config.bus, quotas.event_line_bytes));
+    let event_bus = Arc::new(EventBusFollower::new(config.event_bus, quotas.event_line_bytes));
     let follower = event_bus.clone();
-    let (last_event, seed) = (config.offset, config.seed);
+    let (last_event, seed) = (config.last_event, config.seed);
     let follow = move || follower.follow(&*controller, last_event, seed);
     threads::spawn_required("event bus", STACK_BYTES, follow)
         .map_err(ServerError::cannot("start a thread"))?;
