--- a/crates/server/src/client/event_loop/close.rs
+++ b/crates/server/src/client/event_loop/close.rs
@@ -24,7 +24,9 @@
     /// Begins a graceful close, whatever the reason. Open requests are cancelled, and the answers that were given are
     /// written before the connection ends.
     pub(super) fn close(&mut self, id: ConnectionId, reason: &CloseReason) {
-        let Some(connection) = self.connections.get_mut(&id).filter(|it| it.closing.is_none()) else {
+        let Some(connection) =
+            self.connections.get_mut(&id).filter(|connection| connection.closing.is_none())
+        else {
             return;
         };
         tracing::debug!(connection = id.0, reason = %reason, "closing client connection");
@@ -42,7 +44,9 @@
         reason: &CloseReason,
     ) {
         self.read(id);
-        let Some(connection) = self.connections.get(&id).filter(|it| is_unneeded(it)) else { return };
+        let Some(connection) = self.connections.get(&id).filter(|connection| is_unneeded(connection)) else {
+            return;
+        };
         if !connection.session.is_idle() {
             invariants::violated(Invariant::ClosedOnlyWhenIdle, &reason.to_string());
         }
--- a/crates/server/src/client/event_loop/mod.rs
+++ b/crates/server/src/client/event_loop/mod.rs
@@ -71,7 +71,7 @@
 
 /// What a wait for events has found.
 #[derive(Default)]
-struct Wakeup {
+struct PollOutcome {
     /// Connections that their clients have closed, whatever is still to be read before their end.
     closed: Vec<ConnectionId>,
     ready: Vec<ConnectionId>,
@@ -110,8 +110,8 @@
         let mut events = Events::with_capacity(EVENTS_CAPACITY);
         loop {
             let shutdown = self.context.shutdown.schedule();
-            let wakeup = self.wait(&mut events, shutdown.is_some());
-            self.process(wakeup);
+            let outcome = self.wait(&mut events, shutdown.is_some());
+            self.process(outcome);
             self.run_periodic_tasks();
             if shutdown.is_some_and(|schedule| self.advance_shutdown(&schedule, clock::now())) {
                 return;
@@ -120,7 +120,7 @@
     }
 
     /// Waits for events and notes when they can have arrived.
-    fn wait(&mut self, events: &mut Events, is_shutting_down: bool) -> Wakeup {
+    fn wait(&mut self, events: &mut Events, is_shutting_down: bool) -> PollOutcome {
         let timeout = self.poll_timeout(is_shutting_down);
         let started_at = clock::now();
         // An interrupted wait has no events.
@@ -142,17 +142,17 @@
         pauses.min().map_or(timeout, |pause| pause.min(timeout))
     }
 
-    fn collect_ready(&mut self, events: &Events) -> Wakeup {
-        let mut wakeup = Wakeup { has_new_connections: self.accept_pending, ..Wakeup::default() };
+    fn collect_ready(&mut self, events: &Events) -> PollOutcome {
+        let mut outcome = PollOutcome { has_new_connections: self.accept_pending, ..PollOutcome::default() };
         for event in events {
             match event.token() {
-                LISTENER_TOKEN => wakeup.has_new_connections = true,
-                Token(id) if event.is_read_closed() => wakeup.closed.push(ConnectionId(id)),
-                Token(id) => wakeup.ready.push(ConnectionId(id)),
+                LISTENER_TOKEN => outcome.has_new_connections = true,
+                Token(id) if event.is_read_closed() => outcome.closed.push(ConnectionId(id)),
+                Token(id) => outcome.ready.push(ConnectionId(id)),
             }
         }
-        self.resume_paused(&mut wakeup.ready);
-        wakeup
+        self.resume_paused(&mut outcome.ready);
+        outcome
     }
 
     /// Moves the connections whose pause is over to those that are ready.
@@ -170,14 +170,14 @@
         });
     }
 
-    fn process(&mut self, wakeup: Wakeup) {
-        for id in wakeup.closed {
+    fn process(&mut self, outcome: PollOutcome) {
+        for id in outcome.closed {
             self.closed_by_client(id);
         }
-        for id in wakeup.ready {
+        for id in outcome.ready {
             self.read(id);
         }
-        if wakeup.has_new_connections {
+        if outcome.has_new_connections {
             self.accept();
         }
     }
@@ -196,9 +196,10 @@
     /// Reads and processes what a connection has received, unless its reading is paused.
     fn read(&mut self, id: ConnectionId) {
         let pass = self.pass;
-        let Some(connection) = self.connections.get_mut(&id).filter(|it| it.paused_until.is_none()) else {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if connection.paused_until.is_some() {
             return;
-        };
+        }
         connection.session.flush();
         // What the first wait after it was accepted finds at once may have arrived before it was accepted.
         let accepted_before_wait = connection.accepted_in.number + 1 == pass.number;
--- a/crates/server/src/limits/budget.rs
+++ b/crates/server/src/limits/budget.rs
@@ -22,6 +22,7 @@
     }
 
     /// Takes `amount` from the budget, or returns `None` if less is left. It never waits.
+    #[must_use = "dropping the permit returns its part at once"]
     pub fn acquire(self: &Arc<Self>, amount: usize) -> Option<Permit> {
         let mut permit = Permit { budget: self.clone(), amount: 0 };
         permit.grow_to(amount).then_some(permit)
