--- a/crates/server/src/client/closing.rs
+++ b/crates/server/src/client/closing.rs
@@ -9,7 +9,7 @@
 /// How long the client may take to end its side of the connection.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// The same where new connections wait for a descriptor: as long as a request may cross the end on its way.
-const LINGER_TIMEOUT_AT_LIMIT: Duration = Duration::from_millis(50);
+const LINGER_TIMEOUT_AT_CAPACITY: Duration = Duration::from_millis(50);
 /// How much the client may send meanwhile.
 const LINGER_BYTES: usize = 256 * 1024;
 
@@ -47,8 +47,8 @@
     }
 
     /// The same where new connections wait for a descriptor.
-    pub fn is_overdue_at_limit(&self) -> bool {
-        self.ended_longer_than(LINGER_TIMEOUT_AT_LIMIT)
+    pub fn is_overdue_at_capacity(&self) -> bool {
+        self.ended_longer_than(LINGER_TIMEOUT_AT_CAPACITY)
     }
 
     fn ended_longer_than(&self, timeout: Duration) -> bool {
--- a/crates/server/src/client/event_loop/evict.rs
+++ b/crates/server/src/client/event_loop/evict.rs
@@ -60,7 +60,7 @@
     /// Aborts the connections whose clients have had time to read the end.
     fn abort_lingering(&mut self) {
         let is_overdue = |connection: &ClientConnection| {
-            connection.closing.as_ref().is_some_and(ClosingConnection::is_overdue_at_limit)
+            connection.closing.as_ref().is_some_and(ClosingConnection::is_overdue_at_capacity)
         };
         let overdue = self.connections.iter().filter(|(_, connection)| is_overdue(connection));
         for id in overdue.map(|(id, _)| *id).collect::<Vec<ConnectionId>>() {
