--- a/crates/server/src/decision/open_job.rs
+++ b/crates/server/src/decision/open_job.rs
@@ -1,6 +1,6 @@
 //! What the controller's thread keeps of a job until its release.
 
-use crate::codec::client::Reply;
+use crate::codec::client::{FailureReason, Reply};
 use crate::decision::handle::{ControllerHandle, RETRY_AFTER};
 use crate::engine::dispatch_ledger::DispatchLedger;
 use crate::job::{AdmittedJob, JobCommand, JobTask, WorkerPool};
@@ -108,7 +108,7 @@
             }
             FinalAnswer::Cancelled => {
                 counters::JOBS_CANCELLED.increment();
-                self.responder.respond(&Reply::Failed { reason: "cancelled" });
+                self.responder.respond(&Reply::Failed { reason: FailureReason::Cancelled });
             }
         }
     }
