--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -1,12 +1,12 @@
-//! What has left for one job, as the connections to engines saw it: the last look before a dispatch's first byte, apart
-//! from the module's own books.
+//! A job's record of its dispatches, as the connections to engines saw them. It is checked before each first byte and is
+//! independent of the admission controller's state.
 
 use crate::config::retry_semantics::RetrySemantics;
 use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// An engine may be told so much more time than the client has left.
+/// How far a dispatch's deadline may lie behind the end of its client's wait (150 ms).
 const DEADLINE_SLACK: TimeDelta = TimeDelta(150_000);
 
 /// Whether an engine may have run a dispatch that was sent to it.
@@ -18,9 +18,10 @@
     MayHaveRun,
 }
 
+/// The record of one job.
 pub struct DispatchLedger {
     id: Box<str>,
-    rules: RetrySemantics,
+    semantics: RetrySemantics,
     /// When the client stops waiting.
     deadline: Timestamp,
     entries: Mutex<Entries>,
@@ -28,15 +29,16 @@
 
 #[derive(Default)]
 struct Entries {
-    /// Dispatches that have left and have not ended.
-    out: u32,
-    /// When the first dispatch left that may have run.
-    may_have_run: Option<Timestamp>,
+    /// Dispatches that were sent and have not ended.
+    in_flight: u32,
+    /// When the first dispatch was sent that may have run.
+    first_run: Option<Timestamp>,
 }
 
 impl DispatchLedger {
-    pub fn new(id: &str, rules: RetrySemantics, deadline: Timestamp) -> DispatchLedger {
-        DispatchLedger { id: id.into(), rules, deadline, entries: Mutex::default() }
+    /// The record of a job that has not been sent; its client stops waiting at `deadline`.
+    pub fn new(id: &str, semantics: RetrySemantics, deadline: Timestamp) -> DispatchLedger {
+        DispatchLedger { id: id.into(), semantics, deadline, entries: Mutex::default() }
     }
 
     fn entries(&self) -> MutexGuard<'_, Entries> {
@@ -44,46 +46,49 @@
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A dispatch is about to leave that tells its engine this deadline. Says whether it may, and enters it if so.
+    /// Records a dispatch that is about to be sent with this deadline. Returns whether it may be: one that would violate
+    /// an invariant is counted as a violation instead.
+    #[must_use]
     pub fn try_record_send(&self, now: Timestamp, deadline: Timestamp) -> bool {
         let mut entries = self.entries();
-        let first = entries.may_have_run;
-        let broken = match self.rules {
-            _ if entries.out > 0 => Some(Invariant::OneDispatchOut),
+        let first_run = entries.first_run;
+        let violation = match self.semantics {
+            _ if entries.in_flight > 0 => Some(Invariant::OneDispatchOut),
             _ if deadline > self.deadline + DEADLINE_SLACK => Some(Invariant::DeadlineWithinWait),
-            RetrySemantics::RunOnce if first.is_some() => Some(Invariant::RunOnce),
-            RetrySemantics::Keyed { window, .. } if first.is_some_and(|first| now >= first + window) => {
+            RetrySemantics::RunOnce if first_run.is_some() => Some(Invariant::RunOnce),
+            RetrySemantics::Keyed { window, .. } if first_run.is_some_and(|first| now >= first + window) => {
                 Some(Invariant::KeyedInWindow)
             }
             _ => None,
         };
-        match broken {
+        match violation {
             Some(invariant) => invariants::violated(invariant, &self.id),
-            None => entries.out += 1,
+            None => entries.in_flight += 1,
         }
-        broken.is_none()
+        violation.is_none()
     }
 
-    /// Not a byte of it has left after all.
+    /// Takes a recorded dispatch back of which no byte was sent.
     pub fn record_unsent(&self) {
         let mut entries = self.entries();
-        entries.out = entries.out.saturating_sub(1);
+        entries.in_flight = entries.in_flight.saturating_sub(1);
     }
 
-    /// A dispatch that had left has ended.
+    /// Records the end of a dispatch that was sent at this time.
     pub fn record_end(&self, sent: Timestamp, execution: Execution) {
         let mut entries = self.entries();
-        entries.out = entries.out.saturating_sub(1);
+        entries.in_flight = entries.in_flight.saturating_sub(1);
         if execution == Execution::MayHaveRun {
-            entries.may_have_run.get_or_insert(sent);
+            entries.first_run.get_or_insert(sent);
         }
     }
 
-    /// The job is about to be answered as throttled, which says that trying again is harmless.
+    /// Checks that the job may be answered as rejected, which tells the client that a retry is harmless. A violation is
+    /// counted; the answer is not held up.
     pub fn check_rejection(&self) {
         let entries = self.entries();
-        let may_have_run = entries.out > 0 || entries.may_have_run.is_some();
-        let harmless = match self.rules {
+        let may_have_run = entries.in_flight > 0 || entries.first_run.is_some();
+        let harmless = match self.semantics {
             RetrySemantics::Restartable => true,
             RetrySemantics::Keyed { anywhere, .. } => anywhere,
             RetrySemantics::RunOnce => false,
--- a/crates/server/src/engine/handle.rs
+++ b/crates/server/src/engine/handle.rs
@@ -1,219 +1,141 @@
-//! Handles on engines: sending to one, giving up, and what a job hears of its dispatch. An engine's owner does the
-//! rest (`owner.rs`).
+//! Handles on engines and dispatches: sending to an engine, cancelling, and what a job hears of its dispatch. The
+//! engine's pool does the rest, in the `engines` thread.
 
-use crate::codec::engine::EngineMessage;
-use crate::engine::dispatch_ledger::DispatchLedger;
-use crate::engine::pool::EnginePool;
+pub use crate::engine::request::{DispatchEvent, EngineRequest, HealthCheckCallback, HealthCheckResult};
+
+use crate::engine::command::PoolCommand;
+use crate::engine::endpoint_updates::AddedEndpoint;
+use crate::engine::ids::{PoolId, RequestId};
 use crate::engine::registry::EngineRegistry;
-use crate::engine::socket_poller::ConnectionEvent;
-use crate::limits::Permit;
-use crate::session::client_session::ClientLiveness;
-use crossbeam_channel::{Receiver, Sender, bounded};
-use pebblevane::interface::*;
-use pebblevane::time::*;
-use std::net::{SocketAddr, TcpStream};
+use crate::engine::send_gate::SendGate;
+use crossbeam_channel::{Receiver, bounded};
+use pebblevane::time::Timestamp;
+use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, AtomicU8, AtomicU64, Ordering::SeqCst};
-
-// A channel takes memory for all that it may hold once it has gone round, so that bounds are no larger than bursts.
-const WORDS: usize = 32; // words of an engine that wait for one job
-
-/// Whether a dispatch has left this program: the last check before its first byte goes out.
-#[derive(Default)]
-pub struct SendGate {
-    pub state: AtomicU8,
-    /// A byte of it may have left.
-    pub left: AtomicBool,
-}
-
-pub const QUEUED: u8 = 0;
-pub const SENT: u8 = 1;
-pub const DROPPED: u8 = 2;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 
-impl SendGate {
-    /// Says whether it was the one to change it.
-    pub fn pass(&self, to: u8) -> bool {
-        self.state.compare_exchange(QUEUED, to, SeqCst, SeqCst).is_ok()
-    }
-}
-
-/// What a job hears of its dispatch.
-#[derive(Debug)]
-pub enum DispatchEvent {
-    Message(EngineMessage),
-    /// The dispatch ended with its connection, or was never sent.
-    Lost {
-        /// `ConnectionLost` or `Unreachable`.
-        status: DispatchStatus,
-        /// The engine is not at fault: it has accepted a new connection since, or the dispatch was withheld here.
-        engine_reachable: bool,
-    },
-}
+/// Events that may wait for one job. A channel takes memory for all that it may hold once it has gone round, so that
+/// it is no larger than bursts.
+const EVENTS_CAPACITY: usize = 32;
 
-/// A dispatch as the engine is to read it.
-pub struct EngineRequest {
-    pub id: Box<str>,
-    pub class: Arc<str>,
-    /// When the dispatch times out.
-    pub deadline: Timestamp,
-    /// Its first byte leaves before this or never.
-    pub begin_by: Timestamp,
-    pub liveness: Arc<dyn ClientLiveness>,
-    pub ledger: Arc<DispatchLedger>,
-    pub priority: Option<u8>,
-    pub statement: Arc<[u8]>,
-}
-
-/// How a health check ended.
-#[derive(Clone, Copy, Debug)]
-pub struct HealthCheckResult {
-    /// `Completed` if the engine is healthy.
-    pub status: DispatchStatus,
-    /// The engine's load, if it reported one.
-    pub load_report: Option<LoadReport>,
-    /// Time from the first byte written to the last one read; zero without an answer.
-    pub elapsed: TimeDelta,
-}
-
-impl HealthCheckResult {
-    /// The result of a check that got no answer.
-    pub fn unanswered(status: DispatchStatus) -> HealthCheckResult {
-        HealthCheckResult { status, load_report: None, elapsed: TimeDelta::default() }
-    }
-}
-
-/// Is called once with the result of a health check.
-pub type HealthCheckCallback = Box<dyn FnOnce(HealthCheckResult) + Send>;
-
-/// What an engine's owner is to do.
-pub enum PoolCommand {
-    Send {
-        number: u64,
-        request: EngineRequest,
-        gate: Arc<SendGate>,
-        events: Sender<DispatchEvent>,
-    },
-    Probe {
-        number: u64,
-        told: HealthCheckCallback,
-    },
-    Fetch {
-        number: u64,
-        page: u32,
-    },
-    /// `done` is dropped when nothing of it is out any more.
-    GiveUp {
-        number: u64,
-        done: Option<Sender<()>>,
-    },
-    Dialed(Result<(TcpStream, Permit), String>),
-    Connection {
-        connection: u64,
-        told: ConnectionEvent,
-    },
-    /// The list has told something, of whichever engine.
-    Wakeup,
-}
-
-/// What the list has told of an engine since its owner last looked.
-#[derive(Default)]
-pub struct EndpointUpdate {
-    pub new: Option<Box<EnginePool>>,
-    /// The engine has started anew: connections from before are dead.
-    pub restarted: Option<Timestamp>,
-    /// Dispatches may not leave any more.
-    pub closed: bool,
-    pub gone: bool,
-}
-
-/// The handle on an engine's owner.
+/// The handle on one engine.
 pub struct EngineHandle {
-    owners: Arc<EngineRegistry>,
-    key: u64,
-    open: Arc<AtomicBool>,
-    numbers: AtomicU64,
+    registry: Arc<EngineRegistry>,
+    pool: PoolId,
+    /// Shared with the pool, which looks at it before each first byte.
+    accepts_dispatches: Arc<AtomicBool>,
+    next_request: AtomicU64,
 }
 
-/// A job's handle on its dispatch. Dropping it gives the dispatch up, or ends what the engine holds of it.
+/// A job's handle on its dispatch. Dropping it cancels the dispatch, or ends what the engine holds of its result.
+#[must_use = "dropping the handle cancels the dispatch"]
 pub struct DispatchHandle {
-    number: u64,
+    id: RequestId,
     engine: Arc<EngineHandle>,
     gate: Arc<SendGate>,
+    /// What the job hears of the dispatch.
     pub events: Receiver<DispatchEvent>,
 }
 
 impl EngineHandle {
-    pub fn new(owners: &Arc<EngineRegistry>, name: &str, address: SocketAddr) -> Arc<EngineHandle> {
-        let (key, open) = (owners.next_key(), Arc::new(AtomicBool::new(true)));
-        let owner = Box::new(EnginePool::new(key, name, address, open.clone()));
-        owners.tell(key, |news| news.new = Some(owner));
-        Arc::new(EngineHandle { owners: owners.clone(), key, open, numbers: AtomicU64::new(0) })
+    /// Adds an engine at this address, which accepts dispatches from now on. `name` is for the log.
+    pub fn new(registry: &Arc<EngineRegistry>, name: &str, address: SocketAddr) -> Arc<EngineHandle> {
+        let pool = registry.next_pool_id();
+        let accepts_dispatches = Arc::new(AtomicBool::new(true));
+        let endpoint =
+            AddedEndpoint { name: name.to_string(), address, accepts_dispatches: accepts_dispatches.clone() };
+        registry.update_endpoint(pool, |update| update.added = Some(endpoint));
+        Arc::new(EngineHandle {
+            registry: registry.clone(),
+            pool,
+            accepts_dispatches,
+            next_request: AtomicU64::new(0),
+        })
     }
 
-    /// Whether dispatches may leave; one that still waits then never does, and its job is told at once.
+    /// Sets whether dispatches may be sent. Where they may not, those that wait for a connection are lost at once.
     pub fn set_accepts_dispatches(&self, accepts: bool) {
-        if self.open.swap(accepts, SeqCst) && !accepts {
-            self.owners.tell(self.key, |news| news.closed = true);
+        if self.accepts_dispatches.swap(accepts, SeqCst) && !accepts {
+            self.registry.update_endpoint(self.pool, |update| update.draining = true);
         }
     }
 
+    /// Hands a dispatch over, which is sent as soon as there is a connection; waits while too many commands do.
     pub fn send(self: &Arc<Self>, request: EngineRequest) -> DispatchHandle {
-        let (event_sender, events) = bounded(WORDS);
-        let (number, gate) = (self.numbers.fetch_add(1, SeqCst), Arc::new(SendGate::default()));
-        let order = PoolCommand::Send { number, request, gate: gate.clone(), events: event_sender };
-        self.owners.order(self.key, order);
-        DispatchHandle { number, engine: self.clone(), gate, events }
+        let (event_sender, events) = bounded(EVENTS_CAPACITY);
+        let (id, gate) = (self.next_request_id(), Arc::new(SendGate::default()));
+        let command = PoolCommand::Send { id, request, gate: gate.clone(), events: event_sender };
+        self.registry.send_command(self.pool, command);
+        DispatchHandle { id, engine: self.clone(), gate, events }
     }
 
-    /// Sends a probe; `told` is handed its result. Says whether the engine's owner could take it.
-    pub fn check_health(&self, told: HealthCheckCallback) -> bool {
-        let number = self.numbers.fetch_add(1, SeqCst);
-        self.owners.try_order(self.key, PoolCommand::Probe { number, told })
+    /// Sends a health check and calls back with its result. Returns false, and never calls back, where too many
+    /// commands wait.
+    #[must_use]
+    pub fn check_health(&self, callback: HealthCheckCallback) -> bool {
+        let id = self.next_request_id();
+        self.registry.try_send_command(self.pool, PoolCommand::CheckHealth { id, callback })
     }
 
+    /// Closes the connections that were made before this time, at which the engine has started anew.
     pub fn engine_restarted(&self, at: Timestamp) {
-        self.owners.tell(self.key, |news| news.restarted = Some(at));
+        self.registry.update_endpoint(self.pool, |update| update.restarted_at = Some(at));
     }
 
+    /// Sends nothing more; what is in flight still ends by itself.
     pub fn engine_removed(&self) {
-        self.open.store(false, SeqCst);
-        self.owners.tell(self.key, |news| (news.closed, news.gone) = (true, true));
+        self.accepts_dispatches.store(false, SeqCst);
+        self.registry.update_endpoint(self.pool, |update| {
+            update.draining = true;
+            update.removed = true;
+        });
+    }
+
+    fn next_request_id(&self) -> RequestId {
+        RequestId(self.next_request.fetch_add(1, SeqCst))
     }
 }
 
 impl DispatchHandle {
-    pub fn fetch_page(&self, page: u32) {
-        self.engine.owners.order(self.engine.key, PoolCommand::Fetch { number: self.number, page });
+    /// Asks for a further page of the result, which comes as an event.
+    pub fn fetch_page(&self, page_number: u32) {
+        self.send_command(PoolCommand::FetchPage { id: self.id, page_number });
     }
-    /// Keeps it from leaving if it has not yet; says whether that came in time.
+
+    /// Forbids sending from now on, whatever the dispatch's state. Returns whether it had not been claimed for sending
+    /// before.
     pub fn forbid_sending(&self) -> bool {
-        // Whatever happens, it does not leave from now on.
-        self.gate.state.swap(DROPPED, SeqCst) != SENT
-    }
-    /// Whether a byte of it may have left.
-    pub fn may_have_been_sent(&self) -> bool {
-        self.gate.left.load(SeqCst)
+        self.gate.withhold()
     }
-    /// Keeps it from leaving if it has not yet, and changes nothing if it has; says which.
+
+    /// Withholds a dispatch that waits for a connection, and changes nothing otherwise. Returns whether it did wait.
+    #[must_use]
     pub fn withhold_if_queued(&self) -> bool {
-        self.gate.pass(DROPPED)
+        self.gate.withhold_if_queued()
     }
-}
 
-impl DispatchHandle {
-    /// Gives it up. What is returned ends once that is written: the job's next dispatch must not overtake it.
+    /// Whether a byte of the dispatch may have been sent.
+    pub fn may_have_been_sent(&self) -> bool {
+        self.gate.may_have_been_sent()
+    }
+
+    /// Cancels the dispatch. The receiver is disconnected once that is written: the job's next dispatch must not
+    /// overtake it.
+    #[must_use = "the job's next dispatch has to wait for it"]
     pub fn cancel(&self) -> Receiver<()> {
-        let (done, given_up) = bounded(0);
-        self.engine
-            .owners
-            .order(self.engine.key, PoolCommand::GiveUp { number: self.number, done: Some(done) });
-        given_up
+        let (done, cancelled) = bounded(0);
+        self.send_command(PoolCommand::Cancel { id: self.id, done: Some(done) });
+        cancelled
+    }
+
+    fn send_command(&self, command: PoolCommand) {
+        self.engine.registry.send_command(self.engine.pool, command);
     }
 }
 
 impl Drop for DispatchHandle {
     fn drop(&mut self) {
-        let _ = self.forbid_sending();
-        self.engine.owners.order(self.engine.key, PoolCommand::GiveUp { number: self.number, done: None });
+        self.forbid_sending();
+        self.send_command(PoolCommand::Cancel { id: self.id, done: None });
     }
 }
--- /dev/null
+++ b/crates/server/src/engine/ids.rs
@@ -0,0 +1,13 @@
+//! Numbers that tell engines, requests and connections apart inside this program.
+
+/// An engine's pool. A pool's number is never used again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct PoolId(pub(crate) u64);
+
+/// A dispatch or health check at one engine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct RequestId(pub(crate) u64);
+
+/// A connection of one pool.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct ConnectionId(pub(crate) u64);
--- a/crates/server/src/engine/mod.rs
+++ b/crates/server/src/engine/mod.rs
@@ -1,8 +1,20 @@
 //! Engines: the pool of connections to each, and the threads that serve them.
+//!
+//! [`handle`] is what the rest of the program uses. A handle sends commands to the `engines` thread, which owns all
+//! pools (`registry_loop`, `pool`) and writes to their connections. A second thread reads all connections
+//! (`socket_poller`); each connection that is being made has a short-lived thread (`dialer`).
 
-pub mod connection;
+mod command;
+mod connection;
+mod connection_error;
+mod dialer;
 pub mod dispatch_ledger;
+mod endpoint_updates;
 pub mod handle;
-pub mod pool;
+mod ids;
+mod pool;
 pub mod registry;
-pub mod socket_poller;
+mod registry_loop;
+pub mod request;
+mod send_gate;
+mod socket_poller;
--- /dev/null
+++ b/crates/server/src/engine/pool/connecting.rs
@@ -0,0 +1,84 @@
+//! Making connections to the engine.
+
+use super::{EnginePool, PoolContext};
+use crate::engine::command::{PoolCommand, RegistryMessage};
+use crate::engine::connection::{DialedConnection, EngineConnection};
+use crate::engine::connection_error::ConnectError;
+use crate::engine::dialer::DialTarget;
+use crate::engine::ids::ConnectionId;
+use crate::engine::socket_poller::ReadHalf;
+use std::io;
+use std::net::TcpStream;
+use std::sync::Arc;
+
+impl EnginePool {
+    /// Starts to make a connection for each waiting request, as far as limits allow it.
+    pub(super) fn dial_for_waiting(&mut self, context: &PoolContext) {
+        let allowed = context.settings.connections.saturating_sub(self.connections.len());
+        while self.dials_in_progress < self.waiting.len().min(allowed) && self.start_dial(context) {}
+        if self.dials_in_progress == 0 {
+            self.share_connections(context);
+        }
+    }
+
+    /// Starts to make one more connection. Returns whether it could.
+    pub(super) fn start_dial(&mut self, context: &PoolContext) -> bool {
+        let Some(permit) = context.descriptors.lease(1) else { return false };
+        let target = DialTarget { pool: self.id, name: &self.name, address: self.address };
+        match context.dialer.dial(&target, permit) {
+            Ok(()) => {
+                self.dials_in_progress += 1;
+                true
+            }
+            Err(e) => {
+                self.fault_log.report(&self.name, "no thread to connect with", 0, &e);
+                false
+            }
+        }
+    }
+
+    /// A connection was made, or could not be.
+    pub(super) fn dialed(&mut self, dialed: Result<DialedConnection, ConnectError>, context: &PoolContext) {
+        self.dials_in_progress -= 1;
+        self.report_lost_dispatches(dialed.is_ok());
+        let connected =
+            dialed.and_then(|dialed| self.add_connection(dialed, context).map_err(ConnectError::Setup));
+        match connected {
+            Ok(()) => self.assign_waiting(context),
+            Err(e) => self.dial_failed(&e, context),
+        }
+    }
+
+    fn dial_failed(&mut self, error: &ConnectError, context: &PoolContext) {
+        self.fault_log.report(&self.name, "connecting failed", 0, error);
+        if self.dials_in_progress == 0 {
+            self.share_connections(context);
+            self.fail_waiting();
+        }
+    }
+
+    fn add_connection(&mut self, dialed: DialedConnection, context: &PoolContext) -> io::Result<()> {
+        dialed.stream.set_nodelay(true)?;
+        dialed.stream.set_nonblocking(true)?;
+        let stream = Arc::new(dialed.stream);
+        let id = ConnectionId(self.last_connection.0 + 1);
+        self.last_connection = id;
+        let read_half = self.read_half(id, stream.clone(), context);
+        let has_partial_message = read_half.has_partial_message();
+        context.poller.add(read_half)?;
+        let opened_at = (context.now)();
+        let connection = EngineConnection::new(stream, has_partial_message, opened_at, dialed.permit);
+        self.connections.insert(id, connection);
+        Ok(())
+    }
+
+    fn read_half(&self, connection: ConnectionId, stream: Arc<TcpStream>, context: &PoolContext) -> ReadHalf {
+        let (pool, messages) = (self.id, context.messages.clone());
+        let on_event = Box::new(move |event| {
+            let command = PoolCommand::ConnectionEvent { connection, event };
+            // The receiver lives as long as the program.
+            let _ = messages.send(RegistryMessage::Command { pool, command });
+        });
+        ReadHalf::new(stream, context.settings.dial, on_event)
+    }
+}
--- /dev/null
+++ b/crates/server/src/engine/pool/in_flight.rs
@@ -0,0 +1,81 @@
+//! One dispatch or health check that is in flight, or waits for a connection.
+
+use crate::engine::ids::ConnectionId;
+use crate::engine::request::{DispatchEvent, EngineRequest, HealthCheckCallback};
+use crate::engine::send_gate::SendGate;
+use crossbeam_channel::Sender;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// A request waits this part of the dial timeout for a connection of its own, then shares one.
+const EXCLUSIVE_WAIT_DIVISOR: u32 = 8;
+/// Connections that may fail a request before a byte of it was sent.
+const MAX_FAILED_CONNECTIONS: u32 = 4;
+
+/// A dispatch or health check of this engine.
+pub(super) struct InFlightRequest {
+    pub(super) kind: RequestKind,
+    /// Its id on the wire.
+    pub(super) wire_id: Box<str>,
+    /// The connection that it was written to; none while it waits for one.
+    pub(super) connection: Option<ConnectionId>,
+    /// The first page of the result has come; only further pages are due.
+    pub(super) has_first_page: bool,
+    /// It has waited long enough to share a connection.
+    pub(super) may_share: bool,
+    /// Connections that ended before a byte of it was sent.
+    failed_connections: u32,
+    /// When it was last written to a connection, or began to wait.
+    pub(super) sent_at: Instant,
+    /// When it times out here, if it does: see [`InFlightRequest::deadline`].
+    pub(super) due: Instant,
+}
+
+/// What a request is, and who gets its result.
+pub(super) enum RequestKind {
+    Dispatch {
+        request: EngineRequest,
+        gate: Arc<SendGate>,
+        events: Sender<DispatchEvent>,
+    },
+    /// The callback is taken when it is called.
+    HealthCheck(Option<HealthCheckCallback>),
+}
+
+impl InFlightRequest {
+    /// A request that waits for its first connection.
+    pub(super) fn waiting(wire_id: Box<str>, kind: RequestKind, dial_timeout: Duration) -> InFlightRequest {
+        let now = Instant::now();
+        InFlightRequest {
+            kind,
+            wire_id,
+            connection: None,
+            has_first_page: false,
+            may_share: false,
+            failed_connections: 0,
+            sent_at: now,
+            due: now + dial_timeout / EXCLUSIVE_WAIT_DIVISOR,
+        }
+    }
+
+    /// When it times out here. Waiting for a connection has an end, and so has a health check; the timeout of a
+    /// dispatch that was sent is its job's.
+    pub(super) fn deadline(&self) -> Option<Instant> {
+        let is_health_check = matches!(self.kind, RequestKind::HealthCheck(_));
+        (self.connection.is_none() || is_health_check).then_some(self.due)
+    }
+
+    /// Records that it is written to this connection next.
+    pub(super) fn begin_on(&mut self, connection: ConnectionId, dial_timeout: Duration) {
+        self.sent_at = Instant::now();
+        self.connection = Some(connection);
+        self.due = self.sent_at + dial_timeout;
+    }
+
+    /// Records that its connection ended before a byte of it was sent. Returns whether it may try another one.
+    pub(super) fn record_failed_connection(&mut self) -> bool {
+        self.connection = None;
+        self.failed_connections += 1;
+        self.failed_connections < MAX_FAILED_CONNECTIONS
+    }
+}
--- /dev/null
+++ b/crates/server/src/engine/pool/mod.rs
@@ -0,0 +1,202 @@
+//! The pool of connections to one engine: what is in flight on each, what waits for one, and how many are being made.
+//!
+//! A pool never waits. A dispatch has a connection to itself as long as the descriptors allow it, since whatever spoils
+//! a connection ends everything that is in flight on it. This module routes commands; each concern has its own:
+//!
+//! - `connection_choice`: which connection a waiting request gets;
+//! - `connecting`: making more connections;
+//! - `sending`: the last check before the first byte, and writing;
+//! - `results`: messages, cancelled requests and lost connections;
+//! - `timeouts`: requests that wait too long, idle and silent connections.
+
+mod connecting;
+mod connection_choice;
+mod fault_log;
+mod in_flight;
+mod results;
+mod reuse_limit;
+mod sending;
+mod timeouts;
+
+use crate::config::connection_settings::ConnectionSettings;
+use crate::engine::command::{PoolCommand, RegistryMessage};
+use crate::engine::connection::EngineConnection;
+use crate::engine::connection_error::ConnectionLostReason;
+use crate::engine::dialer::Dialer;
+use crate::engine::endpoint_updates::{AddedEndpoint, EndpointUpdate};
+use crate::engine::ids::{ConnectionId, PoolId, RequestId};
+use crate::engine::request::DispatchEvent;
+use crate::engine::socket_poller::{ConnectionEvent, SocketPoller};
+use crate::limits::ResourceBudget;
+use crossbeam_channel::Sender;
+use fault_log::FaultLog;
+use in_flight::{InFlightRequest, RequestKind};
+use pebblevane::time::Timestamp;
+use reuse_limit::ReuseLimit;
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
+use std::time::Instant;
+
+/// What all pools share.
+pub(crate) struct PoolContext {
+    /// What the settings say of connections.
+    pub(crate) settings: ConnectionSettings,
+    /// The connections that all pools together may have.
+    pub(crate) descriptors: Arc<ResourceBudget>,
+    /// Reads all connections.
+    pub(crate) poller: Arc<SocketPoller>,
+    /// Reads the program's clock.
+    pub(crate) now: fn() -> Timestamp,
+    /// Makes connections.
+    pub(crate) dialer: Dialer,
+    /// Where the events of connections go.
+    pub(crate) messages: Sender<RegistryMessage>,
+}
+
+/// The pool of connections to one engine.
+pub(crate) struct EnginePool {
+    id: PoolId,
+    name: String,
+    address: SocketAddr,
+    /// Whether dispatches may be sent; shared with the engine's handle.
+    accepts_dispatches: Arc<AtomicBool>,
+    /// What is in flight or waits for a connection.
+    in_flight: HashMap<RequestId, InFlightRequest>,
+    /// What waits for a connection, in turn.
+    waiting: VecDeque<RequestId>,
+    connections: BTreeMap<ConnectionId, EngineConnection>,
+    last_connection: ConnectionId,
+    dials_in_progress: usize,
+    /// Dispatches that ended with their connection. Their jobs are told once it shows whether the engine accepts a new
+    /// connection.
+    lost_dispatches: Vec<Sender<DispatchEvent>>,
+    /// The engine is not on the endpoint list any more.
+    removed: bool,
+    reuse_limit: ReuseLimit,
+    fault_log: FaultLog,
+}
+
+impl EnginePool {
+    /// A pool without connections.
+    pub(crate) fn new(id: PoolId, endpoint: AddedEndpoint) -> EnginePool {
+        EnginePool {
+            id,
+            name: endpoint.name,
+            address: endpoint.address,
+            accepts_dispatches: endpoint.accepts_dispatches,
+            in_flight: HashMap::new(),
+            waiting: VecDeque::new(),
+            connections: BTreeMap::new(),
+            last_connection: ConnectionId(0),
+            dials_in_progress: 0,
+            lost_dispatches: Vec::new(),
+            removed: false,
+            reuse_limit: ReuseLimit::unlimited(),
+            fault_log: FaultLog::default(),
+        }
+    }
+
+    /// Whether there are connections to sweep.
+    pub(crate) fn has_connections(&self) -> bool {
+        !self.connections.is_empty()
+    }
+
+    /// Whether nothing can come of the pool any more.
+    pub(crate) fn is_finished(&self) -> bool {
+        self.removed && self.in_flight.is_empty() && self.lost_dispatches.is_empty()
+    }
+
+    /// Whether something waits here for a descriptor, and none is left.
+    pub(crate) fn lacks_descriptor(&self, context: &PoolContext) -> bool {
+        !self.waiting.is_empty()
+            && self.dials_in_progress == 0
+            && self.connections.len() < context.settings.connections
+            && context.descriptors.lease(1).is_none()
+    }
+
+    /// Since when the connection has been idle that has been so longest.
+    pub(crate) fn longest_idle_since(&self) -> Option<Instant> {
+        self.longest_idle().map(|(since, _)| since)
+    }
+
+    /// Closes the connection that has been idle longest.
+    pub(crate) fn close_longest_idle(&mut self) {
+        let Some((_, id)) = self.longest_idle() else { return };
+        if let Some(connection) = self.connections.remove(&id) {
+            connection.shut_down();
+        }
+    }
+
+    fn longest_idle(&self) -> Option<(Instant, ConnectionId)> {
+        let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
+        idle.map(|(id, connection)| (connection.last_change, *id)).min()
+    }
+
+    /// Closes all connections.
+    pub(crate) fn close(self) {
+        for connection in self.connections.values() {
+            connection.shut_down();
+        }
+    }
+
+    /// Applies what the endpoint list says of the engine.
+    pub(crate) fn apply_update(&mut self, update: &EndpointUpdate, context: &PoolContext) {
+        if let Some(restarted_at) = update.restarted_at {
+            self.close_opened_before(restarted_at, context);
+        }
+        self.removed |= update.removed;
+        if update.draining && !self.accepts_dispatches.load(SeqCst) {
+            self.fail_waiting();
+        }
+        self.assign_waiting(context);
+    }
+
+    fn close_opened_before(&mut self, restarted_at: Timestamp, context: &PoolContext) {
+        let earlier = self.connections.iter().filter(|(_, connection)| connection.opened_at < restarted_at);
+        for id in earlier.map(|(id, _)| *id).collect::<Vec<ConnectionId>>() {
+            self.connection_lost(id, &ConnectionLostReason::EngineRestarted, context);
+        }
+    }
+
+    /// Carries out a command. What it ends may leave a connection to what waits.
+    pub(crate) fn handle_command(&mut self, command: PoolCommand, context: &PoolContext) {
+        match command {
+            PoolCommand::Send { id, request, gate, events } => {
+                let wire_id = request.id.clone();
+                self.enqueue(id, wire_id, RequestKind::Dispatch { request, gate, events }, context);
+            }
+            PoolCommand::CheckHealth { id, callback } => {
+                let wire_id = format!("p{}", id.0).into();
+                self.enqueue(id, wire_id, RequestKind::HealthCheck(Some(callback)), context);
+            }
+            PoolCommand::FetchPage { id, page_number } => self.fetch_page(id, page_number, context),
+            PoolCommand::Cancel { id, done } => {
+                self.cancel(id, context);
+                drop(done);
+            }
+            PoolCommand::Dialed(dialed) => self.dialed(dialed, context),
+            PoolCommand::ConnectionEvent { connection, event } => {
+                self.handle_connection_event(connection, event, context);
+            }
+        }
+        self.assign_waiting(context);
+    }
+
+    fn handle_connection_event(&mut self, id: ConnectionId, event: ConnectionEvent, context: &PoolContext) {
+        match event {
+            ConnectionEvent::Message { wire_id, message, read_at } => {
+                self.message_received(id, &wire_id, message, read_at);
+            }
+            ConnectionEvent::Ended(reason) => self.connection_lost(id, &reason, context),
+        }
+    }
+
+    fn enqueue(&mut self, id: RequestId, wire_id: Box<str>, kind: RequestKind, context: &PoolContext) {
+        let request = InFlightRequest::waiting(wire_id, kind, context.settings.dial);
+        self.in_flight.insert(id, request);
+        self.waiting.push_back(id);
+        self.assign_waiting(context);
+    }
+}
--- /dev/null
+++ b/crates/server/src/engine/pool/results.rs
@@ -0,0 +1,214 @@
+//! How requests end: by a message of the engine, by cancellation, or with their connection.
+
+use super::in_flight::{InFlightRequest, RequestKind};
+use super::{EnginePool, PoolContext};
+use crate::codec::engine::{EngineMessage, encode_end, encode_stop};
+use crate::engine::connection::EngineConnection;
+use crate::engine::connection_error::ConnectionLostReason;
+use crate::engine::ids::{ConnectionId, RequestId};
+use crate::engine::request::{DispatchEvent, HealthCheckResult};
+use crate::telemetry::counters;
+use pebblevane::interface::DispatchStatus;
+use pebblevane::time::TimeDelta;
+use std::time::{Duration, Instant};
+
+/// A connection that ends this soon after it became busy, without having said anything, was stale. Most answers take
+/// longer.
+const STALE_WITHIN: Duration = Duration::from_millis(20);
+
+/// Whether the id of a request that has ended may be used again on its connection.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum IdUse {
+    Reusable,
+    /// A late answer may still come under it.
+    Retired,
+}
+
+impl EnginePool {
+    /// A message has come on a connection.
+    pub(super) fn message_received(
+        &mut self,
+        connection: ConnectionId,
+        wire_id: &str,
+        message: EngineMessage,
+        read_at: Instant,
+    ) {
+        let Some(connection) = self.connections.get_mut(&connection) else { return };
+        connection.last_received = Instant::now();
+        let Some(id) = connection.requests.get(wire_id).copied() else {
+            counters::STRAY_WORDS.add();
+            return;
+        };
+        let Some(request) = self.in_flight.get_mut(&id) else { return };
+        let ended = match request.kind {
+            RequestKind::HealthCheck(_) => request.health_check_message(&message, read_at),
+            RequestKind::Dispatch { .. } => request.dispatch_message(message),
+        };
+        if let Some(id_use) = ended {
+            self.remove_request(id, id_use);
+        }
+    }
+
+    /// Takes a request off its connection, or out of the queue.
+    pub(super) fn remove_request(&mut self, id: RequestId, id_use: IdUse) -> Option<InFlightRequest> {
+        let request = self.in_flight.remove(&id)?;
+        match request.connection.and_then(|connection| self.connections.get_mut(&connection)) {
+            Some(connection) => {
+                connection.end_request(&request.wire_id);
+                if id_use == IdUse::Retired {
+                    connection.retire_id(request.wire_id.clone());
+                }
+            }
+            None => self.waiting.retain(|waiting| *waiting != id),
+        }
+        Some(request)
+    }
+
+    /// Cancels a dispatch that its job no longer wants. On a connection that has been silent for a while nobody may be
+    /// reading, and only its end cancels for certain what is in flight there.
+    pub(super) fn cancel(&mut self, id: RequestId, context: &PoolContext) {
+        let Some(request) = self.in_flight.get(&id) else { return };
+        let Some(connection) = request.connection else {
+            self.remove_request(id, IdUse::Reusable);
+            return;
+        };
+        let is_silent = |connection: &EngineConnection| {
+            connection.requests.len() == 1 && connection.silent_for() > context.settings.dial
+        };
+        if request.has_first_page {
+            self.write_for(id, encode_end, context);
+        } else if self.connections.get(&connection).is_some_and(is_silent) {
+            self.remove_request(id, IdUse::Retired);
+            return self.connection_lost(connection, &ConnectionLostReason::CancelledWhileSilent, context);
+        } else {
+            self.write_for(id, encode_stop, context);
+        }
+        self.remove_request(id, IdUse::Retired);
+    }
+
+    /// Ends everything that waits for a connection.
+    pub(super) fn fail_waiting(&mut self) {
+        for id in std::mem::take(&mut self.waiting) {
+            self.fail_request(id);
+        }
+    }
+
+    /// Ends a request with its connection, or without it ever having had one.
+    pub(super) fn fail_request(&mut self, id: RequestId) {
+        let Some(request) = self.remove_request(id, IdUse::Retired) else { return };
+        let had_connection = request.connection.is_some();
+        match request.kind {
+            RequestKind::Dispatch { events, .. } if had_connection => self.lost_dispatches.push(events),
+            RequestKind::Dispatch { events, gate, .. } => {
+                // That a dispatch was withheld here says nothing against its engine.
+                let engine_reachable = gate.is_withheld();
+                let lost = DispatchEvent::Lost { status: DispatchStatus::Unreachable, engine_reachable };
+                // A job that is over hears nothing.
+                let _ = events.try_send(lost);
+            }
+            RequestKind::HealthCheck(callback) => {
+                let status =
+                    if had_connection { DispatchStatus::ConnectionLost } else { DispatchStatus::Unreachable };
+                if let Some(callback) = callback {
+                    callback(HealthCheckResult::unanswered(status));
+                }
+            }
+        }
+    }
+
+    /// Closes a connection and ends what is in flight on it.
+    pub(super) fn connection_lost(
+        &mut self,
+        id: ConnectionId,
+        reason: &ConnectionLostReason,
+        context: &PoolContext,
+    ) {
+        let Some(connection) = self.connections.remove(&id) else { return };
+        connection.shut_down();
+        counters::LOST_CONNECTIONS.add();
+        if !connection.is_idle() {
+            self.learn_from_stale(&connection);
+            self.fault_log.report(&self.name, "connection lost", connection.requests.len(), reason);
+        }
+        let mut requests: Vec<RequestId> = connection.requests.into_values().collect();
+        requests.sort_unstable();
+        for request in requests {
+            self.fail_request(request);
+        }
+        self.probe_after_loss(context);
+    }
+
+    /// After a stale connection, others that are idle for as long may be stale, too.
+    fn learn_from_stale(&mut self, connection: &EngineConnection) {
+        let is_mute = connection.last_received <= connection.last_change;
+        let ended_at_once = is_mute && connection.last_change.elapsed() < STALE_WITHIN;
+        if let Some(idle_before_use) = connection.idle_before_use.filter(|_| ended_at_once) {
+            self.reuse_limit.lower(idle_before_use);
+        }
+    }
+
+    /// A process that has died accepts no new connection: that tells its end from a connection's.
+    fn probe_after_loss(&mut self, context: &PoolContext) {
+        let needs_probe = !self.lost_dispatches.is_empty() && self.dials_in_progress == 0;
+        if needs_probe && !self.start_dial(context) {
+            self.report_lost_dispatches(false);
+        }
+    }
+
+    /// Tells the jobs whose dispatches ended with their connection whether the engine accepts a new one.
+    pub(super) fn report_lost_dispatches(&mut self, engine_reachable: bool) {
+        for events in std::mem::take(&mut self.lost_dispatches) {
+            let lost = DispatchEvent::Lost { status: DispatchStatus::ConnectionLost, engine_reachable };
+            // A job that is over hears nothing.
+            let _ = events.try_send(lost);
+        }
+    }
+}
+
+impl InFlightRequest {
+    /// Passes on the result of a health check. Returns what becomes of its id, if it has ended.
+    fn health_check_message(&mut self, message: &EngineMessage, read_at: Instant) -> Option<IdUse> {
+        let (status, load_report) = match message {
+            EngineMessage::Healthy(report) => (DispatchStatus::Completed, *report),
+            EngineMessage::Unhealthy(report) | EngineMessage::Failed(report) => {
+                (DispatchStatus::Failed, *report)
+            }
+            EngineMessage::Overloaded(report) => (DispatchStatus::Overloaded, *report),
+            _ => return None,
+        };
+        let elapsed = TimeDelta(read_at.saturating_duration_since(self.sent_at).as_micros() as i64);
+        self.finish_health_check(HealthCheckResult { status, load_report, elapsed });
+        Some(IdUse::Reusable)
+    }
+
+    /// Calls back with the result of a health check, once.
+    pub(super) fn finish_health_check(&mut self, result: HealthCheckResult) {
+        let RequestKind::HealthCheck(callback) = &mut self.kind else { return };
+        if let Some(callback) = callback.take() {
+            callback(result);
+        }
+    }
+
+    /// Passes on a message about a dispatch. Returns what becomes of its id, if it has ended.
+    fn dispatch_message(&mut self, message: EngineMessage) -> Option<IdUse> {
+        let RequestKind::Dispatch { events, .. } = &self.kind else { return None };
+        let ended = match &message {
+            EngineMessage::FirstPage { .. } if self.has_first_page => {
+                counters::STRAY_WORDS.add();
+                return None;
+            }
+            EngineMessage::FirstPage { page_count, .. } => {
+                self.has_first_page = true;
+                (*page_count <= 1).then_some(IdUse::Reusable)
+            }
+            EngineMessage::Progress(None) => return None,
+            EngineMessage::Progress(Some(_)) | EngineMessage::FurtherPage { .. } => None,
+            _ => Some(IdUse::Retired),
+        };
+        // A job that can't keep up with a flood of updates misses some; its own timeout ends it.
+        if events.try_send(DispatchEvent::Message(message)).is_err() {
+            counters::STRAY_WORDS.add();
+        }
+        ended
+    }
+}
--- /dev/null
+++ b/crates/server/src/engine/pool/sending.rs
@@ -0,0 +1,160 @@
+//! Writing to connections, and the last check before a request's first byte.
+
+use super::in_flight::RequestKind;
+use super::{EnginePool, PoolContext};
+use crate::codec::engine::{HealthCheckKind, encode_fetch, encode_health_check, encode_request};
+use crate::engine::connection::EngineConnection;
+use crate::engine::connection_error::ConnectionLostReason;
+use crate::engine::ids::{ConnectionId, RequestId};
+use crate::engine::request::EngineRequest;
+use crate::engine::send_gate::SendGate;
+use pebblevane::time::Timestamp;
+use std::io;
+use std::sync::atomic::Ordering::SeqCst;
+
+impl EnginePool {
+    /// Writes a request to this connection, after the last check whether it still may be sent.
+    pub(super) fn send_on(&mut self, id: RequestId, connection_id: ConnectionId, context: &PoolContext) {
+        if self.is_stale(connection_id) {
+            self.connection_lost(connection_id, &ConnectionLostReason::UnexpectedInput, context);
+            self.waiting.push_front(id);
+            return self.assign_waiting(context);
+        }
+        if !self.in_flight.contains_key(&id) || !self.connections.contains_key(&connection_id) {
+            return;
+        }
+        let Some(bytes) = self.encode_if_permitted(id, connection_id, context) else {
+            return self.fail_request(id);
+        };
+        match self.begin_request(id, connection_id, &bytes, context) {
+            Ok(count) if count == bytes.len() => {}
+            Ok(count) => self.write(connection_id, &bytes[count..], context),
+            Err(e) => self.retry_unsent(id, connection_id, e, context),
+        }
+    }
+
+    /// Whether the connection is idle and its end, or input that nobody asked for, has come and was not read yet. What
+    /// is written then is lost, and whether it ran can't be known; a part of a message would spoil the answer.
+    fn is_stale(&self, id: ConnectionId) -> bool {
+        let is_stale =
+            |connection: &EngineConnection| connection.is_idle() && connection.has_unexpected_input();
+        self.connections.get(&id).is_some_and(is_stale)
+    }
+
+    /// The bytes of a request; none if it may not be sent any more.
+    fn encode_if_permitted(
+        &self,
+        id: RequestId,
+        connection: ConnectionId,
+        context: &PoolContext,
+    ) -> Option<Vec<u8>> {
+        let in_flight = self.in_flight.get(&id)?;
+        match &in_flight.kind {
+            RequestKind::Dispatch { request, gate, .. } => {
+                let now = (context.now)();
+                if !self.claim_dispatch(request, gate, now) {
+                    return None;
+                }
+                gate.record_write();
+                let job = &request.id;
+                tracing::debug!(%job, engine = %self.name, connection = connection.0, "dispatch sent");
+                let timeout = request.deadline - now;
+                Some(encode_request(job, &request.class, timeout, request.priority, &request.statement))
+            }
+            RequestKind::HealthCheck(_) => {
+                let kind = if context.settings.reports {
+                    HealthCheckKind::LoadReport
+                } else {
+                    HealthCheckKind::Liveness
+                };
+                Some(encode_health_check(&in_flight.wire_id, kind))
+            }
+        }
+    }
+
+    /// Claims a dispatch for sending. Returns false, and withholds it, if it may not be sent any more: its client has
+    /// left, it is too late, the engine drains, the job has withheld it, or the job's record forbids it.
+    fn claim_dispatch(&self, request: &EngineRequest, gate: &SendGate, now: Timestamp) -> bool {
+        let is_over = !request.liveness.still_wanted() || now >= request.begin_by;
+        if is_over || !self.accepts_dispatches.load(SeqCst) || !gate.try_begin_send() {
+            tracing::debug!(job = %request.id, engine = %self.name, "dispatch withheld");
+            gate.withhold_if_queued();
+            return false;
+        }
+        let is_permitted = request.ledger.try_record_send(now, request.deadline);
+        if !is_permitted {
+            gate.withhold();
+        }
+        is_permitted
+    }
+
+    /// Records the request as in flight and writes as much of it as fits. Returns the number of bytes written.
+    fn begin_request(
+        &mut self,
+        id: RequestId,
+        connection_id: ConnectionId,
+        bytes: &[u8],
+        context: &PoolContext,
+    ) -> io::Result<usize> {
+        let Some(request) = self.in_flight.get_mut(&id) else { return Ok(bytes.len()) };
+        let Some(connection) = self.connections.get_mut(&connection_id) else { return Ok(bytes.len()) };
+        connection.begin_request(request.wire_id.clone(), id);
+        request.begin_on(connection_id, context.settings.dial);
+        connection.write_some(bytes)
+    }
+
+    /// Nothing of a request was sent: it may be on another connection, unless that happens again and again.
+    fn retry_unsent(
+        &mut self,
+        id: RequestId,
+        connection_id: ConnectionId,
+        error: io::Error,
+        context: &PoolContext,
+    ) {
+        let Some(request) = self.in_flight.get_mut(&id) else { return };
+        if let Some(connection) = self.connections.get_mut(&connection_id) {
+            connection.requests.remove(&request.wire_id);
+        }
+        let may_retry = request.record_failed_connection();
+        if let RequestKind::Dispatch { request, gate, .. } = &request.kind {
+            if may_retry {
+                gate.requeue_unsent();
+            } else {
+                gate.withhold_unsent();
+            }
+            request.ledger.record_unsent();
+        }
+        self.connection_lost(connection_id, &ConnectionLostReason::WriteRefused(error), context);
+        if may_retry {
+            self.waiting.push_back(id);
+            self.assign_waiting(context);
+        } else {
+            self.fail_request(id);
+        }
+    }
+
+    /// Asks for a further page of a dispatch's result.
+    pub(super) fn fetch_page(&mut self, id: RequestId, page_number: u32, context: &PoolContext) {
+        self.write_for(id, |wire_id| encode_fetch(wire_id, page_number), context);
+    }
+
+    /// Writes a line about a request to its connection, if it has one.
+    pub(super) fn write_for(
+        &mut self,
+        id: RequestId,
+        encode: impl Fn(&str) -> Vec<u8>,
+        context: &PoolContext,
+    ) {
+        let Some(request) = self.in_flight.get(&id) else { return };
+        let Some(connection) = request.connection else { return };
+        let bytes = encode(&request.wire_id);
+        self.write(connection, &bytes, context);
+    }
+
+    fn write(&mut self, id: ConnectionId, bytes: &[u8], context: &PoolContext) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        if let Err(e) = connection.write_all(bytes) {
+            self.connection_lost(id, &ConnectionLostReason::WriteIncomplete(e), context);
+        }
+    }
+}
--- /dev/null
+++ b/crates/server/src/engine/pool/timeouts.rs
@@ -0,0 +1,92 @@
+//! Requests that wait too long, and connections that are idle or silent.
+
+use super::connection_choice::Sharing;
+use super::in_flight::{InFlightRequest, RequestKind};
+use super::results::IdUse;
+use super::{EnginePool, PoolContext};
+use crate::engine::connection_error::ConnectionLostReason;
+use crate::engine::ids::{ConnectionId, RequestId};
+use crate::engine::request::HealthCheckResult;
+use pebblevane::interface::DispatchStatus;
+use std::time::{Duration, Instant};
+
+/// A connection is silent after so many intervals of progress updates without one.
+const SILENT_AFTER_INTERVALS: f64 = 2.5;
+
+impl EnginePool {
+    /// When the next request times out here.
+    pub(crate) fn next_deadline(&self) -> Option<Instant> {
+        self.in_flight.values().filter_map(InFlightRequest::deadline).min()
+    }
+
+    /// Handles the requests that have timed out.
+    pub(crate) fn handle_timeouts(&mut self, now: Instant, context: &PoolContext) {
+        let has_timed_out = |deadline: Instant| deadline <= now;
+        let late = self.in_flight.iter().filter(|(_, request)| request.deadline().is_some_and(has_timed_out));
+        for id in late.map(|(id, _)| *id).collect::<Vec<RequestId>>() {
+            self.handle_timeout(id, now, context);
+        }
+    }
+
+    fn handle_timeout(&mut self, id: RequestId, now: Instant, context: &PoolContext) {
+        let Some(request) = self.in_flight.get_mut(&id) else { return };
+        if request.connection.is_none() && !request.may_share {
+            // A connection of its own takes long: one that is there will do.
+            request.may_share = true;
+            request.due = now + context.settings.dial;
+            return self.share_connection(id, context);
+        }
+        if matches!(request.kind, RequestKind::HealthCheck(_)) && request.connection.is_some() {
+            request.finish_health_check(HealthCheckResult::unanswered(DispatchStatus::TimedOut));
+            self.remove_request(id, IdUse::Retired);
+        } else {
+            self.fail_request(id);
+        }
+    }
+
+    fn share_connection(&mut self, id: RequestId, context: &PoolContext) {
+        let Some(request) = self.in_flight.get(&id) else { return };
+        let connection = self.choose_connection(&request.wire_id, Sharing::Allowed, context);
+        if let Some(connection) = connection {
+            self.waiting.retain(|waiting| *waiting != id);
+            self.send_on(id, connection, context);
+        }
+    }
+
+    /// Closes connections that have been idle too long, and those that have fallen silent.
+    pub(crate) fn sweep(&mut self, context: &PoolContext) {
+        self.close_idle(context.settings.idle);
+        self.close_silent(context);
+    }
+
+    fn close_idle(&mut self, idle_timeout: Duration) {
+        let reuse_limit = self.reuse_limit.get(idle_timeout);
+        self.reuse_limit.raise_if_due(idle_timeout);
+        self.connections.retain(|_, connection| {
+            let keep = !connection.is_idle() || connection.is_fresh(reuse_limit, idle_timeout);
+            if !keep {
+                connection.shut_down();
+            }
+            keep
+        });
+    }
+
+    /// A connection on which progress updates are due and nothing comes, while its engine speaks on others, is of no
+    /// use. Where all are silent it is the engine, which is for the admission controller to judge.
+    fn close_silent(&mut self, context: &PoolContext) {
+        let Some(interval) = context.settings.notes else { return };
+        let speaks =
+            self.connections.values().any(|connection| connection.last_received.elapsed() < interval);
+        if !speaks {
+            return;
+        }
+        let limit = interval.mul_f64(SILENT_AFTER_INTERVALS);
+        let silent = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| !connection.is_idle() && connection.silent_for() > limit);
+        for id in silent.map(|(id, _)| *id).collect::<Vec<ConnectionId>>() {
+            self.connection_lost(id, &ConnectionLostReason::Silent, context);
+        }
+    }
+}
--- a/crates/server/src/engine/registry.rs
+++ b/crates/server/src/engine/registry.rs
@@ -1,189 +1,80 @@
-//! The one thread of all engines' owners. A thread an engine costs little in one program, but a fleet of
-//! hundreds of gateways and engines on one machine runs out of thread numbers.
+//! The way to the `engines` thread, which owns the pools of all engines. A thread an engine would cost little in one
+//! program, but hundreds of gateways that know many engines run a machine out of thread numbers.
 
 use crate::config::connection_settings::ConnectionSettings;
-use crate::engine::handle::{DispatchEvent, EndpointUpdate, HealthCheckResult, PoolCommand};
-use crate::engine::pool::{EnginePool, PoolContext};
+use crate::engine::command::{PoolCommand, RegistryMessage};
+use crate::engine::dialer::Dialer;
+use crate::engine::endpoint_updates::{EndpointUpdate, EndpointUpdates};
+use crate::engine::ids::PoolId;
+use crate::engine::pool::PoolContext;
+use crate::engine::registry_loop::RegistryLoop;
 use crate::engine::socket_poller::SocketPoller;
-use crate::lifecycle::threads::SpawnThread;
+use crate::lifecycle::threads::{STACK_BYTES, SpawnThread, spawn_required};
 use crate::limits::ResourceBudget;
-use crate::telemetry::counters;
-use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
-use pebblevane::interface::*;
-use pebblevane::time::*;
-use std::collections::{BTreeMap, BTreeSet};
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::time::{Duration, Instant};
+use crossbeam_channel::{Sender, TrySendError, bounded};
+use pebblevane::time::Timestamp;
+use std::io;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 
-// A channel takes memory for all that it may hold once it has gone round, so that it is no larger than bursts.
-const ORDERS: usize = 2048; // orders that wait for the owners
-const SWEEP: Duration = Duration::from_millis(250); // pace of looking for idle and silent connections
+/// Messages that may wait for the `engines` thread. A channel takes memory for all that it may hold once it has gone
+/// round, so that it is no larger than bursts.
+const MESSAGES_CAPACITY: usize = 2048;
 
-/// The way to the owners' thread.
+/// The handle on the `engines` thread.
 pub struct EngineRegistry {
-    orders: Sender<(u64, PoolCommand)>,
-    /// What the list has told and owners have not taken up: one entry an engine, never lost, and never waited
-    /// for. Whoever tells may be one for whom an owner waits.
-    news: Mutex<BTreeMap<u64, EndpointUpdate>>,
-    fresh: AtomicBool,
-    keys: AtomicU64,
+    messages: Sender<RegistryMessage>,
+    updates: Arc<EndpointUpdates>,
+    next_pool: AtomicU64,
 }
 
 impl EngineRegistry {
+    /// Starts the threads that serve engines. They run to the program's end and are not joined.
+    ///
+    /// `descriptors` bounds the connections to all engines together; `now` reads the program's clock; `spawn_thread`
+    /// starts the threads that connect.
+    ///
+    /// # Errors
+    /// What the system says where it refuses a thread or what polling needs.
     pub fn start(
-        terms: ConnectionSettings,
-        sockets: Arc<ResourceBudget>,
+        settings: ConnectionSettings,
+        descriptors: Arc<ResourceBudget>,
         now: fn() -> Timestamp,
         spawn_thread: SpawnThread,
-    ) -> std::io::Result<Arc<EngineRegistry>> {
-        let (orders, inbox) = bounded(ORDERS);
-        let owners = Arc::new(EngineRegistry {
-            orders: orders.clone(),
-            news: Mutex::default(),
-            fresh: AtomicBool::new(false),
-            keys: AtomicU64::new(0),
-        });
-        let context =
-            PoolContext { terms, sockets, readers: SocketPoller::start()?, now, orders, spawn_thread };
-        let all =
-            RegistryLoop { owners: BTreeMap::new(), dues: BTreeSet::new(), due: BTreeMap::new(), context };
-        let told = owners.clone();
-        crate::lifecycle::threads::spawn_required(
-            "engines",
-            crate::lifecycle::threads::STACK_BYTES,
-            move || all.run(&told, &inbox),
-        )?;
-        Ok(owners)
+    ) -> io::Result<Arc<EngineRegistry>> {
+        let (messages, inbox) = bounded(MESSAGES_CAPACITY);
+        let updates = Arc::new(EndpointUpdates::default());
+        let dialer = Dialer { spawn_thread, timeout: settings.dial, messages: messages.clone() };
+        let poller = SocketPoller::start()?;
+        let context = PoolContext { settings, descriptors, poller, now, dialer, messages: messages.clone() };
+        let registry_loop = RegistryLoop::new(updates.clone(), inbox, context);
+        spawn_required("engines", STACK_BYTES, move || registry_loop.run())?;
+        Ok(Arc::new(EngineRegistry { messages, updates, next_pool: AtomicU64::new(0) }))
     }
 
-    pub fn next_key(&self) -> u64 {
-        self.keys.fetch_add(1, SeqCst)
+    /// A number for a new engine's pool.
+    pub(crate) fn next_pool_id(&self) -> PoolId {
+        PoolId(self.next_pool.fetch_add(1, SeqCst))
     }
 
-    /// Hands an order over; waits while too many do.
-    pub fn order(&self, engine: u64, order: PoolCommand) {
-        // The owners' thread ends only with the program.
-        let _ = self.orders.send((engine, order));
+    /// Hands a command over; waits while too many do.
+    pub(crate) fn send_command(&self, pool: PoolId, command: PoolCommand) {
+        // The `engines` thread ends only with the program.
+        let _ = self.messages.send(RegistryMessage::Command { pool, command });
     }
 
-    /// Hands an order over; says whether it could, which is not so where too many wait.
-    pub fn try_order(&self, engine: u64, order: PoolCommand) -> bool {
-        self.orders.try_send((engine, order)).is_ok()
+    /// Hands a command over unless too many wait. Returns whether it did.
+    #[must_use]
+    pub(crate) fn try_send_command(&self, pool: PoolId, command: PoolCommand) -> bool {
+        self.messages.try_send(RegistryMessage::Command { pool, command }).is_ok()
     }
 
-    /// Tells an owner what the list says. It has that before any order that is handed over later.
-    pub fn tell(&self, engine: u64, what: impl FnOnce(&mut EndpointUpdate)) {
-        what(self.news().entry(engine).or_default());
-        self.fresh.store(true, SeqCst);
-        // Where too many orders wait, the thread is awake and looks before the next of them.
-        match self.orders.try_send((u64::MAX, PoolCommand::Wakeup)) {
+    /// Records a change of the endpoint list. It takes effect before any command that is handed over later.
+    pub(crate) fn update_endpoint(&self, pool: PoolId, change: impl FnOnce(&mut EndpointUpdate)) {
+        self.updates.record(pool, change);
+        // Where too many messages wait, the thread is awake and looks before the next of them.
+        match self.messages.try_send(RegistryMessage::Wakeup) {
             Ok(()) | Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {}
         }
     }
-
-    fn news(&self) -> MutexGuard<'_, BTreeMap<u64, EndpointUpdate>> {
-        // A panic ends the program, so that nobody sees what a panic left behind.
-        self.news.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-}
-
-/// All owners, and when something is due at each.
-struct RegistryLoop {
-    owners: BTreeMap<u64, EnginePool>,
-    dues: BTreeSet<(Instant, u64)>,
-    due: BTreeMap<u64, Instant>,
-    context: PoolContext,
-}
-
-impl RegistryLoop {
-    fn run(mut self, told: &EngineRegistry, inbox: &Receiver<(u64, PoolCommand)>) {
-        let mut sweep = Instant::now();
-        loop {
-            // Without connections there is nothing to look at, and a program that has nothing to do sleeps.
-            let connected = self.owners.values().any(EnginePool::connected);
-            let due = [self.dues.first().map(|(due, _)| *due), connected.then_some(sweep)];
-            let order = match due.into_iter().flatten().min() {
-                Some(due) => inbox.recv_deadline(due),
-                None => inbox.recv().map_err(|_| RecvTimeoutError::Disconnected),
-            };
-            if told.fresh.swap(false, SeqCst) {
-                for (key, news) in std::mem::take(&mut *told.news()) {
-                    self.hear(key, news);
-                }
-            }
-            match order {
-                Ok((_, PoolCommand::Wakeup)) | Err(RecvTimeoutError::Timeout) => {}
-                Ok((key, order)) => self.carry_out(key, order),
-                Err(RecvTimeoutError::Disconnected) => return,
-            }
-            let now = Instant::now();
-            while let Some((_, key)) = self.dues.first().copied().filter(|(due, _)| *due <= now) {
-                self.with(key, |owner, context| owner.time_out(now, context));
-            }
-            if now >= sweep {
-                sweep = now + SWEEP;
-                let connected = self.owners.iter().filter(|(_, owner)| owner.connected());
-                for key in connected.map(|(key, _)| *key).collect::<Vec<u64>>() {
-                    self.with(key, |owner, context| owner.sweep(context));
-                }
-            }
-        }
-    }
-
-    fn hear(&mut self, key: u64, mut news: EndpointUpdate) {
-        if let Some(owner) = news.new.take() {
-            self.owners.insert(key, *owner);
-        }
-        self.with(key, |owner, context| owner.hears(news, context));
-    }
-
-    fn carry_out(&mut self, key: u64, order: PoolCommand) {
-        if self.owners.contains_key(&key) {
-            return self.with(key, |owner, context| owner.carry_out(order, context));
-        }
-        // The engine has gone: what is ordered now never leaves.
-        match order {
-            PoolCommand::Send { events, .. } => drop(events.try_send(DispatchEvent::Lost {
-                status: DispatchStatus::Unreachable,
-                engine_reachable: false,
-            })),
-            PoolCommand::Probe { told, .. } => {
-                told(HealthCheckResult::unanswered(DispatchStatus::Unreachable))
-            }
-            _ => {}
-        }
-    }
-
-    /// Where descriptors are used up by connections that rest at other engines, the one that has rested longest
-    /// makes room.
-    fn make_room(&mut self, key: u64) {
-        let others = self.owners.iter().filter(|(other, _)| **other != key);
-        let resting = others.filter_map(|(other, owner)| Some((owner.rests_since()?, *other)));
-        let Some((_, other)) = resting.min() else { return };
-        self.owners.entry(other).and_modify(EnginePool::make_room);
-        counters::MADE_ROOM.add();
-        let context = &self.context;
-        self.owners.entry(key).and_modify(|owner| owner.assign_waiting(context));
-    }
-
-    /// Lets an owner do something, then notes when it is due next, or lets it go when it is over.
-    fn with(&mut self, key: u64, what: impl FnOnce(&mut EnginePool, &PoolContext)) {
-        let Some(owner) = self.owners.get_mut(&key) else { return };
-        what(owner, &self.context);
-        if owner.lacks_room(&self.context) {
-            self.make_room(key);
-        }
-        let Some(owner) = self.owners.get_mut(&key) else { return };
-        let (due, over) = (owner.due(), owner.over());
-        if let Some(old) = self.due.remove(&key) {
-            self.dues.remove(&(old, key));
-        }
-        if over {
-            self.owners.remove(&key).into_iter().for_each(EnginePool::close);
-        } else if let Some(due) = due {
-            self.due.insert(key, due);
-            self.dues.insert((due, key));
-        }
-    }
 }
--- /dev/null
+++ b/crates/server/src/engine/registry_loop.rs
@@ -0,0 +1,192 @@
+//! The event loop of the `engines` thread: hands commands, endpoint updates and timeouts to the pools.
+
+use crate::engine::command::{PoolCommand, RegistryMessage};
+use crate::engine::endpoint_updates::{EndpointUpdate, EndpointUpdates};
+use crate::engine::ids::PoolId;
+use crate::engine::pool::{EnginePool, PoolContext};
+use crate::engine::request::{DispatchEvent, HealthCheckResult};
+use crate::telemetry::counters;
+use crossbeam_channel::{Receiver, RecvTimeoutError};
+use pebblevane::interface::DispatchStatus;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Interval of looking for idle and silent connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+
+/// What the thread owns.
+pub(crate) struct RegistryLoop {
+    pools: BTreeMap<PoolId, EnginePool>,
+    deadlines: Deadlines,
+    next_sweep: Instant,
+    updates: Arc<EndpointUpdates>,
+    inbox: Receiver<RegistryMessage>,
+    context: PoolContext,
+}
+
+impl RegistryLoop {
+    /// A loop without pools; updates add them.
+    pub(crate) fn new(
+        updates: Arc<EndpointUpdates>,
+        inbox: Receiver<RegistryMessage>,
+        context: PoolContext,
+    ) -> RegistryLoop {
+        RegistryLoop {
+            pools: BTreeMap::new(),
+            deadlines: Deadlines::default(),
+            next_sweep: Instant::now(),
+            updates,
+            inbox,
+            context,
+        }
+    }
+
+    /// Runs to the program's end.
+    pub(crate) fn run(mut self) {
+        loop {
+            let message = match self.next_wakeup() {
+                Some(at) => self.inbox.recv_deadline(at),
+                None => self.inbox.recv().map_err(|_| RecvTimeoutError::Disconnected),
+            };
+            self.apply_updates();
+            match message {
+                Ok(RegistryMessage::Command { pool, command }) => self.handle_command(pool, command),
+                Ok(RegistryMessage::Wakeup) | Err(RecvTimeoutError::Timeout) => {}
+                Err(RecvTimeoutError::Disconnected) => return,
+            }
+            let now = Instant::now();
+            self.handle_timeouts(now);
+            self.sweep(now);
+        }
+    }
+
+    /// When there is something to do, whether or not a message comes. Without connections there is nothing to sweep,
+    /// and an idle program sleeps.
+    fn next_wakeup(&self) -> Option<Instant> {
+        let has_connections = self.pools.values().any(EnginePool::has_connections);
+        let sweep = has_connections.then_some(self.next_sweep);
+        self.deadlines.first().into_iter().chain(sweep).min()
+    }
+
+    fn apply_updates(&mut self) {
+        if !self.updates.take_changed() {
+            return;
+        }
+        let updates = self.updates.clone();
+        for (pool, update) in std::mem::take(&mut *updates.pending()) {
+            self.apply_update(pool, update);
+        }
+    }
+
+    fn apply_update(&mut self, id: PoolId, mut update: EndpointUpdate) {
+        if let Some(added) = update.added.take() {
+            self.pools.insert(id, EnginePool::new(id, added));
+        }
+        self.with_pool(id, |pool, context| pool.apply_update(&update, context));
+    }
+
+    fn handle_command(&mut self, id: PoolId, command: PoolCommand) {
+        if self.pools.contains_key(&id) {
+            self.with_pool(id, |pool, context| pool.handle_command(command, context));
+        } else {
+            refuse_command(command);
+        }
+    }
+
+    fn handle_timeouts(&mut self, now: Instant) {
+        while let Some(id) = self.deadlines.first_due(now) {
+            self.with_pool(id, |pool, context| pool.handle_timeouts(now, context));
+        }
+    }
+
+    fn sweep(&mut self, now: Instant) {
+        if now < self.next_sweep {
+            return;
+        }
+        self.next_sweep = now + SWEEP_INTERVAL;
+        let connected = self.pools.iter().filter(|(_, pool)| pool.has_connections());
+        for id in connected.map(|(id, _)| *id).collect::<Vec<PoolId>>() {
+            self.with_pool(id, EnginePool::sweep);
+        }
+    }
+
+    /// Lets a pool do something, then notes its next deadline, or drops it once it is finished.
+    fn with_pool(&mut self, id: PoolId, action: impl FnOnce(&mut EnginePool, &PoolContext)) {
+        let Some(pool) = self.pools.get_mut(&id) else { return };
+        action(pool, &self.context);
+        if pool.lacks_descriptor(&self.context) {
+            self.reclaim_descriptor(id);
+        }
+        let Some(pool) = self.pools.get(&id) else { return };
+        let (deadline, is_finished) = (pool.next_deadline(), pool.is_finished());
+        self.deadlines.remove(id);
+        if is_finished {
+            if let Some(pool) = self.pools.remove(&id) {
+                pool.close();
+            }
+        } else if let Some(deadline) = deadline {
+            self.deadlines.insert(id, deadline);
+        }
+    }
+
+    /// Where descriptors are used up by connections that are idle at other engines, closes the one that has been idle
+    /// longest, for this pool's sake.
+    fn reclaim_descriptor(&mut self, id: PoolId) {
+        let others = self.pools.iter().filter(|(other, _)| **other != id);
+        let idle = others.filter_map(|(other, pool)| Some((pool.longest_idle_since()?, *other)));
+        let Some((_, other)) = idle.min() else { return };
+        if let Some(other) = self.pools.get_mut(&other) {
+            other.close_longest_idle();
+        }
+        counters::MADE_ROOM.add();
+        if let Some(pool) = self.pools.get_mut(&id) {
+            pool.assign_waiting(&self.context);
+        }
+    }
+}
+
+/// Answers a command for an engine that has been removed: it is never carried out.
+fn refuse_command(command: PoolCommand) {
+    match command {
+        PoolCommand::Send { events, .. } => {
+            let lost = DispatchEvent::Lost { status: DispatchStatus::Unreachable, engine_reachable: false };
+            // A job that is over hears nothing.
+            let _ = events.try_send(lost);
+        }
+        PoolCommand::CheckHealth { callback, .. } => {
+            callback(HealthCheckResult::unanswered(DispatchStatus::Unreachable));
+        }
+        _ => {}
+    }
+}
+
+/// The next deadline of each pool that has one.
+#[derive(Default)]
+struct Deadlines {
+    by_time: BTreeSet<(Instant, PoolId)>,
+    by_pool: BTreeMap<PoolId, Instant>,
+}
+
+impl Deadlines {
+    /// The earliest deadline of all.
+    fn first(&self) -> Option<Instant> {
+        self.by_time.first().map(|(deadline, _)| *deadline)
+    }
+
+    /// The pool with the earliest deadline, if that has passed.
+    fn first_due(&self, now: Instant) -> Option<PoolId> {
+        self.by_time.first().filter(|(deadline, _)| *deadline <= now).map(|(_, pool)| *pool)
+    }
+
+    fn insert(&mut self, pool: PoolId, deadline: Instant) {
+        self.by_pool.insert(pool, deadline);
+        self.by_time.insert((deadline, pool));
+    }
+
+    fn remove(&mut self, pool: PoolId) {
+        if let Some(deadline) = self.by_pool.remove(&pool) {
+            self.by_time.remove(&(deadline, pool));
+        }
+    }
+}
--- /dev/null
+++ b/crates/server/src/engine/send_gate.rs
@@ -0,0 +1,73 @@
+//! The state that a dispatch's owner and its engine's pool share: whether the dispatch may still be sent.
+
+use std::sync::atomic::{AtomicBool, AtomicU8, Ordering::SeqCst};
+
+/// Where a dispatch is on its way to the engine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[repr(u8)]
+enum SendState {
+    /// It waits for a connection.
+    Queued = 0,
+    /// Its first byte is being written, or has been.
+    Sent = 1,
+    /// It is never sent from now on.
+    Withheld = 2,
+}
+
+/// The last check before a dispatch's first byte: it is either sent or withheld, whoever is first.
+#[derive(Default)]
+pub(crate) struct SendGate {
+    /// A [`SendState`].
+    state: AtomicU8,
+    /// A byte of the dispatch may have been sent.
+    may_have_been_sent: AtomicBool,
+}
+
+impl SendGate {
+    /// Claims the dispatch for sending. Returns whether it still was in the queue.
+    #[must_use]
+    pub(crate) fn try_begin_send(&self) -> bool {
+        self.change(SendState::Queued, SendState::Sent)
+    }
+
+    /// Withholds a dispatch that is in the queue, and changes nothing otherwise. Returns whether it was.
+    pub(crate) fn withhold_if_queued(&self) -> bool {
+        self.change(SendState::Queued, SendState::Withheld)
+    }
+
+    /// Withholds the dispatch, whatever its state. Returns whether it had not been claimed for sending before.
+    pub(crate) fn withhold(&self) -> bool {
+        self.state.swap(SendState::Withheld as u8, SeqCst) != SendState::Sent as u8
+    }
+
+    /// Puts a dispatch back into the queue of which nothing was sent, unless it has been withheld meanwhile.
+    pub(crate) fn requeue_unsent(&self) {
+        self.change(SendState::Sent, SendState::Queued);
+        self.may_have_been_sent.store(false, SeqCst);
+    }
+
+    /// Withholds a dispatch that was claimed and of which nothing was sent.
+    pub(crate) fn withhold_unsent(&self) {
+        self.change(SendState::Sent, SendState::Withheld);
+        self.may_have_been_sent.store(false, SeqCst);
+    }
+
+    /// Whether the dispatch was withheld.
+    pub(crate) fn is_withheld(&self) -> bool {
+        self.state.load(SeqCst) == SendState::Withheld as u8
+    }
+
+    /// Records that the first byte is written next.
+    pub(crate) fn record_write(&self) {
+        self.may_have_been_sent.store(true, SeqCst);
+    }
+
+    /// Whether a byte of the dispatch may have been sent.
+    pub(crate) fn may_have_been_sent(&self) -> bool {
+        self.may_have_been_sent.load(SeqCst)
+    }
+
+    fn change(&self, from: SendState, to: SendState) -> bool {
+        self.state.compare_exchange(from as u8, to as u8, SeqCst, SeqCst).is_ok()
+    }
+}
--- a/crates/server/src/engine/socket_poller.rs
+++ b/crates/server/src/engine/socket_poller.rs
@@ -1,150 +1,230 @@
-//! Reads all connections to engines in one thread. A thread for each would be woken each time that the program is
-//! stopped and goes on again, as it is many times a second on part of a core.
+//! Reads all connections to engines in one thread. A thread for each would be woken every time that the program is
+//! stopped and continued, which happens many times a second on a fraction of a core.
 
-use crate::codec::engine::{self as wire, EngineMessage};
+use crate::codec::engine::{EngineMessage, parse_message};
+use crate::engine::connection_error::ConnectionLostReason;
 use crate::lifecycle::startup::retry_transient_errors;
-use crate::lifecycle::threads;
+use crate::lifecycle::threads::{STACK_BYTES, spawn_required};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use mio::unix::SourceFd;
 use mio::{Events, Interest, Poll, Token, Waker};
 use std::collections::HashMap;
-use std::io::{ErrorKind, Read};
+use std::io::{self, ErrorKind, Read};
 use std::net::TcpStream;
 use std::os::fd::AsRawFd;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::{Duration, Instant};
 
-const NEW: usize = 256; // connections that wait to be read
-const EVENTS: usize = 256;
-const WAKE: Token = Token(usize::MAX);
-const PIECE: usize = 16 * 1024;
-const TURN: usize = 4; // pieces of one connection before others have their turn
-const KEPT: usize = 4096; // bytes for an unfinished answer that a connection keeps when it has none
-
-/// What a connection's owner is told.
-pub enum ConnectionEvent {
-    /// A word, under its id, and when it was read.
-    EngineMessage(String, EngineMessage, Instant),
-    Ended(String),
+/// New connections that may wait for the thread.
+const NEW_CONNECTIONS_CAPACITY: usize = 256;
+/// Events that one wait returns at most.
+const EVENTS_CAPACITY: usize = 256;
+const WAKE_TOKEN: Token = Token(usize::MAX);
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Reads of one connection before others have their turn.
+const READS_PER_TURN: usize = 4;
+/// Memory that a connection without a partial message keeps for the next one.
+const RETAINED_BUFFER_BYTES: usize = 4096;
+
+/// What a pool is told of one of its connections.
+pub(crate) enum ConnectionEvent {
+    /// A message of the engine.
+    Message {
+        /// The id on the wire of the request that it answers.
+        wire_id: String,
+        /// The message itself.
+        message: EngineMessage,
+        /// When it was read.
+        read_at: Instant,
+    },
+    /// Nothing more will come.
+    Ended(ConnectionLostReason),
 }
 
-/// A connection that is listened to.
-pub struct ReadHalf {
+/// The reading side of a connection.
+pub(crate) struct ReadHalf {
     stream: Arc<TcpStream>,
-    /// An answer that stops in the middle for so long won't go on.
-    stall: Duration,
-    tell: Box<dyn Fn(ConnectionEvent) + Send>,
-    bytes: Vec<u8>,
-    since: Instant,
-    /// An answer has begun that has not come whole.
-    midway: Arc<AtomicBool>,
+    /// A message whose rest does not come for so long will not be completed.
+    stall_timeout: Duration,
+    on_event: Box<dyn Fn(ConnectionEvent) + Send>,
+    /// What has been read and is not a whole message yet.
+    buffer: Vec<u8>,
+    last_read: Instant,
+    has_partial_message: Arc<AtomicBool>,
+}
+
+/// How a turn of reading ended.
+enum ReadTurn {
+    /// There is nothing more to read.
+    Drained,
+    /// There may be more to read.
+    MoreAvailable,
 }
 
 impl ReadHalf {
-    pub fn new(
+    /// The reading side of this connection; `on_event` is called in the poller's thread.
+    pub(crate) fn new(
         stream: Arc<TcpStream>,
-        stall: Duration,
-        tell: Box<dyn Fn(ConnectionEvent) + Send>,
+        stall_timeout: Duration,
+        on_event: Box<dyn Fn(ConnectionEvent) + Send>,
     ) -> ReadHalf {
-        ReadHalf { stream, stall, tell, bytes: Vec::new(), since: Instant::now(), midway: Arc::default() }
+        ReadHalf {
+            stream,
+            stall_timeout,
+            on_event,
+            buffer: Vec::new(),
+            last_read: Instant::now(),
+            has_partial_message: Arc::default(),
+        }
     }
 
-    /// Shows whether an answer has begun that has not come whole.
-    pub fn midway(&self) -> Arc<AtomicBool> {
-        self.midway.clone()
+    /// Shows whether the first part of a message has been read, and not the rest.
+    pub(crate) fn has_partial_message(&self) -> Arc<AtomicBool> {
+        self.has_partial_message.clone()
     }
 
-    /// Reads what is there; says whether more may be.
-    fn read(&mut self, piece: &mut [u8]) -> Result<bool, String> {
-        for _ in 0..TURN {
-            match (&*self.stream).read(piece) {
-                Ok(0) => return Err("the engine closed it".to_string()),
-                Ok(count) => self.bytes.extend_from_slice(&piece[..count]),
+    /// Reads what is there, and passes on the messages that are complete.
+    fn read(&mut self, read_buffer: &mut [u8]) -> Result<ReadTurn, ConnectionLostReason> {
+        for _ in 0..READS_PER_TURN {
+            match (&*self.stream).read(read_buffer) {
+                Ok(0) => return Err(ConnectionLostReason::ClosedByEngine),
+                Ok(count) => self.buffer.extend_from_slice(&read_buffer[..count]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(false),
-                Err(e) => return Err(e.to_string()),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadTurn::Drained),
+                Err(e) => return Err(ConnectionLostReason::Read(e)),
             }
-            self.since = Instant::now();
-            let since = self.since;
-            let mut done = 0;
-            while let Some(parsed) = wire::parse_message(&self.bytes[done..]).map_err(|e| e.to_string())? {
-                done += parsed.length;
-                (self.tell)(ConnectionEvent::EngineMessage(parsed.id, parsed.message, since));
-            }
-            self.bytes.drain(..done);
-            if self.bytes.is_empty() {
-                self.bytes.shrink_to(KEPT);
-            }
-            self.midway.store(!self.bytes.is_empty(), SeqCst);
+            self.last_read = Instant::now();
+            self.pass_on_messages()?;
         }
-        Ok(true)
+        Ok(ReadTurn::MoreAvailable)
     }
 
-    /// The time until it has stalled, if it is in the middle of an answer.
-    fn left(&self) -> Option<Duration> {
-        (!self.bytes.is_empty()).then(|| self.stall.saturating_sub(self.since.elapsed()))
+    fn pass_on_messages(&mut self) -> Result<(), ConnectionLostReason> {
+        let mut parsed_bytes = 0;
+        while let Some(parsed) = parse_message(&self.buffer[parsed_bytes..])? {
+            parsed_bytes += parsed.length;
+            (self.on_event)(ConnectionEvent::Message {
+                wire_id: parsed.id,
+                message: parsed.message,
+                read_at: self.last_read,
+            });
+        }
+        self.buffer.drain(..parsed_bytes);
+        if self.buffer.is_empty() {
+            self.buffer.shrink_to(RETAINED_BUFFER_BYTES);
+        }
+        self.has_partial_message.store(!self.buffer.is_empty(), SeqCst);
+        Ok(())
+    }
+
+    /// The time until the connection has stalled; none without a partial message.
+    fn time_until_stalled(&self) -> Option<Duration> {
+        (!self.buffer.is_empty()).then(|| self.stall_timeout.saturating_sub(self.last_read.elapsed()))
+    }
+
+    fn has_stalled(&self) -> bool {
+        self.time_until_stalled().is_some_and(|left| left.is_zero())
     }
 }
 
-/// The way to the thread that reads.
-pub struct SocketPoller {
-    new: Sender<ReadHalf>,
+/// The handle on the thread that reads.
+pub(crate) struct SocketPoller {
+    new_connections: Sender<ReadHalf>,
     waker: Waker,
 }
 
 impl SocketPoller {
-    pub fn start() -> std::io::Result<Arc<SocketPoller>> {
+    /// Starts the thread. It runs to the program's end and is not joined.
+    ///
+    /// # Errors
+    /// What the system says where it refuses the thread or what polling needs.
+    pub(crate) fn start() -> io::Result<Arc<SocketPoller>> {
         let poll = retry_transient_errors(Poll::new)?;
-        let (new, added) = bounded(NEW);
-        let waker = retry_transient_errors(|| Waker::new(poll.registry(), WAKE))?;
-        threads::spawn_required("engine words", crate::lifecycle::threads::STACK_BYTES, move || {
-            listen(poll, &added)
-        })?;
-        Ok(Arc::new(SocketPoller { new, waker }))
+        let (new_connections, added) = bounded(NEW_CONNECTIONS_CAPACITY);
+        let waker = retry_transient_errors(|| Waker::new(poll.registry(), WAKE_TOKEN))?;
+        let poll_loop = PollLoop { poll, added, read_halves: HashMap::new(), next_token: 0 };
+        spawn_required("engine words", STACK_BYTES, move || poll_loop.run())?;
+        Ok(Arc::new(SocketPoller { new_connections, waker }))
     }
 
-    pub fn add(&self, half: ReadHalf) -> std::io::Result<()> {
-        self.new.try_send(half).map_err(|_| std::io::Error::other("too many wait to be read"))?;
+    /// Reads this connection from now on.
+    ///
+    /// # Errors
+    /// Where too many new connections wait for the thread, or it can't be woken.
+    pub(crate) fn add(&self, read_half: ReadHalf) -> io::Result<()> {
+        let added = self.new_connections.try_send(read_half);
+        added.map_err(|_| io::Error::other("too many wait to be read"))?;
         self.waker.wake()
     }
 }
 
-fn listen(mut poll: Poll, added: &Receiver<ReadHalf>) {
-    let mut halves: HashMap<usize, ReadHalf> = HashMap::new();
-    let (mut events, mut piece, mut numbers) = (Events::with_capacity(EVENTS), vec![0; PIECE], 0..);
-    loop {
-        let due = halves.values().filter_map(ReadHalf::left).min();
-        // An interrupted wait is one without events.
-        let _ = poll.poll(&mut events, due);
-        for half in added.try_iter() {
-            let fd = half.stream.as_raw_fd();
-            let number = numbers.next().expect("numbers do not end");
-            match poll.registry().register(&mut SourceFd(&fd), Token(number), Interest::READABLE) {
-                Ok(()) => drop(halves.insert(number, half)),
-                Err(e) => (half.tell)(ConnectionEvent::Ended(e.to_string())),
+/// What the thread owns.
+struct PollLoop {
+    poll: Poll,
+    added: Receiver<ReadHalf>,
+    read_halves: HashMap<usize, ReadHalf>,
+    next_token: usize,
+}
+
+impl PollLoop {
+    fn run(mut self) {
+        let mut events = Events::with_capacity(EVENTS_CAPACITY);
+        let mut read_buffer = vec![0; READ_BUFFER_BYTES];
+        loop {
+            let timeout = self.read_halves.values().filter_map(ReadHalf::time_until_stalled).min();
+            // An interrupted wait is one without events.
+            let _ = self.poll.poll(&mut events, timeout);
+            self.register_added();
+            let mut ended = self.read_ready(&events, &mut read_buffer);
+            ended.extend(self.stalled());
+            for (token, reason) in ended {
+                self.remove(token, reason);
+            }
+        }
+    }
+
+    fn register_added(&mut self) {
+        for read_half in self.added.try_iter() {
+            let fd = read_half.stream.as_raw_fd();
+            let token = self.next_token;
+            self.next_token += 1;
+            match self.poll.registry().register(&mut SourceFd(&fd), Token(token), Interest::READABLE) {
+                Ok(()) => drop(self.read_halves.insert(token, read_half)),
+                Err(e) => (read_half.on_event)(ConnectionEvent::Ended(ConnectionLostReason::Register(e))),
             }
         }
+    }
+
+    /// Reads the connections that have input. Returns those that have ended.
+    fn read_ready(&mut self, events: &Events, read_buffer: &mut [u8]) -> Vec<(usize, ConnectionLostReason)> {
         let mut ended = Vec::new();
-        for number in events.iter().map(|event| event.token().0) {
-            let Some(half) = halves.get_mut(&number) else { continue };
-            match half.read(&mut piece) {
-                Ok(false) => {}
-                Ok(true) => {
-                    // Whatever more is there is told by a new event.
-                    let fd = half.stream.as_raw_fd();
-                    let _ = poll.registry().reregister(&mut SourceFd(&fd), Token(number), Interest::READABLE);
+        for event in events {
+            let token = event.token();
+            let Some(read_half) = self.read_halves.get_mut(&token.0) else { continue };
+            match read_half.read(read_buffer) {
+                Ok(ReadTurn::Drained) => {}
+                Ok(ReadTurn::MoreAvailable) => {
+                    // Events are edge-triggered: registering again reports what is still there.
+                    let fd = read_half.stream.as_raw_fd();
+                    let _ = self.poll.registry().reregister(&mut SourceFd(&fd), token, Interest::READABLE);
                 }
-                Err(why) => ended.push((number, why)),
+                Err(reason) => ended.push((token.0, reason)),
             }
         }
-        let stalled = halves.iter().filter(|(_, half)| half.left().is_some_and(|left| left.is_zero()));
-        ended.extend(stalled.map(|(number, _)| (*number, "an answer stopped in the middle".to_string())));
-        for (number, why) in ended {
-            if let Some(half) = halves.remove(&number) {
-                let _ = poll.registry().deregister(&mut SourceFd(&half.stream.as_raw_fd()));
-                (half.tell)(ConnectionEvent::Ended(why));
-            }
+        ended
+    }
+
+    fn stalled(&self) -> Vec<(usize, ConnectionLostReason)> {
+        let stalled = self.read_halves.iter().filter(|(_, read_half)| read_half.has_stalled());
+        stalled.map(|(token, _)| (*token, ConnectionLostReason::MessageStalled)).collect()
+    }
+
+    fn remove(&mut self, token: usize, reason: ConnectionLostReason) {
+        if let Some(read_half) = self.read_halves.remove(&token) {
+            let fd = read_half.stream.as_raw_fd();
+            let _ = self.poll.registry().deregister(&mut SourceFd(&fd));
+            (read_half.on_event)(ConnectionEvent::Ended(reason));
         }
     }
 }
