--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -53,11 +53,11 @@
         let mut entries = self.entries();
         let first_run = entries.first_run;
         let violation = match self.semantics {
-            _ if entries.in_flight > 0 => Some(Invariant::OneDispatchOut),
-            _ if deadline > self.deadline + DEADLINE_SLACK => Some(Invariant::DeadlineWithinWait),
-            RetrySemantics::RunOnce if first_run.is_some() => Some(Invariant::RunOnce),
+            _ if entries.in_flight > 0 => Some(Invariant::SingleDispatchInFlight),
+            _ if deadline > self.deadline + DEADLINE_SLACK => Some(Invariant::DeadlineWithinClientTimeout),
+            RetrySemantics::RunOnce if first_run.is_some() => Some(Invariant::RunOnceNotRetried),
             RetrySemantics::Keyed { window, .. } if first_run.is_some_and(|first| now >= first + window) => {
-                Some(Invariant::KeyedInWindow)
+                Some(Invariant::KeyedRetryWithinWindow)
             }
             _ => None,
         };
@@ -94,7 +94,7 @@
             RetrySemantics::RunOnce => false,
         };
         if may_have_run && !harmless {
-            invariants::violated(Invariant::ThrottledUnrun, &self.id);
+            invariants::violated(Invariant::RejectedOnlyIfHarmless, &self.id);
         }
     }
 }
--- a/crates/server/src/engine/pool/connecting.rs
+++ b/crates/server/src/engine/pool/connecting.rs
@@ -23,7 +23,7 @@
 
     /// Starts to make one more connection. Returns whether it could.
     pub(super) fn start_dial(&mut self, context: &PoolContext) -> bool {
-        let Some(permit) = context.descriptors.lease(1) else { return false };
+        let Some(permit) = context.descriptors.acquire(1) else { return false };
         let target = DialTarget { pool: self.id, name: &self.name, address: self.address };
         match context.dialer.dial(&target, permit) {
             Ok(()) => {
--- a/crates/server/src/engine/pool/mod.rs
+++ b/crates/server/src/engine/pool/mod.rs
@@ -113,7 +113,7 @@
         !self.waiting.is_empty()
             && self.dials_in_progress == 0
             && self.connections.len() < context.settings.connections
-            && context.descriptors.lease(1).is_none()
+            && context.descriptors.acquire(1).is_none()
     }
 
     /// Since when the connection has been idle that has been so longest.
--- a/crates/server/src/engine/pool/results.rs
+++ b/crates/server/src/engine/pool/results.rs
@@ -36,7 +36,7 @@
         let Some(connection) = self.connections.get_mut(&connection) else { return };
         connection.last_received = Instant::now();
         let Some(id) = connection.requests.get(wire_id).copied() else {
-            counters::STRAY_WORDS.add();
+            counters::UNEXPECTED_ENGINE_MESSAGES.increment();
             return;
         };
         let Some(request) = self.in_flight.get_mut(&id) else { return };
@@ -125,7 +125,7 @@
     ) {
         let Some(connection) = self.connections.remove(&id) else { return };
         connection.shut_down();
-        counters::LOST_CONNECTIONS.add();
+        counters::ENGINE_CONNECTIONS_LOST.increment();
         if !connection.is_idle() {
             self.learn_from_stale(&connection);
             self.fault_log.report(&self.name, "connection lost", connection.requests.len(), reason);
@@ -194,7 +194,7 @@
         let RequestKind::Dispatch { events, .. } = &self.kind else { return None };
         let ended = match &message {
             EngineMessage::FirstPage { .. } if self.has_first_page => {
-                counters::STRAY_WORDS.add();
+                counters::UNEXPECTED_ENGINE_MESSAGES.increment();
                 return None;
             }
             EngineMessage::FirstPage { page_count, .. } => {
@@ -207,7 +207,7 @@
         };
         // A job that can't keep up with a flood of updates misses some; its own timeout ends it.
         if events.try_send(DispatchEvent::Message(message)).is_err() {
-            counters::STRAY_WORDS.add();
+            counters::UNEXPECTED_ENGINE_MESSAGES.increment();
         }
         ended
     }
--- a/crates/server/src/engine/pool/sending.rs
+++ b/crates/server/src/engine/pool/sending.rs
@@ -75,7 +75,7 @@
     /// Claims a dispatch for sending. Returns false, and withholds it, if it may not be sent any more: its client has
     /// left, it is too late, the engine drains, the job has withheld it, or the job's record forbids it.
     fn claim_dispatch(&self, request: &EngineRequest, gate: &SendGate, now: Timestamp) -> bool {
-        let is_over = !request.liveness.still_wanted() || now >= request.begin_by;
+        let is_over = !request.liveness.is_waiting() || now >= request.begin_by;
         if is_over || !self.accepts_dispatches.load(SeqCst) || !gate.try_begin_send() {
             tracing::debug!(job = %request.id, engine = %self.name, "dispatch withheld");
             gate.withhold_if_queued();
--- a/crates/server/src/engine/registry_loop.rs
+++ b/crates/server/src/engine/registry_loop.rs
@@ -139,7 +139,7 @@
         if let Some(other) = self.pools.get_mut(&other) {
             other.close_longest_idle();
         }
-        counters::MADE_ROOM.add();
+        counters::CONNECTIONS_EVICTED.increment();
         if let Some(pool) = self.pools.get_mut(&id) {
             pool.assign_waiting(&self.context);
         }
--- a/crates/server/src/engine/request.rs
+++ b/crates/server/src/engine/request.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::engine::EngineMessage;
 use crate::engine::dispatch_ledger::DispatchLedger;
-use crate::session::client_session::ClientLiveness;
+use crate::session::cancellation::ClientLiveness;
 use pebblevane::interface::{DispatchStatus, LoadReport};
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::Arc;
