--- a/crates/server/src/engine/endpoint_updates.rs
+++ b/crates/server/src/engine/endpoint_updates.rs
@@ -30,8 +30,8 @@
     pub(crate) removed: bool,
 }
 
-/// The pending updates of all engines, one entry an engine. None is ever lost, and recording one waits for no pool:
-/// the `engines` thread may be waiting for whoever records it.
+/// The pending updates of all engines, one entry an engine, so that none is ever lost and recording one never waits for
+/// room. It does wait while the `engines` thread applies earlier ones.
 #[derive(Default)]
 pub(crate) struct EndpointUpdates {
     pending: Mutex<BTreeMap<PoolId, EndpointUpdate>>,
@@ -51,7 +51,7 @@
         self.changed.swap(false, SeqCst)
     }
 
-    /// The updates that wait to be applied.
+    /// The updates that wait to be applied, locked.
     pub(crate) fn pending(&self) -> MutexGuard<'_, BTreeMap<PoolId, EndpointUpdate>> {
         // A panic ends the program, so that nobody sees what a panic left behind.
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
--- a/crates/server/src/engine/mod.rs
+++ b/crates/server/src/engine/mod.rs
@@ -15,6 +15,6 @@
 mod pool;
 pub mod registry;
 mod registry_loop;
-pub mod request;
+mod request;
 mod send_gate;
 mod socket_poller;
--- a/crates/server/src/engine/pool/connecting.rs
+++ b/crates/server/src/engine/pool/connecting.rs
@@ -40,7 +40,8 @@
     /// A connection was made, or could not be.
     pub(super) fn dialed(&mut self, dialed: Result<DialedConnection, ConnectError>, context: &PoolContext) {
         self.dials_in_progress -= 1;
-        self.report_lost_dispatches(dialed.is_ok());
+        let engine_reachable = dialed.is_ok();
+        self.report_lost_dispatches(engine_reachable);
         let connected =
             dialed.and_then(|dialed| self.add_connection(dialed, context).map_err(ConnectError::Setup));
         match connected {
--- a/crates/server/src/engine/pool/results.rs
+++ b/crates/server/src/engine/pool/results.rs
@@ -140,8 +140,8 @@
 
     /// After a stale connection, others that are idle for as long may be stale, too.
     fn learn_from_stale(&mut self, connection: &EngineConnection) {
-        let is_mute = connection.last_received <= connection.last_change;
-        let ended_at_once = is_mute && connection.last_change.elapsed() < STALE_WITHIN;
+        let was_silent = connection.last_received <= connection.last_change;
+        let ended_at_once = was_silent && connection.last_change.elapsed() < STALE_WITHIN;
         if let Some(idle_before_use) = connection.idle_before_use.filter(|_| ended_at_once) {
             self.reuse_limit.lower(idle_before_use);
         }
@@ -151,7 +151,8 @@
     fn probe_after_loss(&mut self, context: &PoolContext) {
         let needs_probe = !self.lost_dispatches.is_empty() && self.dials_in_progress == 0;
         if needs_probe && !self.start_dial(context) {
-            self.report_lost_dispatches(false);
+            let engine_reachable = false;
+            self.report_lost_dispatches(engine_reachable);
         }
     }
 
--- a/crates/server/src/engine/registry.rs
+++ b/crates/server/src/engine/registry.rs
@@ -11,7 +11,7 @@
 use crate::engine::socket_poller::SocketPoller;
 use crate::lifecycle::threads::{STACK_BYTES, SpawnThread, spawn_required};
 use crate::limits::ResourceBudget;
-use crossbeam_channel::{Sender, TrySendError, bounded};
+use crossbeam_channel::{Sender, bounded};
 use pebblevane::time::Timestamp;
 use std::io;
 use std::sync::Arc;
@@ -73,8 +73,6 @@
     pub(crate) fn update_endpoint(&self, pool: PoolId, change: impl FnOnce(&mut EndpointUpdate)) {
         self.updates.record(pool, change);
         // Where too many messages wait, the thread is awake and looks before the next of them.
-        match self.messages.try_send(RegistryMessage::Wakeup) {
-            Ok(()) | Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {}
-        }
+        let _ = self.messages.try_send(RegistryMessage::Wakeup);
     }
 }
--- a/crates/server/src/engine/registry_loop.rs
+++ b/crates/server/src/engine/registry_loop.rs
@@ -74,6 +74,7 @@
             return;
         }
         let updates = self.updates.clone();
+        // The lock is held until all are applied.
         for (pool, update) in std::mem::take(&mut *updates.pending()) {
             self.apply_update(pool, update);
         }
--- a/crates/server/src/engine/socket_poller.rs
+++ b/crates/server/src/engine/socket_poller.rs
@@ -144,7 +144,7 @@
         let (new_connections, added) = bounded(NEW_CONNECTIONS_CAPACITY);
         let waker = retry_transient_errors(|| Waker::new(poll.registry(), WAKE_TOKEN))?;
         let poll_loop = PollLoop { poll, added, read_halves: HashMap::new(), next_token: 0 };
-        spawn_required("engine words", STACK_BYTES, move || poll_loop.run())?;
+        spawn_required("engine reader", STACK_BYTES, move || poll_loop.run())?;
         Ok(Arc::new(SocketPoller { new_connections, waker }))
     }
 
