--- /dev/null
+++ b/crates/server/tests/server/cancellation.rs
@@ -0,0 +1,119 @@
+//! Rule 1: nothing is sent for a client that has cancelled or left.
+
+use crate::support::SingleEngine;
+use crate::support::client::{Client, encode_request, wire_id};
+use crate::support::config::ProgramConfig;
+use crate::support::engines::EngineStandIns;
+use crate::support::event_bus::{EventBusStandIn, IN_SERVICE, TERMINATING, endpoint};
+use crate::support::program::Program;
+use expect_test::expect;
+use std::time::Duration;
+
+#[test]
+fn dispatches_of_clients_that_cancelled_or_left_are_cancelled() {
+    let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
+    client.submit(1, "lookup", 9000);
+    let mut trace = vec![engines.next_line().field(0).to_string()];
+    client.cancel(1);
+    trace.push(engines.next_line().line);
+    let mut other = program.connect();
+    other.submit(2, "load", 9000);
+    engines.next_line().reply("INFO", "-", "");
+    other.disconnect();
+    trace.push(engines.next_line().line);
+    // The first connection is as it was, and nothing was answered on it.
+    client.submit(3, "lookup", 9000);
+    engines.next_line().reply("HIT", "-", "");
+    trace.push(client.next_answer());
+    expect![[r"
+        REQ
+        STOP 0000000000000001
+        STOP 0000000000000002
+        3: done "]]
+    .assert_eq(&trace.join("\n"));
+}
+
+/// The client cancels, or leaves, while the program is suspended, so that it reads the job and its end at once.
+#[test]
+fn a_job_cancelled_before_it_was_read_is_never_dispatched() {
+    let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
+    let (mut leaver, mut other) = (program.connect(), program.connect());
+    for client in [&mut client, &mut leaver, &mut other] {
+        client.request_health(99);
+        assert_eq!(client.next_answer(), "99: well true");
+    }
+    program.while_suspended(|| {
+        (1..20).for_each(|message| client.submit(message, "load", 9000));
+        (1..20).for_each(|message| client.cancel(message));
+        (20..40).for_each(|message| leaver.submit(message, "load", 9000));
+        leaver.disconnect();
+    });
+    client.request_health(98);
+    assert_eq!(client.next_answer(), "98: well true");
+    other.submit(50, "load", 9000);
+    let seen = engines.next_line();
+    assert_eq!((seen.field(0), seen.field(1)), ("REQ", &*wire_id(50)));
+    seen.reply("HIT", "-", "");
+    assert_eq!(other.next_answer(), "50: done ");
+    engines.expect_silence();
+}
+
+/// A client that has sent unusable requests is read late, but not so late that its cancellation is heard after 0.1 s.
+#[test]
+fn a_cancellation_is_read_in_time_after_unusable_requests() {
+    let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
+    // So that no connection counts as silent, which would be closed instead of getting the cancellation.
+    let config = ProgramConfig::new(&engines, &bus.address).dial_timeout_ms(9000.0);
+    let program = Program::start_with(config);
+    let (mut client, mut other) = (program.connect(), program.connect());
+    client.submit(1, "load", 9000);
+    assert_eq!(engines.next_line().field(0), "REQ");
+    for message in 2..32 {
+        client.send_raw(&encode_request(message, "nonsense", &[], ""));
+        assert!(client.next_answer().contains("unknown reservation type"));
+    }
+    client.cancel(1);
+    std::thread::sleep(Duration::from_millis(60));
+    other.submit(40, "load", 9000);
+    let order: Vec<String> = (0..2).map(|_| engines.next_line().field(0).to_string()).collect();
+    assert_eq!(order, ["STOP", "REQ"]);
+}
+
+/// Clients have left, or cancelled, while the program was suspended and has much else to read first: their jobs, which wait
+/// for an engine, are not dispatched when one is listed in the same moment.
+#[test]
+fn a_job_is_not_dispatched_while_its_clients_departure_is_unread() {
+    const JOBS: u32 = 24;
+    const BUSY_CLIENTS: usize = 40;
+    const HEALTH_REQUESTS: usize = 4000;
+    let (engines, mut bus) = (EngineStandIns::start(1), EventBusStandIn::start());
+    let draining = endpoint("e0", &engines.addresses[0], TERMINATING);
+    let config = ProgramConfig::new(&engines, &bus.address).known_endpoints(&[draining]);
+    let program = Program::start_with(config);
+    assert_eq!(bus.next_subscription(), "from 1");
+    bus.send_update(2, &[endpoint("e1", "127.0.0.1:1", TERMINATING)]);
+    let mut busy_clients: Vec<Client> = (0..BUSY_CLIENTS).map(|_| program.connect()).collect();
+    let mut clients: Vec<Client> = (0..JOBS).map(|_| program.connect()).collect();
+    for (message, client) in (1..).zip(&mut clients) {
+        client.submit(message, "load", 9000);
+        client.request_health(99);
+        assert_eq!(client.next_answer(), "99: well true");
+    }
+    program.while_suspended(|| {
+        for client in &mut busy_clients {
+            let requests = b"\x94\x00\x01\xa6isWell\x91\x80".repeat(HEALTH_REQUESTS);
+            client.send_raw(&requests);
+        }
+        for (message, client) in (1..).zip(&mut clients) {
+            if message % 2 == 0 { client.disconnect() } else { client.cancel(message) }
+        }
+        std::thread::sleep(Duration::from_millis(150));
+        bus.send_update(3, &[endpoint("e0", &engines.addresses[0], IN_SERVICE)]);
+    });
+    program.wait_for_log("endpoint list changed event=3 ");
+    let mut sent = 0;
+    while let Some(seen) = engines.next_line_if_soon() {
+        sent += u32::from(seen.field(0) == "REQ");
+    }
+    expect!["0 of 24 sent"].assert_eq(&format!("{sent} of {JOBS} sent"));
+}
--- a/crates/server/tests/owners.rs
+++ b/crates/server/tests/server/connection_pool.rs
@@ -1,38 +1,39 @@
-//! The owners of connections to engines alone, over real connections, without the module and the program around them.
+//! The pool of connections to engines alone, over real connections, without the controller and the program around it.
+//! Rule 1: nothing is sent for a client that has left; rule 2: nor after the time by which it had to begin.
 
-#[allow(dead_code)] // each test file uses a part of them
-mod helpers;
+use crate::support::engines::UnacceptingEngine;
 use expect_test::expect;
-use helpers::Crowded;
 use pebblevane::time::TimeDelta;
 use pebblevane_server::config::connection_settings::ConnectionSettings;
 use pebblevane_server::config::retry_semantics::RetrySemantics;
 use pebblevane_server::engine::dispatch_ledger::DispatchLedger;
 use pebblevane_server::engine::handle::{DispatchHandle, EngineHandle, Request};
 use pebblevane_server::engine::registry::EngineRegistry;
-use pebblevane_server::lifecycle::clock;
-use pebblevane_server::lifecycle::threads;
+use pebblevane_server::lifecycle::{clock, threads};
 use pebblevane_server::limits::ResourceBudget;
 use pebblevane_server::session::client_session::CancellationToken;
+use std::fmt::Write as _;
 use std::io::Read;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::Duration;
 
-/// Threads with such a name can't be made while this is set.
-const REFUSED: &str = "dial refused";
-static REFUSES: AtomicBool = AtomicBool::new(false);
+/// Name of the thread that connects to an engine called `refused`; no other test of this binary has one.
+const REFUSED_THREAD: &str = "dial refused";
+
+/// Threads of that name can't be started while this is set.
+static REFUSES_THREADS: AtomicBool = AtomicBool::new(false);
 
 fn spawn_or_refuse(name: &str, stack_bytes: usize, body: Box<dyn FnOnce() + Send>) -> std::io::Result<()> {
-    if name == REFUSED && REFUSES.load(SeqCst) {
+    if name == REFUSED_THREAD && REFUSES_THREADS.load(SeqCst) {
         return Err(std::io::ErrorKind::WouldBlock.into());
     }
     threads::spawn(name, stack_bytes, body)
 }
 
-/// Owners that wait long for a connection and have a few of them.
-fn start_owners() -> Arc<EngineRegistry> {
-    let terms = ConnectionSettings {
+/// A pool that waits long for a connection and may have a few of them.
+fn start_pool() -> Arc<EngineRegistry> {
+    let settings = ConnectionSettings {
         streams: 32,
         dial: Duration::from_secs(9),
         idle: Duration::from_secs(9),
@@ -40,19 +41,19 @@
         connections: 8,
         reports: false,
     };
-    EngineRegistry::start(terms, ResourceBudget::new(8), clock::now, spawn_or_refuse).unwrap()
+    EngineRegistry::start(settings, ResourceBudget::new(8), clock::now, spawn_or_refuse).unwrap()
 }
 
-/// What waits for a connection is looked at once more when that has come up: what nobody wants any more, or what had to
-/// begin before that, never leaves, though nobody has recalled it yet, and its engine is not at fault. The rest leaves.
+/// A dispatch that waits for a connection is checked again when that is established. Where its client has left, or it had
+/// to begin earlier, it is never sent, though nobody has cancelled it yet, and the engine counts as reachable.
 #[test]
-fn the_last_look_before_the_first_byte_knows_what_may_not_leave() {
-    let owners = start_owners();
+fn a_dispatch_is_checked_again_before_its_first_byte() {
+    let pool = start_pool();
     let rules = RetrySemantics::RunOnce;
     let mut trace = String::new();
     for what in ["wanted", "left", "late"] {
-        let crowded = Crowded::start();
-        let engine = EngineHandle::new(&owners, "e0", crowded.address.parse().unwrap());
+        let unaccepting = UnacceptingEngine::start();
+        let engine = EngineHandle::new(&pool, "e0", unaccepting.address.parse().unwrap());
         let wanted = Arc::new(CancellationToken::default());
         let far = clock::now() + TimeDelta(60_000_000);
         let request = Request {
@@ -71,7 +72,7 @@
             "late" => std::thread::sleep(Duration::from_millis(150)),
             _ => {}
         }
-        let mut stream = crowded.accept();
+        let mut stream = unaccepting.accept();
         let heard = if what == "wanted" {
             "out".to_string()
         } else {
@@ -82,10 +83,10 @@
         engine.gone();
         drop(out);
         if what != "wanted" {
-            // Its owner is over with the job, and closes the connection on which nothing was ever written.
+            // The pool has done with the job, and closes the connection on which nothing was ever written.
             assert_eq!(stream.read(&mut word).unwrap_or(0), 0);
         }
-        trace += &format!("{what}: {heard}, {:?} read\n", String::from_utf8_lossy(&word[..read]));
+        writeln!(trace, "{what}: {heard}, {:?} read", String::from_utf8_lossy(&word[..read])).unwrap();
     }
     expect![[r#"
         wanted: out, "REQ" read
@@ -95,14 +96,14 @@
     .assert_eq(&trace);
 }
 
-/// While one connection is being made and no thread can be made for a second one, the owners go on with what else there
-/// is: here a dispatch that is given up.
+/// While one connection is being established and no thread can be started for a second one, the pool goes on with its
+/// other work: here with a dispatch that is cancelled.
 #[test]
-fn owners_go_on_where_no_thread_can_be_made() {
+fn the_pool_goes_on_when_no_thread_can_be_started() {
     let far = clock::now() + TimeDelta(60_000_000);
-    let owners = start_owners();
-    let crowded = Crowded::start();
-    let engine = EngineHandle::new(&owners, "refused", crowded.address.parse().unwrap());
+    let pool = start_pool();
+    let unaccepting = UnacceptingEngine::start();
+    let engine = EngineHandle::new(&pool, "refused", unaccepting.address.parse().unwrap());
     let request = |id: &str| Request {
         id: id.into(),
         class: "load".into(),
@@ -114,16 +115,16 @@
         statement: b"select 1".as_slice().into(),
     };
     let first = engine.send(request("0000000000000001"));
-    // Its connection is under way once another order has been carried out behind it.
-    let ended = |given_up: crossbeam_channel::Receiver<()>| {
-        given_up.recv_timeout(Duration::from_secs(5))
+    // Its connection is being established once a later command has been carried out.
+    let ended = |cancelled: crossbeam_channel::Receiver<()>| {
+        cancelled.recv_timeout(Duration::from_secs(5))
             == Err(crossbeam_channel::RecvTimeoutError::Disconnected)
     };
-    let behind = EngineHandle::new(&owners, "behind", crowded.address.parse().unwrap());
+    let behind = EngineHandle::new(&pool, "behind", unaccepting.address.parse().unwrap());
     assert!(ended(behind.send(request("0000000000000002")).give_up()));
-    REFUSES.store(true, SeqCst);
+    REFUSES_THREADS.store(true, SeqCst);
     let second = engine.send(request("0000000000000003"));
-    assert!(ended(second.give_up()), "the owners do nothing else");
-    REFUSES.store(false, SeqCst);
+    assert!(ended(second.give_up()), "the pool does nothing else");
+    REFUSES_THREADS.store(false, SeqCst);
     assert!(ended(first.give_up()));
 }
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/server/decoding.rs
@@ -1,11 +1,11 @@
-//! What is decoded from outside bytes: the wire's modules alone, without the program.
+//! What is decoded from bytes of others: the codecs alone, without the program.
 
 use pebblevane_server::codec::{client, engine, event_bus, sql};
 
-/// A generator of chance numbers (xorshift), the same for each run.
-struct Chance(u64);
+/// A generator of random numbers (xorshift), the same for each run.
+struct Xorshift(u64);
 
-impl Chance {
+impl Xorshift {
     fn below(&mut self, most: usize) -> usize {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -13,7 +13,7 @@
         (self.0 % most.max(1) as u64) as usize
     }
     /// Changes a byte, cuts, repeats a part or puts one elsewhere, up to three times.
-    fn spoil(&mut self, mut bytes: Vec<u8>) -> Vec<u8> {
+    fn corrupt(&mut self, mut bytes: Vec<u8>) -> Vec<u8> {
         for _ in 0..=self.below(3) {
             let (at, other) = (self.below(bytes.len()), self.below(bytes.len()));
             let part = bytes[at.min(other)..at.max(other)].to_vec();
@@ -30,20 +30,20 @@
     }
 }
 
-/// Bytes from outside that are spoilt in any way are refused or read as something that is whole: nothing
-/// panics, nothing is read past the end, and no page is passed on but one of whole rows.
+/// Bytes of others that are corrupted in any way are rejected or decoded as something complete: nothing panics, nothing is
+/// read past the end, and no page is passed on but one of complete rows.
 #[test]
-fn spoilt_bytes_are_refused_or_whole() {
+fn malformed_bytes_are_rejected_or_decoded_completely() {
     let request = b"\x94\x00\x07\xa6lookup\x92\x83\xa1i\xb09b1f03aa5c7e2d41\xa1d\xa41500\xa1h\xa5820.0\
         \xc4\x1dselect * from sales_17.orders\x93\x02\xa6forget\x91\x07";
     let answer = b"9b1f03aa5c7e2d41 HIT sheets=2,toil=12.5,room=64,meter=queue:7;util:0.6 12\r\na\tb\tc\nd\te\tf\n\r\n\
         9b1f03aa5c7e2d41 PART sheet=1 6\r\ng\th\ti\n\r\np1 PONG meter=util:0.1 0\r\n\r\n9b1f03aa5c7e2d41 INFO tell=disk,val=9 0\r\n\r\n";
     let event = br#"{"offset":41,"topology":{"generation":7,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:9",
         "zone":"east","machineType":"std","cell":2,"lifecycle":"in_service","weight":4,"startedAtMs":0}]}}"#;
-    let (types, mut chance) = (["lookup".to_string()], Chance(0x9e3779b97f4a7c15));
+    let (types, mut random) = (["lookup".to_string()], Xorshift(0x9e37_79b9_7f4a_7c15));
     let (mut jobs, mut pages, mut events) = (0, 0, 0);
     for _ in 0..30_000 {
-        let bytes = chance.spoil(request.to_vec());
+        let bytes = random.corrupt(request.to_vec());
         let mut rest = &bytes[..];
         while let client::Frame::Whole(length) = client::frame(rest) {
             if let Some(client::Message::Job(ask)) = client::decode(&rest[..length], &types) {
@@ -53,7 +53,7 @@
             }
             rest = &rest[length..];
         }
-        let bytes = chance.spoil(answer.to_vec());
+        let bytes = random.corrupt(answer.to_vec());
         let mut rest = &bytes[..];
         while let Ok(Some((length, _, word))) = engine::next(rest) {
             if let engine::EngineMessage::Hit { page, .. } | engine::EngineMessage::Part { page, .. } = word {
@@ -64,15 +64,15 @@
             }
             rest = &rest[length..];
         }
-        let bytes = chance.spoil(event.to_vec());
+        let bytes = random.corrupt(event.to_vec());
         events += usize::from(event_bus::line(&String::from_utf8_lossy(&bytes)).is_ok());
     }
-    // Some come through, or nothing was tried.
+    // Some are decoded, or nothing was tried.
     assert!(jobs > 1000 && pages > 1000 && events > 1000, "{jobs} {pages} {events}");
 }
 
 #[test]
-fn the_group_is_found_in_odd_statements() {
+fn the_table_group_is_found_in_unusual_statements() {
     let table = [
         ("select * from sales_17.orders", Some(17)),
         ("SELECT id, n\n  FROM\n mart_4 . lines", Some(4)),
--- /dev/null
+++ b/crates/server/tests/server/dispatch_outcomes.rs
@@ -0,0 +1,199 @@
+//! Rule 2: what each end of a dispatch proves, and what follows from that for jobs that must not run twice.
+
+use crate::support::SingleEngine;
+use crate::support::config::ProgramConfig;
+use crate::support::engines::{EngineStandIns, ReceivedLine, UnacceptingEngine};
+use crate::support::event_bus::{EventBusStandIn, IN_SERVICE, TERMINATING, endpoint};
+use crate::support::program::Program;
+use expect_test::expect;
+use std::fmt::Write as _;
+use std::time::Duration;
+
+/// What an engine can do to a dispatch, and what follows for a job that may be retried and for one that must not run twice:
+/// the second is retried only where nothing can have run.
+#[test]
+fn a_non_idempotent_job_is_retried_only_where_nothing_can_have_run() {
+    fn end(what: &str, seen: &ReceivedLine) {
+        match what {
+            "full" => seen.reply("SHED", "-", ""),
+            "over" => seen.reply("LATE", "-", ""),
+            "error" => seen.reply("FAULT", "-", ""),
+            "reset" => seen.close_connection(),
+            "garbage" => seen.send_raw(b"what?\r\n"),
+            _ => {
+                seen.reply("HIT", "sheets=2", "0");
+                seen.close_connection();
+            }
+        }
+    }
+    // Each dispatch ends the same way until the job is answered. A full engine is tried again every 500 ms; no
+    // such time is near the job's end.
+    let run = |what: &'static str, class: &'static str| {
+        move || {
+            let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+            client.submit(1, class, 1250);
+            let answer = std::thread::spawn(move || client.next_answer());
+            let mut sends = 0;
+            while !answer.is_finished() {
+                if let Some(seen) = engines.next_line_if_soon().filter(|seen| seen.field(0) == "REQ") {
+                    sends += 1;
+                    end(what, &seen);
+                }
+            }
+            let again = if sends > 1 { "sent again" } else { "sent once" };
+            format!("{what} {class}: {again}, {}\n", answer.join().unwrap())
+        }
+    };
+    let ends = ["full", "over", "error", "reset", "garbage", "head only"];
+    let cases = ends.iter().flat_map(|what| [(what, "lookup"), (what, "load")]);
+    let runs: Vec<_> = cases.map(|(what, class)| std::thread::spawn(run(what, class))).collect();
+    let trace: String = runs.into_iter().map(|run| run.join().unwrap()).collect();
+    expect![[r"
+        full lookup: sent again, 1: Busy w=1000
+        full load: sent again, 1: Busy w=1000
+        over lookup: sent once, 1: Busy w=1000
+        over load: sent once, 1: Busy w=1000
+        error lookup: sent again, 1: Busy w=1000
+        error load: sent once, 1: Failed why=cancelled
+        reset lookup: sent again, 1: Busy w=1000
+        reset load: sent once, 1: Failed why=cancelled
+        garbage lookup: sent again, 1: Busy w=1000
+        garbage load: sent once, 1: Failed why=cancelled
+        head only lookup: sent again, 1: Busy w=1000
+        head only load: sent once, 1: Failed why=cancelled
+    "]]
+    .assert_eq(&trace);
+}
+
+/// Nothing ran where no connection was established, so that even a job that must not run twice may go to another engine.
+#[test]
+fn a_non_idempotent_job_is_retried_after_a_refused_connection() {
+    let (mut engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
+    engines.add_unreachable();
+    let program = Program::start(&engines, &bus);
+    let mut client = program.connect();
+    for message in 1..=8 {
+        client.submit(message, "load", 9000);
+        engines.next_line().reply("HIT", "-", "");
+        assert_eq!(client.next_answer(), format!("{message}: done "));
+    }
+}
+
+/// No later dispatch uses that connection, and those on other connections go on.
+#[test]
+fn a_silent_dispatch_ends_with_its_deadline_and_its_connection_is_not_reused() {
+    let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+    client.submit(1, "load", 9000);
+    let other = engines.next_line();
+    client.submit(2, "load", 1500);
+    let silent = engines.next_line();
+    let mut trace = vec![client.next_answer()];
+    client.submit(3, "load", 9000);
+    let third = engines.next_line();
+    trace.push(format!(
+        "beside: {} {}",
+        third.shares_connection_with(&silent),
+        third.shares_connection_with(&other)
+    ));
+    silent.reply("HIT", "-", "too late");
+    third.reply("HIT", "-", "later");
+    trace.push(client.next_answer());
+    other.reply("HIT", "-", "in time");
+    trace.push(client.next_answer());
+    expect![[r"
+        2: Failed why=cancelled
+        beside: false false
+        3: done later\tb\tc\n
+        1: done in time\tb\tc\n"]]
+    .assert_eq(&trace.join("\n"));
+}
+
+/// Connections are reset again and again, idle or in use, and the engine accepts new ones.
+#[test]
+fn connection_resets_do_not_eject_an_engine_that_accepts_new_ones() {
+    let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+    for message in 1..=12 {
+        client.submit(message, "lookup", 9000);
+        engines.next_line().close_connection();
+        engines.next_line().reply("HIT", "-", "");
+        assert_eq!(client.next_answer(), format!("{message}: done "));
+    }
+    client.submit(20, "lookup", 9000);
+    for _ in 0..3 {
+        engines.next_line().close_connection();
+    }
+    engines.next_line().reply("HIT", "-", "");
+    assert_eq!(client.next_answer(), "20: done ");
+}
+
+/// There no late answer of the earlier attempt can be taken for its own.
+#[test]
+fn a_retry_uses_another_connection() {
+    let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+    client.submit(1, "lookup", 9000);
+    let first = engines.next_line();
+    first.reply("FAULT", "-", "");
+    let second = engines.next_line();
+    first.reply("HIT", "-", "late and wrong");
+    second.reply("HIT", "-", "right");
+    expect![[r"1: done right\tb\tc\n"]].assert_eq(&client.next_answer());
+}
+
+/// A retry of what may have run is sent within its deduplication window or never, however late its connection is
+/// established: here after a second, when the window is over. The job is rejected at the window's end, and its client may
+/// try again.
+#[test]
+fn a_retry_is_not_sent_once_its_deduplication_window_has_closed() {
+    let (engines, mut bus) = (EngineStandIns::start(1), EventBusStandIn::start());
+    let config =
+        ProgramConfig::new(&engines, &bus.address).idempotency_key_for_loads(600.0).dial_timeout_ms(9000.0);
+    let mut program = Program::start_with(config);
+    let mut client = program.connect();
+    let unaccepting = UnacceptingEngine::start();
+    client.submit(1, "load", 20_000);
+    let first = engines.next_line();
+    let endpoints = vec![
+        endpoint("e0", &engines.addresses[0], TERMINATING),
+        endpoint("e1", &unaccepting.address, IN_SERVICE),
+    ];
+    bus.send_update(2, &endpoints);
+    program.wait_for_log("endpoint list changed event=2 ");
+    first.close_connection();
+    std::thread::sleep(Duration::from_millis(700));
+    let mut late = unaccepting.accept();
+    program.signal("TERM");
+    let answer = client.next_answer();
+    program.wait_for_exit();
+    let mut read = Vec::new();
+    let _ = std::io::Read::read_to_end(&mut late, &mut read);
+    expect!["1: Busy w=1000, read there: "]
+        .assert_eq(&format!("{answer}, read there: {}", String::from_utf8_lossy(&read)));
+}
+
+/// An engine that has reported progress has begun: that it rejects the job after that proves nothing.
+#[test]
+fn a_rejection_by_the_engine_after_progress_does_not_prove_that_nothing_ran() {
+    let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+    let mut trace = String::new();
+    let words = [("LATE", "advance,val=0.4"), ("SHED", "advance,val=0.4"), ("SHED", "disk,val=20")];
+    for (message, (word, note)) in (1..).zip(words) {
+        client.submit(message, "load", 9000);
+        let seen = engines.next_line();
+        seen.reply("INFO", &format!("tell={note}"), "");
+        seen.reply(word, "-", "");
+        writeln!(trace, "{word} after {note}: {}", client.next_answer()).unwrap();
+    }
+    // A job that waits for memory has not begun.
+    client.submit(4, "load", 9000);
+    let seen = engines.next_line();
+    seen.reply("INFO", "tell=stall,val=1", "");
+    seen.reply("LATE", "-", "");
+    writeln!(trace, "LATE after stall: {}", client.next_answer()).unwrap();
+    expect![[r"
+        LATE after advance,val=0.4: 1: Failed why=cancelled
+        SHED after advance,val=0.4: 2: Failed why=cancelled
+        SHED after disk,val=20: 3: Failed why=cancelled
+        LATE after stall: 4: Busy w=1000
+    "]]
+    .assert_eq(&trace);
+}
--- /dev/null
+++ b/crates/server/tests/server/event_bus.rs
@@ -0,0 +1,138 @@
+//! The endpoint list, as the event bus tells it, through faults of the bus and of its connections. Rule 3 rests on it.
+
+use crate::support::SingleEngine;
+use crate::support::config::ProgramConfig;
+use crate::support::engines::EngineStandIns;
+use crate::support::event_bus::{
+    EventBusStandIn, IN_SERVICE, TERMINATED, TERMINATING, endpoint, snapshot_event, update_event,
+};
+use crate::support::program::Program;
+use expect_test::expect;
+use serde_json::{Value as Json, json};
+use std::fmt::Write as _;
+use std::net::TcpListener;
+use std::time::{Duration, Instant};
+
+/// The bus is unreachable at the start, repeats and skips events, sends malformed lines and is disconnected.
+#[test]
+fn the_endpoint_list_is_kept_through_faults_of_the_event_bus() {
+    let mut engines = EngineStandIns::start(2);
+    // An address of its own, so that nobody else is given the port meanwhile.
+    let unreachable = TcpListener::bind("127.0.0.77:0").unwrap().local_addr().unwrap().to_string();
+    let first = endpoint("e0", &engines.addresses[0], IN_SERVICE);
+    let program = Program::start_with(ProgramConfig::new(&engines, &unreachable).known_endpoints(&[first]));
+    let mut client = program.connect();
+    let mut message = 0;
+    let mut goes_to = |engines: &EngineStandIns| {
+        message += 1;
+        client.submit(message, "lookup", 9000);
+        let seen = engines.next_line();
+        seen.reply("HIT", "-", "");
+        assert_eq!(client.next_answer(), format!("{message}: done "));
+        seen.engine
+    };
+    let mut trace = format!("at the start: engine {}\n", goes_to(&engines));
+    let mut bus = EventBusStandIn::listen(&unreachable, 1);
+    writeln!(trace, "{}", bus.next_subscription()).unwrap();
+    bus.send_line("nonsense");
+    bus.send_raw(b"\xff\xfe\n");
+    bus.send_snapshot(1, &[]);
+    bus.send_update(2, &[json!({"instanceId": 7}), endpoint("e1", &engines.addresses[1], IN_SERVICE)]);
+    bus.send_update(2, &[endpoint("e1", &engines.addresses[1], TERMINATED)]);
+    bus.send_line(&update_event(4, &[endpoint("e1", &engines.addresses[1], TERMINATED)]).to_string());
+    writeln!(trace, "after a gap: {}", bus.next_subscription()).unwrap();
+    bus.send_update(3, &[endpoint("e0", &engines.addresses[0], TERMINATING)]);
+    bus.disconnect();
+    writeln!(trace, "after a cut: {}", bus.next_subscription()).unwrap();
+    writeln!(trace, "e0 drains: engine {}", goes_to(&engines)).unwrap();
+    // An event that is missing a second time, too, is skipped.
+    bus.send_line(&update_event(5, &[]).to_string());
+    writeln!(trace, "after a gap: {}", bus.next_subscription()).unwrap();
+    bus.send_line(&update_event(5, &[]).to_string());
+    bus.disconnect();
+    writeln!(trace, "after the same gap: {}", bus.next_subscription()).unwrap();
+    // A new engine at the address of one that has gone, in a list that is complete.
+    engines.add("127.0.0.1:0");
+    bus.send_snapshot(6, &[endpoint("e2", &engines.addresses[2], IN_SERVICE)]);
+    bus.disconnect();
+    bus.next_subscription();
+    writeln!(trace, "a new list: engine {}", goes_to(&engines)).unwrap();
+    expect![[r"
+        at the start: engine 0
+        from 1
+        after a gap: from 2
+        after a cut: from 3
+        e0 drains: engine 1
+        after a gap: from 3
+        after the same gap: from 5
+        a new list: engine 2
+    "]]
+    .assert_eq(&trace);
+}
+
+/// Its silence is noticed by the missing heartbeat.
+#[test]
+fn a_silent_event_bus_is_reconnected() {
+    let engines = EngineStandIns::start(1);
+    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
+    let _program =
+        Program::start_with(ProgramConfig::new(&engines, &silent.local_addr().unwrap().to_string()));
+    let first = silent.accept().unwrap();
+    let second = silent.accept().unwrap();
+    drop((first, second));
+}
+
+/// A connection to the event bus that is established and stays silent is closed once its first heartbeat is overdue, sooner
+/// than one that has sent something: after two in a row the bus's events still arrive in time.
+#[test]
+fn event_bus_connections_that_never_send_anything_time_out_soon() {
+    let engines = EngineStandIns::start(1);
+    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
+    let _program =
+        Program::start_with(ProgramConfig::new(&engines, &silent.local_addr().unwrap().to_string()));
+    let opened: Vec<_> = (0..3).map(|_| (silent.accept().unwrap(), Instant::now())).collect();
+    let took = opened[2].1 - opened[0].1;
+    // 3.0 s and two pauses of 75 and 150 ms at most; with 2.2 s for each it would be 4.4 s.
+    assert!(took < Duration::from_millis(4200), "{took:?}");
+}
+
+/// A bus that comes back with lower offsets sends events that are known: what is known stays, drains above all, until its
+/// offsets pass. The protocol numbers events once for each start of the program.
+#[test]
+fn an_event_bus_with_lower_offsets_reverts_nothing() {
+    let SingleEngine { engines, mut bus, program, mut client } = SingleEngine::start();
+    bus.send_update(2, &[endpoint("e1", "127.0.0.1:1", IN_SERVICE)]);
+    bus.send_update(3, &[endpoint("e1", "127.0.0.1:1", TERMINATING)]);
+    program.wait_for_log("endpoint list changed event=3 ");
+    bus.disconnect();
+    let mut lower = bus;
+    assert_eq!(lower.next_subscription(), "from 3");
+    lower.send_line("{\"offset\":1}");
+    lower.send_line(&update_event(2, &[endpoint("e0", &engines.addresses[0], TERMINATED)]).to_string());
+    client.submit(1, "lookup", 9000);
+    let mut trace = vec![engines.next_line().engine.to_string()];
+    client.submit(2, "lookup", 9000);
+    engines.complete(2);
+    trace.push(client.next_answer());
+    lower.send_line(&update_event(4, &[endpoint("e0", &engines.addresses[0], TERMINATING)]).to_string());
+    trace.push(
+        program.wait_for_log("endpoint list changed event=4 ").split_once("changed ").unwrap().1.to_string(),
+    );
+    expect!["0|2: done |event=4 entries=1 running=0"].assert_eq(&trace.join("|"));
+}
+
+/// A complete list of 3,200 engines with long names is one line.
+#[test]
+fn an_endpoint_list_of_more_than_a_megabyte_is_read() {
+    let SingleEngine { engines, mut bus, program, mut client } = SingleEngine::start();
+    let long = |i: usize| format!("engine-{i}-{}", "x".repeat(400));
+    let mut entries: Vec<Json> = (0..3200).map(|i| endpoint(&long(i), "127.0.0.1:1", TERMINATING)).collect();
+    entries.push(endpoint("e0", &engines.addresses[0], IN_SERVICE));
+    let line = snapshot_event(2, &entries).to_string();
+    assert!(line.len() > 1024 * 1024);
+    bus.send_line(&line);
+    program.wait_for_log("endpoint list changed event=2 entries=3201 running=1");
+    client.submit(1, "lookup", 9000);
+    engines.next_line().reply("HIT", "-", "");
+    assert_eq!(client.next_answer(), "1: done ");
+}
--- /dev/null
+++ b/crates/server/tests/server/requests.rs
@@ -0,0 +1,152 @@
+//! Requests of clients, from the first byte to the answer.
+
+use crate::support::SingleEngine;
+use crate::support::client::{SELECT, encode_request, wire_id};
+use crate::support::config::ProgramConfig;
+use crate::support::engines::{EngineStandIns, ReceivedLine};
+use crate::support::event_bus::EventBusStandIn;
+use crate::support::program::Program;
+use expect_test::expect;
+use std::collections::BTreeMap;
+use std::fmt::Write as _;
+
+#[test]
+fn a_job_is_dispatched_and_its_rows_are_returned() {
+    let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+    client.submit(7, "lookup", 5000);
+    let seen = engines.next_line();
+    let (head, limit) = seen.line.split_once("limit=").unwrap();
+    let (limit, tail) = limit.split_once(',').unwrap();
+    assert!((2000..=5000).contains(&limit.parse().unwrap()), "{limit}");
+    seen.reply("INFO", "tell=advance,val=0.5", "");
+    seen.reply("HIT", "sheets=1,toil=12.5,room=64", "a");
+    expect![[r"
+        REQ 0000000000000007 cls=lookup,|urgency=3 29
+        select * from sales_17.orders
+        7: done a\tb\tc\n"]]
+    .assert_eq(&format!("{head}|{tail}\n{}\n{}", String::from_utf8_lossy(&seen.body), client.next_answer()));
+}
+
+#[test]
+fn requests_may_arrive_a_byte_at_a_time_or_many_at_once() {
+    let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+    let request =
+        |message| encode_request(message, "lookup", &[("i", &wire_id(message)), ("d", "9000")], SELECT);
+    request(1).chunks(1).for_each(|byte| client.send_raw(byte));
+    engines.next_line().reply("HIT", "-", "one");
+    let mut trace = vec![client.next_answer()];
+    client.send_raw(&(2..=32).flat_map(request).collect::<Vec<u8>>());
+    let mut seen: Vec<ReceivedLine> = (2..=32).map(|_| engines.next_line()).collect();
+    assert!(seen.iter().all(|seen| seen.field(0) == "REQ"));
+    // Answers may come in any order.
+    seen.reverse();
+    for seen in &seen {
+        seen.reply("HIT", "-", "");
+    }
+    let mut answers: Vec<String> = (2..=32).map(|_| client.next_answer()).collect();
+    assert!(answers.iter().all(|answer| answer.ends_with(": done ")));
+    answers.sort();
+    answers.dedup();
+    trace.push(format!("{} answers", answers.len()));
+    expect![[r"
+        1: done one\tb\tc\n
+        31 answers"]]
+    .assert_eq(&trace.join("\n"));
+}
+
+/// The message can be decoded, but a field is missing or out of range.
+#[test]
+fn an_unusable_request_is_answered_with_an_error_and_its_connection_stays_open() {
+    let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+    let name = wire_id(1);
+    let mut trace = String::new();
+    for (message, class, fields) in [
+        (1, "nonsense", vec![("i", name.as_str()), ("d", "900")]),
+        (2, "lookup", vec![("i", name.as_str())]),
+        (3, "lookup", vec![("i", name.as_str()), ("d", "soon")]),
+        (4, "lookup", vec![("i", name.as_str()), ("d", "NaN")]),
+        (5, "lookup", vec![("i", name.as_str()), ("d", "900"), ("h", "-1")]),
+        (6, "lookup", vec![("i", "a b\r\n"), ("d", "900")]),
+        (7, "lookup", vec![("d", "900")]),
+    ] {
+        client.send_raw(&encode_request(message, class, &fields, SELECT));
+        writeln!(trace, "{}", client.next_answer()).unwrap();
+    }
+    client.send_raw(b"\x93\x02\xa5hello\x90");
+    client.submit(8, "lookup", 9000);
+    engines.next_line().reply("HIT", "-", "");
+    trace += &client.next_answer();
+    expect![[r"
+        1: Failed why=unknown reservation type nonsense
+        2: Failed why=field d is missing or odd
+        3: Failed why=field d is missing or odd
+        4: Failed why=field d is missing or odd
+        5: Failed why=field h is missing or odd
+        6: Failed why=field i is missing or odd
+        7: Failed why=field i is missing or odd
+        8: done "]]
+    .assert_eq(&trace);
+}
+
+/// Engines know jobs by their clients' ids: a second job under an open one's id never reaches them. A message number that
+/// is open gets one answer or none.
+#[test]
+fn an_id_of_an_open_request_is_rejected() {
+    let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
+    // So that no connection counts as silent, which would be closed instead of getting the cancellation.
+    let config = ProgramConfig::new(&engines, &bus.address).dial_timeout_ms(9000.0);
+    let program = Program::start_with(config);
+    let mut client = program.connect();
+    client.submit(1, "lookup", 9000);
+    let seen = engines.next_line();
+    let (mut thief, mut double) = (program.connect(), program.connect());
+    let stolen = wire_id(1);
+    thief.send_raw(&encode_request(
+        5,
+        "lookup",
+        &[("i", &stolen), ("d", "9000")],
+        "delete from sales_17.orders",
+    ));
+    let mut trace = format!("{}\n", thief.next_answer());
+    double.submit(7, "lookup", 9000);
+    let _open = engines.next_line();
+    double.request_health(7);
+    writeln!(trace, "{}", double.next_answer()).unwrap();
+    assert_eq!(engines.next_line().field(0), "STOP");
+    seen.reply("HIT", "-", "own");
+    writeln!(trace, "{}", client.next_answer()).unwrap();
+    // It is free again.
+    client.submit(1, "lookup", 9000);
+    engines.next_line().reply("HIT", "-", "again");
+    trace += &client.next_answer();
+    expect![[r"
+        5: Failed why=field i is that of an open request
+        closed
+        1: done own\tb\tc\n
+        1: done again\tb\tc\n"]]
+    .assert_eq(&trace);
+    engines.expect_silence();
+}
+
+/// The table group decides the engines, however the statement is worded.
+#[test]
+fn statements_on_one_table_group_go_to_its_pair_of_engines() {
+    let (engines, bus) = (EngineStandIns::start(6), EventBusStandIn::start());
+    let program = Program::start(&engines, &bus);
+    let mut client = program.connect();
+    let mut engines_used: BTreeMap<usize, u32> = BTreeMap::new();
+    for message in 0..12 {
+        let statement = format!("select '{message}' -- crm_{message}.x\n from \"sales_17\".orders");
+        client.send_raw(&encode_request(
+            message,
+            "lookup",
+            &[("i", &wire_id(message)), ("d", "9000")],
+            &statement,
+        ));
+        let seen = engines.next_line();
+        seen.reply("HIT", "-", "");
+        client.next_answer();
+        *engines_used.entry(seen.engine).or_default() += 1;
+    }
+    assert!(engines_used.len() <= 2, "a hashed pair has two engines: {engines_used:?}");
+}
--- /dev/null
+++ b/crates/server/tests/server/results.rs
@@ -0,0 +1,109 @@
+//! Rule 1: rows reach the client complete and in order, or not at all.
+
+use crate::support::SingleEngine;
+use crate::support::client::wire_id;
+use crate::support::engines::ReceivedLine;
+use expect_test::expect;
+use std::fmt::Write as _;
+
+/// Pages that come out of order, twice, under a number that was not requested or not at all never complete a job with
+/// wrong rows.
+#[test]
+fn result_pages_are_put_in_order_and_checked() {
+    let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+    client.submit(1, "lookup", 5000);
+    let head = engines.next_line();
+    head.reply("HIT", "sheets=4", "0");
+    let asked: Vec<ReceivedLine> = (0..3).map(|_| engines.next_line()).collect();
+    let mut trace: Vec<String> = asked.iter().map(|seen| seen.line.clone()).collect();
+    asked[2].reply("PART", "sheet=3", "3");
+    asked[2].reply("PART", "sheet=9", "9");
+    asked[0].reply("PART", "sheet=1", "1");
+    asked[0].reply("PART", "sheet=1", "again");
+    asked[1].reply("PART", "sheet=2", "2");
+    trace.push(client.next_answer());
+    trace.push(engines.next_line().line);
+    client.submit(2, "load", 5000);
+    engines.next_line().reply("HIT", "sheets=2", "0");
+    let page = engines.next_line();
+    trace.push(page.line.clone());
+    page.reply("FAULT", "-", "");
+    trace.push(client.next_answer());
+    expect![[r"
+        FETCH 0000000000000001 1
+        FETCH 0000000000000001 2
+        FETCH 0000000000000001 3
+        1: done 0\tb\tc\n1\tb\tc\n2\tb\tc\n3\tb\tc\n
+        END 0000000000000001
+        FETCH 0000000000000002 1
+        2: Failed why=cancelled"]]
+    .assert_eq(&trace.join("\n"));
+    engines.expect_silence();
+}
+
+#[test]
+fn a_result_page_over_the_limit_is_not_passed_on() {
+    let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+    client.submit(1, "load", 5000);
+    engines.next_line().reply("HIT", "sheets=1", &"x".repeat(6_001));
+    expect!["1: Failed why=cancelled"].assert_eq(&client.next_answer());
+}
+
+/// An answer that is malformed, or stops in the middle while its connection stays open, never completes a job; nothing more
+/// is sent on that connection, and dispatches on others go on.
+#[test]
+fn a_malformed_engine_answer_closes_only_its_own_connection() {
+    let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+    client.submit(99, "load", 9000);
+    let other = engines.next_line();
+    let mut trace = String::new();
+    for (message, what, answer) in [
+        (1, "stops", "HIT sheets=1 12\r\na\tb"),
+        (2, "noise", "HIT sheets=1 6\r\n\u{1}\u{7}\tb\t\n\r\n"),
+        (3, "two columns", "HIT sheets=1 4\r\na\tb\n\r\n"),
+        (4, "half a row", "HIT sheets=1 5\r\na\tb\tc\r\n"),
+        (5, "length", "HIT sheets=1 3000000000\r\na\tb\tc\n"),
+        (6, "no length", "HIT sheets=1 -4\r\n\r\n"),
+        (7, "endless", &"x".repeat(5000)),
+    ] {
+        client.submit(message, "lookup", 9000);
+        let malformed = engines.next_line();
+        malformed.send_raw(format!("{} {answer}", wire_id(message)).as_bytes());
+        let again = engines.next_line();
+        assert!(!again.shares_connection_with(&malformed) && !again.shares_connection_with(&other));
+        again.reply("HIT", "-", what);
+        writeln!(trace, "{}", client.next_answer()).unwrap();
+    }
+    other.reply("HIT", "-", "other");
+    trace += &client.next_answer();
+    expect![[r"
+        1: done stops\tb\tc\n
+        2: done noise\tb\tc\n
+        3: done two columns\tb\tc\n
+        4: done half a row\tb\tc\n
+        5: done length\tb\tc\n
+        6: done no length\tb\tc\n
+        7: done endless\tb\tc\n
+        99: done other\tb\tc\n"]]
+    .assert_eq(&trace);
+}
+
+#[test]
+fn duplicate_and_unknown_engine_answers_are_dropped() {
+    let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+    client.submit(1, "lookup", 9000);
+    let seen = engines.next_line();
+    seen.reply_as("ffffffffffffffff", "HIT", "-", "not asked for");
+    seen.reply_as("p99", "PONG", "-", "");
+    seen.reply("HIT", "-", "right");
+    seen.reply("HIT", "-", "again");
+    seen.reply("FAULT", "-", "");
+    let mut trace = vec![client.next_answer()];
+    client.submit(2, "lookup", 9000);
+    engines.next_line().reply("HIT", "-", "second");
+    trace.push(client.next_answer());
+    expect![[r"
+        1: done right\tb\tc\n
+        2: done second\tb\tc\n"]]
+    .assert_eq(&trace.join("\n"));
+}
--- /dev/null
+++ b/crates/server/tests/server/shutdown.rs
@@ -0,0 +1,249 @@
+//! Graceful shutdown. Rule 1: every request that was accepted, or is on its way, is answered.
+
+use crate::support::SingleEngine;
+use crate::support::config::ProgramConfig;
+use crate::support::engines::EngineStandIns;
+use crate::support::event_bus::EventBusStandIn;
+use crate::support::program::{PreparedCommand, Program, send_signal};
+use crate::support::unread_answers::{UNREAD_ANSWERS, leave_answers_unread};
+use expect_test::expect;
+use std::fmt::Write as _;
+use std::process::{Command, Stdio};
+use std::time::{Duration, Instant};
+
+/// Told to stop, the program is no longer healthy but answers all that it has accepted, and what still arrives.
+#[test]
+fn a_graceful_shutdown_answers_every_accepted_request() {
+    let SingleEngine { engines, bus: _bus, mut program, mut client } = SingleEngine::start();
+    client.submit(1, "lookup", 9000);
+    let first = engines.next_line();
+    client.submit(2, "load", 9000);
+    let _never = engines.next_line();
+    client.submit(3, "lookup", 9000);
+    let _neither = engines.next_line();
+    program.signal("TERM");
+    let mut other = program.connect();
+    let mut trace = String::new();
+    while trace.is_empty() {
+        other.request_health(1);
+        if other.next_answer().ends_with("false") {
+            trace += "not well\n";
+        }
+    }
+    other.submit(4, "lookup", 9000);
+    engines.next_line().reply("HIT", "-", "late guest");
+    writeln!(trace, "{}", other.next_answer()).unwrap();
+    first.reply("HIT", "-", "first");
+    let mut answers = [client.next_answer(), client.next_answer(), client.next_answer()];
+    answers.sort();
+    trace += &answers.join("\n");
+    write!(trace, "\n{}", program.wait_for_exit()).unwrap();
+    expect![[r"
+        not well
+        4: done late guest\tb\tc\n
+        1: done first\tb\tc\n
+        2: Failed why=cancelled
+        3: Busy w=1000
+        exit status: 0"]]
+    .assert_eq(&trace);
+}
+
+/// After SIGTERM new connections and requests are served for a second. What arrives after that, but before the program has
+/// ended, is answered too: here what the system holds while the program is suspended, on an idle connection and on one
+/// that was never accepted.
+#[test]
+fn requests_that_arrive_at_the_end_of_a_shutdown_are_answered() {
+    let SingleEngine { engines, bus: _bus, mut program, client: mut idle } = SingleEngine::start();
+    let mut old = program.connect();
+    for client in [&mut idle, &mut old] {
+        client.request_health(1);
+        assert_eq!(client.next_answer(), "1: well true");
+    }
+    program.signal("TERM");
+    program.wait_for_log("graceful shutdown started");
+    let mut new = program.while_suspended(|| {
+        std::thread::sleep(Duration::from_millis(1300));
+        old.submit(2, "lookup", 20_000);
+        let mut new = program.connect();
+        new.submit(3, "lookup", 20_000);
+        new
+    });
+    let mut seen = [engines.next_line(), engines.next_line()];
+    // A client with no open request is disconnected, while the others wait for their answers.
+    assert_eq!(idle.next_answer(), "closed");
+    seen.sort_by_key(|seen| seen.field(1).to_string());
+    seen[0].reply("HIT", "-", "old");
+    seen[1].reply("HIT", "-", "new");
+    let mut trace = vec![old.next_answer(), old.next_answer(), new.next_answer(), new.next_answer()];
+    trace.push(program.wait_for_exit().to_string());
+    expect![[r"
+        2: done old\tb\tc\n
+        closed
+        3: done new\tb\tc\n
+        closed
+        exit status: 0"]]
+    .assert_eq(&trace.join("\n"));
+}
+
+/// A connection that was accepted during a shutdown and has not carried a request yet stays open for its first one as long
+/// as the shutdown allows: closing it would lose a request that is on its way.
+#[test]
+fn a_new_connection_may_send_its_first_request_during_a_shutdown() {
+    let SingleEngine { engines, bus: _bus, mut program, client: mut idle } = SingleEngine::start();
+    idle.request_health(1);
+    assert_eq!(idle.next_answer(), "1: well true");
+    program.signal("TERM");
+    program.wait_for_log("graceful shutdown started");
+    let mut fresh = program.connect();
+    // The shutdown has come to the point from which it closes idle connections, and has checked every connection.
+    assert_eq!(idle.next_answer(), "closed");
+    std::thread::sleep(Duration::from_millis(100));
+    fresh.submit(2, "lookup", 20_000);
+    let mut trace = vec![match engines.next_line_if_soon() {
+        Some(seen) => {
+            seen.reply("HIT", "-", "taken");
+            fresh.next_answer()
+        }
+        None => "never sent".to_string(),
+    }];
+    trace.push(fresh.next_answer());
+    trace.push(program.wait_for_exit().to_string());
+    expect![[r"
+        2: done taken\tb\tc\n
+        closed
+        exit status: 0"]]
+    .assert_eq(&trace.join("\n"));
+}
+
+/// A request that crosses the close at the end of a shutdown finds the end of the connection, not a reset: what was
+/// answered before can still be read.
+#[test]
+fn a_closed_connection_is_read_until_its_client_has_left() {
+    let SingleEngine { engines: _engines, bus: _bus, mut program, mut client } = SingleEngine::start();
+    client.request_health(1);
+    program.signal("TERM");
+    client.read_to_end().unwrap();
+    // The program's side has ended; what still comes from here is read and dropped until this side ends, too.
+    client.submit(2, "lookup", 9000);
+    client.submit(3, "lookup", 9000);
+    assert!(program.is_running());
+    client.disconnect();
+    assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
+}
+
+/// Answers that a slow client has not read when the program is told to stop still reach it complete.
+#[test]
+fn a_shutdown_waits_for_a_client_that_reads_slowly() {
+    let SingleEngine { engines, bus: _bus, mut program, client: mut idle } = SingleEngine::start();
+    idle.request_health(1);
+    assert_eq!(idle.next_answer(), "1: well true");
+    let mut slow = program.connect_with_small_buffers();
+    let rows = "x".repeat(5_900);
+    // More than the system buffers for a connection: the program has to buffer the rest.
+    leave_answers_unread(&engines, &program, &mut slow, &rows);
+    program.signal("TERM");
+    assert_eq!(idle.next_answer(), "closed");
+    let complete = format!("done {rows}\\tb\\tc\\n");
+    for _ in 0..UNREAD_ANSWERS {
+        let answer = slow.next_answer();
+        assert!(answer.ends_with(&complete), "{}", &answer[..answer.len().min(80)]);
+    }
+    slow.read_to_end().unwrap();
+    assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
+}
+
+/// The event bus moves while the program answers what it accepted before it was told to stop, and a second signal to stop
+/// changes nothing.
+#[test]
+fn the_configuration_may_be_reloaded_during_a_shutdown() {
+    let (engines, mut bus, mut new_bus) =
+        (EngineStandIns::start(1), EventBusStandIn::start(), EventBusStandIn::start());
+    let mut program = Program::start(&engines, &bus);
+    let mut client = program.connect();
+    assert_eq!(bus.next_subscription(), "from 1");
+    client.submit(1, "lookup", 20_000);
+    let seen = engines.next_line();
+    program.signal("TERM");
+    program.wait_for_log("graceful shutdown started");
+    let good = std::fs::read_to_string(&program.config_file).unwrap();
+    std::fs::write(&program.config_file, good.replace(&bus.address, &new_bus.address)).unwrap();
+    program.signal("HUP");
+    assert_eq!(new_bus.next_subscription(), "from 1");
+    program.signal("TERM");
+    program.signal("INT");
+    seen.reply("HIT", "-", "still here");
+    assert_eq!(client.next_answer(), "1: done still here\\tb\\tc\\n");
+    client.read_to_end().unwrap();
+    client.disconnect();
+    assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
+}
+
+/// Dispatches on unresponsive engines are cancelled, and their jobs answered, before the program ends: clients hear that at
+/// once, not after the engine was told.
+#[test]
+fn a_shutdown_answers_jobs_on_unresponsive_engines_before_it_ends() {
+    let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
+    let config = ProgramConfig::new(&engines, &bus.address).timer_tick_ms(1.0).client_timeout_ms(800.0);
+    let mut program = Program::start_with(config);
+    let mut client = program.connect();
+    program.signal("TERM");
+    program.wait_for_log("graceful shutdown started");
+    let stopping = Instant::now();
+    std::thread::sleep(Duration::from_millis(700));
+    for (message, class) in [(1, "lookup"), (2, "load")] {
+        client.submit(message, class, 800);
+        engines.next_line();
+    }
+    // All that is open is to be answered 1.2 s after the signal, and the program ends at 1.4 s: it finds the first of
+    // these times past for the controller and for its clients' connections at once.
+    let answered = Duration::from_millis(1215);
+    program.while_suspended(|| std::thread::sleep(answered.saturating_sub(stopping.elapsed())));
+    let mut answers = [client.next_answer(), client.next_answer()];
+    answers.sort();
+    expect![[r"
+        1: Busy w=1000
+        2: Failed why=cancelled"]]
+    .assert_eq(&answers.join("\n"));
+    client.read_to_end().unwrap();
+    client.disconnect();
+    assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
+}
+
+/// SIGTERM and SIGHUP come while the first configuration is still being read: the program starts, serves what arrives in the
+/// first second of the shutdown and ends with status 0.
+#[test]
+fn a_signal_before_the_program_listens_shuts_it_down_gracefully() {
+    let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
+    let config = ProgramConfig::new(&engines, &bus.address).listen("127.0.0.1:0");
+    let text = config.text();
+    let PreparedCommand { mut command, config_file: file } = Program::command(&config);
+    std::fs::remove_file(&file).unwrap();
+    assert!(Command::new("mkfifo").arg(&file).status().unwrap().success());
+    let child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
+    // Its signals are waited for before it opens the configuration.
+    let mut pipe = std::fs::OpenOptions::new().write(true).open(&file).unwrap();
+    for signal in ["HUP", "TERM", "HUP"] {
+        send_signal(child.id(), signal);
+    }
+    std::io::Write::write_all(&mut pipe, text.as_bytes()).unwrap();
+    drop(pipe);
+    // A reload reads the file again, which is a plain one by now.
+    std::fs::remove_file(&file).unwrap();
+    std::fs::write(&file, &text).unwrap();
+    let output = child.wait_with_output().unwrap();
+    let log = String::from_utf8(output.stdout).unwrap();
+    let logged: Vec<&str> = [
+        "listening for clients",
+        "graceful shutdown started open_jobs=0",
+        "graceful shutdown finished open_jobs=0",
+    ]
+    .into_iter()
+    .filter(|what| log.contains(what))
+    .collect();
+    let errors = String::from_utf8(output.stderr).unwrap();
+    expect!["exit status: 0: listening for clients, graceful shutdown started open_jobs=0, graceful shutdown finished open_jobs=0 "].assert_eq(&format!(
+        "{}: {} {errors}",
+        output.status,
+        logged.join(", ")
+    ));
+}
--- a/crates/server/tests/start_clock.rs
+++ b/crates/server/tests/server/start_clock.rs
@@ -1,13 +1,17 @@
-//! Starts of engines, stamped by wall clocks that are stepped, on the monotonic clock.
+//! Rule 4 rests on engines' ages: start times, stamped by wall clocks that are stepped, on the monotonic clock.
 
 use expect_test::expect;
 use pebblevane::time::Timestamp;
 use pebblevane_server::codec::event_bus::UnixTime;
 use pebblevane_server::discovery::start_clock::StartClock;
+use std::fmt::Write as _;
 
+/// In microseconds.
 const SECOND: i64 = 1_000_000;
+
 /// What the wall clock shows over the monotonic one before any step.
 const WALL: i64 = 1_700_000_000 * SECOND;
+
 const NOW: i64 = 500 * SECOND;
 
 /// How old an engine is by a clock that began at second 400, was stepped at second 497 and is read at second 500, if
@@ -24,16 +28,16 @@
 }
 
 #[test]
-fn a_start_keeps_its_age_whichever_clock_was_stepped() {
+fn an_engines_age_survives_steps_of_either_wall_clock() {
     let mut trace = String::new();
     for step in [0, 5, -5, 3600, -3600] {
         // This machine's clock and the stamping one were stepped together, or one of them alone.
         for (what, own, stamped) in [("both", step, step), ("own", step, 0), ("other", 0, step)] {
             let ages = [1, 2, 8, 20].map(|ago| age(&[own], stamped, ago, Some(499)));
-            trace += &format!("step {step:>5} {what:<5} of 1, 2, 8, 20 s: {ages:?}\n");
+            writeln!(trace, "step {step:>5} {what:<5} of 1, 2, 8, 20 s: {ages:?}").unwrap();
         }
     }
-    expect![[r#"
+    expect![[r"
         step     0 both  of 1, 2, 8, 20 s: [1.0, 2.0, 8.0, 0.0]
         step     0 own   of 1, 2, 8, 20 s: [1.0, 2.0, 8.0, 0.0]
         step     0 other of 1, 2, 8, 20 s: [1.0, 2.0, 8.0, 0.0]
@@ -49,20 +53,19 @@
         step -3600 both  of 1, 2, 8, 20 s: [1.0, 2.0, 8.0, 0.0]
         step -3600 own   of 1, 2, 8, 20 s: [1.0, 2.0, 8.0, 0.0]
         step -3600 other of 1, 2, 8, 20 s: [0.0, 0.0, 0.0, 0.0]
-    "#]]
+    "]]
     .assert_eq(&trace);
 }
 
-/// Without a list that was complete a while ago, as at the program's start, a stamp is believed as far as it is past.
+/// So it is at the program's start; times in the future count as now.
 #[test]
-fn at_the_start_a_stamp_is_believed() {
+fn start_times_are_taken_as_stamped_before_a_complete_list() {
     let ages = [-3600, -1, 0, 20, 3600].map(|ago| age(&[], 0, ago, None));
     expect!["[0.0, 0.0, 0.0, 20.0, 3600.0]"].assert_eq(&format!("{ages:?}"));
 }
 
-/// Many steps leave a bounded memory, of the last ones.
 #[test]
-fn a_clock_that_is_stepped_all_the_time_keeps_its_last_steps() {
+fn a_start_clock_retains_only_the_last_steps() {
     let steps: Vec<i64> = (0..40).map(|step| step * 7).collect();
     expect!["1.0"].assert_eq(&format!("{:.1}", age(&steps, 39 * 7, 1, Some(499))));
 }
--- /dev/null
+++ b/crates/server/tests/server/support/engines.rs
@@ -0,0 +1,180 @@
+//! Stand-ins for engines: they pass on each line that they read, and answer what a test says.
+
+use super::RECEIVE_TIMEOUT;
+use super::client::wire_id;
+use socket2::{Domain, Socket, Type};
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
+use std::time::{Duration, Instant};
+
+/// Long enough for what should not come, on an idle machine; a busy one can only miss a failure.
+const SILENCE: Duration = Duration::from_millis(120);
+/// Pause between two looks for a connection.
+const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// A line that an engine has read, and the way to answer it.
+pub struct ReceivedLine {
+    /// The engine's place in [`EngineStandIns::addresses`].
+    pub engine: usize,
+    pub line: String,
+    /// The statement of a request.
+    pub body: Vec<u8>,
+    from: SocketAddr,
+    stream: TcpStream,
+}
+
+impl ReceivedLine {
+    /// A field of the line, or nothing past its end.
+    pub fn field(&self, index: usize) -> &str {
+        self.line.split(' ').nth(index).unwrap_or("")
+    }
+    /// Answers under the line's id, with a page of one row that begins with this text.
+    pub fn reply(&self, kind: &str, fields: &str, row: &str) {
+        self.reply_as(self.field(1), kind, fields, row);
+    }
+    /// Answers under another id.
+    pub fn reply_as(&self, id: &str, kind: &str, fields: &str, row: &str) {
+        let page = if row.is_empty() { String::new() } else { format!("{row}\tb\tc\n") };
+        let answer = format!("{id} {kind} {fields} {}\r\n{page}\r\n", page.len());
+        let _ = (&self.stream).write_all(answer.as_bytes());
+    }
+    /// Writes bytes to the connection on which the line came.
+    pub fn send_raw(&self, bytes: &[u8]) {
+        let _ = (&self.stream).write_all(bytes);
+    }
+    /// Whether both came on one connection.
+    pub fn shares_connection_with(&self, other: &ReceivedLine) -> bool {
+        self.from == other.from
+    }
+    /// Closes the connection on which the line came.
+    pub fn close_connection(&self) {
+        let _ = self.stream.shutdown(Shutdown::Both);
+    }
+}
+
+/// Engines that listen on loopback, with one queue of what they read.
+pub struct EngineStandIns {
+    pub addresses: Vec<String>,
+    received: Receiver<ReceivedLine>,
+    sender: Sender<ReceivedLine>,
+}
+
+impl EngineStandIns {
+    pub fn start(count: usize) -> EngineStandIns {
+        let (sender, received) = channel();
+        let mut engines = EngineStandIns { addresses: vec![], received, sender };
+        (0..count).for_each(|_| engines.add("127.0.0.1:0"));
+        engines
+    }
+    /// Starts one more engine.
+    pub fn add(&mut self, address: &str) {
+        let listener = TcpListener::bind(address).unwrap();
+        let engine = self.addresses.len();
+        self.addresses.push(listener.local_addr().unwrap().to_string());
+        let sender = self.sender.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let sender = sender.clone();
+                std::thread::spawn(move || read_lines(engine, &stream, &sender));
+            }
+        });
+    }
+    /// Lists an engine at an address where nobody listens.
+    pub fn add_unreachable(&mut self) {
+        self.addresses.push("127.0.0.1:1".to_string());
+    }
+    /// The next line that any engine reads, but for health checks, which are answered.
+    pub fn next_line(&self) -> ReceivedLine {
+        self.next_line_within(RECEIVE_TIMEOUT).expect("no engine has read anything")
+    }
+    /// Completes the job of this number with no rows, whatever else is read before it.
+    pub fn complete(&self, message: u32) {
+        let mut received = self.next_line();
+        while (received.field(0), received.field(1)) != ("REQ", &wire_id(message)) {
+            received = self.next_line();
+        }
+        received.reply("HIT", "-", "");
+    }
+    /// The next line, if one comes soon.
+    pub fn next_line_if_soon(&self) -> Option<ReceivedLine> {
+        self.next_line_within(SILENCE)
+    }
+    /// Fails where an engine reads anything soon.
+    pub fn expect_silence(&self) {
+        if let Some(received) = self.next_line_if_soon() {
+            panic!("engine {} has read {}", received.engine, received.line);
+        }
+    }
+    fn next_line_within(&self, timeout: Duration) -> Option<ReceivedLine> {
+        loop {
+            match self.received.recv_timeout(timeout) {
+                Ok(received) if ["HELO", "STAT"].contains(&received.field(0)) => {
+                    received.reply("PONG", "meter=util:0.1", "");
+                }
+                Ok(received) => return Some(received),
+                Err(RecvTimeoutError::Timeout) => return None,
+                Err(error) => panic!("{error}"),
+            }
+        }
+    }
+}
+
+fn read_lines(engine: usize, stream: &TcpStream, sender: &Sender<ReceivedLine>) {
+    let Ok(from) = stream.peer_addr() else { return };
+    let mut reader = BufReader::new(stream);
+    let mut buffer = String::new();
+    while reader.read_line(&mut buffer).is_ok_and(|count| count > 0) {
+        let line = buffer.trim_end().to_string();
+        let body = if line.starts_with("REQ ") { read_body(&line, &mut reader) } else { vec![] };
+        buffer.clear();
+        let stream = stream.try_clone().unwrap();
+        let _ = sender.send(ReceivedLine { engine, line, body, from, stream });
+    }
+}
+
+/// Reads the body of a request, whose length is the last field of its line.
+fn read_body(line: &str, reader: &mut impl Read) -> Vec<u8> {
+    let length: usize = line.rsplit(' ').next().unwrap().parse().unwrap();
+    let mut body = vec![0; length + 2];
+    reader.read_exact(&mut body).unwrap();
+    assert!(body.ends_with(b"\r\n"), "a body without its end");
+    body.truncate(length);
+    body
+}
+
+/// An engine that accepts no connection until it is told to: one of our own fills its queue, so that the next ones are
+/// established only when they are tried again.
+pub struct UnacceptingEngine {
+    pub address: String,
+    listener: TcpListener,
+    filler: TcpStream,
+}
+
+impl UnacceptingEngine {
+    pub fn start() -> UnacceptingEngine {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+        socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        socket.listen(0).unwrap();
+        let listener: TcpListener = socket.into();
+        listener.set_nonblocking(true).unwrap();
+        let address = listener.local_addr().unwrap();
+        let filler = TcpStream::connect(address).unwrap();
+        UnacceptingEngine { address: address.to_string(), listener, filler }
+    }
+    /// The first connection that is not our own.
+    pub fn accept(&self) -> TcpStream {
+        let deadline = Instant::now() + RECEIVE_TIMEOUT;
+        while Instant::now() < deadline {
+            match self.listener.accept() {
+                Ok((stream, from)) if from != self.filler.local_addr().unwrap() => {
+                    stream.set_nonblocking(false).unwrap();
+                    stream.set_read_timeout(Some(RECEIVE_TIMEOUT)).unwrap();
+                    return stream;
+                }
+                _ => std::thread::sleep(ACCEPT_POLL_INTERVAL),
+            }
+        }
+        panic!("no connection was established");
+    }
+}
--- /dev/null
+++ b/crates/server/tests/server/support/event_bus.rs
@@ -0,0 +1,112 @@
+//! A stand-in for the event bus, and what it sends: events of the endpoint list.
+
+use super::RECEIVE_TIMEOUT;
+use serde_json::{Value as Json, json};
+use std::io::{BufRead, BufReader, Write};
+use std::net::{Shutdown, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
+use std::sync::mpsc::{Receiver, channel};
+use std::time::Duration;
+
+/// Lifecycle states as the event bus names them.
+pub const IN_SERVICE: &str = "in_service";
+pub const TERMINATING: &str = "terminating";
+pub const TERMINATED: &str = "terminated";
+
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+
+struct Subscription {
+    line: String,
+    stream: TcpStream,
+}
+
+/// The event bus. It sends heartbeats on each connection until that is closed.
+pub struct EventBusStandIn {
+    pub address: String,
+    last_offset: Arc<AtomicU64>,
+    subscriptions: Receiver<Subscription>,
+    connection: Option<TcpStream>,
+}
+
+impl EventBusStandIn {
+    pub fn start() -> EventBusStandIn {
+        EventBusStandIn::listen("127.0.0.1:0", 1)
+    }
+    /// Listens at an address; its heartbeats name this offset as the last.
+    pub fn listen(address: &str, last_offset: u64) -> EventBusStandIn {
+        let listener = TcpListener::bind(address).unwrap();
+        let address = listener.local_addr().unwrap().to_string();
+        let last_offset = Arc::new(AtomicU64::new(last_offset));
+        let (sender, subscriptions) = channel();
+        let heartbeat_offset = last_offset.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let mut line = String::new();
+                let _ = BufReader::new(&stream).read_line(&mut line);
+                let (heartbeats, offset) = (stream.try_clone().unwrap(), heartbeat_offset.clone());
+                std::thread::spawn(move || send_heartbeats(heartbeats, &offset));
+                let _ = sender.send(Subscription { line: line.trim_end().to_string(), stream });
+            }
+        });
+        EventBusStandIn { address, last_offset, subscriptions, connection: None }
+    }
+    /// Waits for the program to connect; says what it asked for.
+    pub fn next_subscription(&mut self) -> String {
+        let subscription =
+            self.subscriptions.recv_timeout(RECEIVE_TIMEOUT).expect("nobody connected to the event bus");
+        self.connection = Some(subscription.stream);
+        subscription.line
+    }
+    pub fn send_line(&mut self, line: &str) {
+        if self.connection.is_none() {
+            self.next_subscription();
+        }
+        self.send_raw(format!("{line}\n").as_bytes());
+    }
+    pub fn send_raw(&mut self, bytes: &[u8]) {
+        self.connection.as_ref().unwrap().write_all(bytes).unwrap();
+    }
+    /// Sends the complete endpoint list.
+    pub fn send_snapshot(&mut self, offset: u64, endpoints: &[Json]) {
+        self.send_event(offset, &snapshot_event(offset, endpoints));
+    }
+    /// Sends endpoints that have changed.
+    pub fn send_update(&mut self, offset: u64, endpoints: &[Json]) {
+        self.send_event(offset, &update_event(offset, endpoints));
+    }
+    fn send_event(&mut self, offset: u64, event: &Json) {
+        self.send_line(&event.to_string());
+        self.last_offset.fetch_max(offset, SeqCst);
+    }
+    /// Closes the connection to the program.
+    pub fn disconnect(&mut self) {
+        let _ = self.connection.take().expect("the event bus has a connection").shutdown(Shutdown::Both);
+    }
+}
+
+fn send_heartbeats(mut stream: TcpStream, offset: &AtomicU64) {
+    while stream.write_all(format!("{{\"offset\":{}}}\n", offset.load(SeqCst)).as_bytes()).is_ok() {
+        std::thread::sleep(HEARTBEAT_INTERVAL);
+    }
+}
+
+/// An event with the complete endpoint list.
+pub fn snapshot_event(offset: u64, endpoints: &[Json]) -> Json {
+    event(offset, true, endpoints)
+}
+
+/// An event with endpoints that have changed.
+pub fn update_event(offset: u64, endpoints: &[Json]) -> Json {
+    event(offset, false, endpoints)
+}
+
+fn event(offset: u64, reset: bool, endpoints: &[Json]) -> Json {
+    json!({"offset": offset, "topology": {"generation": offset, "reset": reset, "instances": endpoints}})
+}
+
+/// An entry of the endpoint list.
+pub fn endpoint(name: &str, address: &str, state: &str) -> Json {
+    json!({"instanceId": name, "hostPort": address, "zone": "east", "machineType": "std", "cell": 0,
+        "lifecycle": state, "weight": 8, "startedAtMs": 0})
+}
