--- a/src/controller.rs
+++ b/src/controller.rs
@@ -2,10 +2,12 @@
 //!
 //! `docs/design.md` tells why.
 
+use crate::estimators::*;
 use crate::interface::*;
 use crate::settings::*;
 use crate::state::*;
 use crate::time::*;
+use crate::timers::{Timer, TimerQueue};
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -13,9 +15,6 @@
 /// What a rejected job's client is told to wait before it tries again.
 const RETRY_AFTER: TimeDelta = TimeDelta(1_000_000);
 
-/// What is to be done at some time.
-type Later = Box<dyn FnOnce(&mut AdmissionController)>;
-
 const ALPHA: f64 = 0.03; // step of the latency averages, as in the paper
 const LAMBDA: f64 = 0.5; // ridge of the residual's posterior, as in the paper
 const SIGMA: f64 = 0.1; // spread of its draws
@@ -62,10 +61,10 @@
 
 #[derive(Default)]
 pub struct AdmissionController {
-    settings: Settings,
+    settings: ControllerSettings,
     now: Timestamp,
-    chance: Chance,
-    types: Vec<Reservation>,
+    chance: Pcg32,
+    types: Vec<JobClass>,
     engines: BTreeMap<usize, Engine>,
     /// Each table group's order of the running engines, kept until the list changes; and their cores.
     orders: BTreeMap<u64, Rc<[usize]>>,
@@ -82,36 +81,37 @@
     no_room: bool, // the last choice found no engine under its bound
     turns: BTreeMap<u64, VecDeque<JobId>>,
     rests: BTreeMap<u64, Timestamp>,
-    later: BTreeMap<(Timestamp, u64), Later>,
-    laters: u64,
+    timers: TimerQueue,
     decided: Actions,
     gateways: f64,
-    residual: Residual,
-    deviations: Deviations,
+    residual: LinearPosterior,
+    deviations: DeviationCovariance,
     gamma: [f64; 2],
     gamma_steps: f64,
     gamma_at: Timestamp,
-    arrivals: Fading,
+    arrivals: DecayingAverage,
     traffic: Traffic,
     /// The least time of a probe by location; rises slowly.
     probe_least: BTreeMap<usize, f64>,
     /// How much probes of one engine that is not busy vary from one to the next, by location (ms).
-    probe_scatter: BTreeMap<usize, Scatter>,
+    probe_scatter: BTreeMap<usize, MeanDeviation>,
     asks: f64, // probes of pairs that may still be made
     /// The pool is past its knee: jobs that find no engine under its bound are held.
     tight: bool,
-    pace: Fading,
-    work: Fading, // sent of late
+    pace: DecayingAverage,
+    work: DecayingAverage, // sent of late
     /// Concurrency limit: own threads out in all, up to which jobs go out in a jam.
     concurrency_limit: f64,
     /// Jobs taken and dispatches made beyond a job's first, for the budget.
-    taken: Recent,
-    extras: Recent,
+    taken: SlidingWindow,
+    extras: SlidingWindow,
 }
 
 /// The usual work of one job of a type, in milliseconds on one thread.
-fn usual_work(kind: &Reservation) -> f64 {
-    kind.true_cost.mean_or(kind.told_cost.mean_or(kind.sla.as_millis_f64() * kind.threads / 2.0))
+fn usual_work(kind: &JobClass) -> f64 {
+    kind.true_cost.mean_or(
+        kind.told_cost.mean_or(kind.settings.latency_objective.as_millis_f64() * kind.settings.threads / 2.0),
+    )
 }
 
 /// Own load on an engine with so much more: threads against two a core or memory against all there is.
@@ -123,14 +123,19 @@
 
 impl AdmissionController {
     pub fn new(now: Timestamp, seed: u64, settings: Settings) -> AdmissionController {
-        let read = |i| Reservation { grant: GRANT_START, ..Reservation::read(&settings, i) };
-        let types = (0..settings.entries("Classes", "Aim")).map(read).collect();
+        let settings = ControllerSettings::from(&settings);
+        let read = |class: &ClassSettings| JobClass {
+            settings: class.clone(),
+            grant: GRANT_START,
+            ..JobClass::default()
+        };
+        let types = settings.classes.iter().map(read).collect();
         let mut logic = AdmissionController {
             now,
-            chance: Chance(mix(seed)),
+            chance: Pcg32::new(seed),
             types,
-            gateways: settings.number("Balancers").unwrap_or(1.0).max(1.0),
-            residual: Residual::new(LAMBDA),
+            gateways: settings.gateway_count,
+            residual: LinearPosterior::new(LAMBDA),
             gamma: [0.5; 2],
             gamma_at: now,
             started: now,
@@ -139,8 +144,8 @@
             settings,
             ..AdmissionController::default()
         };
-        logic.decided.subscribe = logic.settings.text("MembershipMode") == "ask";
-        logic.after(BEAT, |logic| logic.beat());
+        logic.decided.subscribe = logic.settings.polls_endpoint_list;
+        logic.after(BEAT, Timer::Maintenance);
         logic
     }
 
@@ -167,30 +172,32 @@
     /// A call to the engine list failed: the old list stands and is asked for again.
     pub fn endpoint_list_unavailable(&mut self, now: Timestamp) -> Actions {
         self.now = now;
-        if self.settings.text("MembershipMode") == "ask" {
-            let pause = BEAT.mul_f64(1.0 + 3.0 * self.chance.next());
-            self.after(pause, |logic| logic.decided.subscribe = true);
+        if self.settings.polls_endpoint_list {
+            let pause = BEAT.mul_f64(1.0 + 3.0 * self.chance.next_f64());
+            self.after(pause, Timer::PollEndpointList);
         }
         self.finish()
     }
 
     pub fn submit(&mut self, now: Timestamp, id: JobId, job: Job) -> Actions {
         self.now = now;
-        self.taken.add(now, self.span("Contract.BudgetWindow"), 1.0);
-        let ends = (now + job.time_left.min(self.types[job.class].wait)).min(self.stops);
+        self.taken.add(now, self.settings.contract.retry_budget_window.unwrap_or_default(), 1.0);
+        let ends = (now + job.time_left.min(self.types[job.class].settings.client_timeout)).min(self.stops);
         let largest = self.running.iter().map(|e| self.engines[e].memory_mb).fold(0.0, f64::max);
         let (guard, kind) = (ends - self.guard(), &mut self.types[job.class]);
         // Estimates may be hostile: nothing is learnt of work past clients' wait or memory past any engine.
-        kind.tell(now, RECENT, &job, (ends - now).as_millis_f64() * kind.threads, largest);
+        kind.tell(now, RECENT, &job, (ends - now).as_millis_f64() * kind.settings.threads, largest);
         let bias = usual_work(kind) / kind.told_cost.mean_or(usual_work(kind)).max(1e-6);
         let cost = job.cost.map_or(usual_work(kind), |told| told.as_millis_f64() * bias);
         let held = Held {
             taken: now,
             ends,
-            sla_ends: now + kind.sla + TimeDelta::from_millis_f64(kind.stretch * cost / kind.threads),
+            sla_ends: now
+                + kind.settings.latency_objective
+                + TimeDelta::from_millis_f64(kind.settings.objective_stretch * cost / kind.settings.threads),
             cost,
-            bare: cost / kind.threads,
-            value: kind.billed / (cost.max(1.0) / 1000.0),
+            bare: cost / kind.settings.threads,
+            value: kind.settings.priority_weight / (cost.max(1.0) / 1000.0),
             memory: job.memory_mb.filter(|mb| *mb <= largest).unwrap_or(kind.memory.mean_or(0.0)),
             job,
             ..Held::default()
@@ -201,11 +208,11 @@
             self.arrivals.add(now, RECENT, cost * kind.spill_factor(), 1.0);
         }
         self.asks = (self.asks + self.asks_a_job()).min(ASKS_KEPT);
-        if let Some(key) = held.job.key.filter(|_| self.types[held.job.class].ordered) {
+        if let Some(key) = held.job.key.filter(|_| self.types[held.job.class].settings.ordered_by_key) {
             self.turns.entry(key).or_default().push_back(id);
         }
         self.jobs.insert(id, held);
-        self.at(guard, move |logic| logic.give_up(id));
+        self.at(guard, Timer::AnswerDeadline(id));
         let first = if possible { AdmissionController::place } else { AdmissionController::give_up };
         first(self, id);
         self.finish()
@@ -234,7 +241,7 @@
             held.unsure_at = Some(now);
         }
         self.learn(id, &out, &outcome);
-        (out.next)(self, id, outcome.status);
+        self.after_dispatch(id, outcome.status);
         self.release(id);
         if !self.waiting.is_empty() && !self.placing {
             self.place_after(PLACE_EVERY);
@@ -250,7 +257,8 @@
         note: ProgressUpdate,
     ) -> Actions {
         self.now = now;
-        let loads = self.types.iter().filter(|kind| kind.holds).filter_map(|kind| kind.latency);
+        let loads =
+            self.types.iter().filter(|kind| kind.settings.locks_tables).filter_map(|kind| kind.latency);
         let load_takes = loads.fold(BEAT.as_millis_f64(), f64::max);
         if let Some(held) = self.jobs.get_mut(&id)
             && let Some(out) = held.out.as_mut().filter(|out| out.copy == copy)
@@ -317,7 +325,7 @@
         let before = self.engines.get(&id).and_then(|engine| engine.jobs).unwrap_or(0.0);
         self.read_report(id, &outcome.load_report);
         let (warm_after, done) =
-            (self.span("Contract.WarmAfter"), outcome.status == DispatchStatus::Completed);
+            (self.settings.contract.warm_up_time, outcome.status == DispatchStatus::Completed);
         let heeded = |engine: &&mut Engine| done && (engine.whole || engine.jobs.is_none());
         if let Some(engine) = self.engines.get_mut(&id).filter(heeded) {
             // Processor use stands still past full and falls past memory: the probe's own time tells more, once it is
@@ -333,7 +341,7 @@
                 scatter.add((took - last).abs(), PROBE_SCATTER_OVER);
             }
             let told_by_time =
-                scatter.count >= PROBE_SCATTER_KNOWN && took > *least + PROBE_SCATTERS * scatter.mean;
+                scatter.count() >= PROBE_SCATTER_KNOWN && took > *least + PROBE_SCATTERS * scatter.mean();
             let by_time = if told_by_time { took / *least / PACE_BAD } else { 0.0 };
             engine.processor = engine.processor.map(|told| told.max(by_time));
             // Many jobs and then none: it died unseen by the list and is cold, however idle it looks.
@@ -354,44 +362,49 @@
             (held.ends, held.sla_ends) = (held.ends.min(by), held.sla_ends.min(by));
         }
         let open: Vec<JobId> = self.jobs.keys().copied().collect();
-        self.at(by - self.guard(), |logic| open.into_iter().for_each(|id| logic.give_up(id)));
+        self.at(by - self.guard(), Timer::ShutdownDeadline(open));
         self.place_waiting();
         self.finish()
     }
 
     pub fn timer_fired(&mut self, now: Timestamp) -> Actions {
         self.now = now;
-        while let Some(due) = self.later.first_entry().filter(|due| due.key().0 <= now) {
-            due.remove()(self);
+        while let Some(timer) = self.timers.pop_due(now) {
+            self.fire(timer);
         }
         self.finish()
     }
 
+    fn fire(&mut self, timer: Timer) {
+        match timer {
+            Timer::Maintenance => self.beat(),
+            Timer::PollEndpointList => self.decided.subscribe = true,
+            Timer::AnswerDeadline(id) => self.give_up(id),
+            Timer::ShutdownDeadline(open) => open.into_iter().for_each(|id| self.give_up(id)),
+            Timer::KeyAvailable => self.place_waiting(),
+            Timer::PlaceWaitingJobs => {
+                self.placing = false;
+                self.place_waiting();
+            }
+        }
+    }
+
     fn finish(&mut self) -> Actions {
-        self.decided.next_timer = self.later.keys().next().map(|(when, _)| *when);
+        self.decided.next_timer = self.timers.next_at();
         std::mem::take(&mut self.decided)
     }
 
-    fn at(&mut self, when: Timestamp, what: impl FnOnce(&mut AdmissionController) + 'static) {
-        self.laters += 1;
-        self.later.insert((when, self.laters), Box::new(what));
+    fn at(&mut self, when: Timestamp, timer: Timer) {
+        self.timers.schedule_at(when, timer);
     }
 
-    fn after(&mut self, pause: TimeDelta, what: impl FnOnce(&mut AdmissionController) + 'static) {
-        self.at(self.now + pause, what);
+    fn after(&mut self, pause: TimeDelta, timer: Timer) {
+        self.at(self.now + pause, timer);
     }
 
     /// How long before a client leaves its final answer is given: two ticks, for the clock's coarseness.
     fn guard(&self) -> TimeDelta {
-        TimeDelta::from_millis_f64(2.0 * self.settings.number("Tick").unwrap_or(1.0))
-    }
-
-    fn contract(&self, name: &str) -> f64 {
-        self.settings.number(name).unwrap_or(0.0)
-    }
-
-    fn span(&self, name: &str) -> TimeDelta {
-        TimeDelta::from_millis_f64(self.contract(name))
+        self.settings.answer_margin
     }
 
     /// Load on an engine with so much more; where the bound is a whole engine's, all gateways', as last told.
@@ -418,9 +431,7 @@
         if restarted || !self.engines.contains_key(&id) {
             // Where an equal share means nothing the bound is the whole engine's, for all, if reports tell of
             // all gateways' jobs and may be asked for.
-            let told =
-                |i| ["concurrent", "load_share"].contains(&self.settings.text(&format!("Report.Names.{i}")));
-            let asked = self.settings.flag("Ceilings.Probes") && (0..4).any(told);
+            let asked = self.settings.capabilities.health_checks && self.settings.reports.tell_total_load;
             let before = self.engines.remove(&id).unwrap_or_default();
             let mut engine = Engine::read(&self.settings, listing, before, self.types.len());
             engine.heard = self.now;
@@ -436,9 +447,10 @@
 
     /// The part of its capacity that an engine has, as far as its start tells: it climbs from StartCapacity.
     fn warmth(&self, engine: &Engine, at: Timestamp) -> f64 {
-        let start = self.contract("Contract.StartCapacity");
+        let start = self.settings.contract.initial_capacity_fraction;
         let climbs = |ready: Timestamp| {
-            (at - ready).as_millis_f64().max(0.0) / self.contract("Contract.WarmAfter").max(1.0)
+            (at - ready).as_millis_f64().max(0.0)
+                / self.settings.contract.warm_up_time.as_millis_f64().max(1.0)
         };
         engine.listing.started_at.map_or(1.0, |ready| (start + (1.0 - start) * climbs(ready)).min(1.0))
     }
@@ -451,7 +463,7 @@
         // Rule 1, and no two dispatches at once.
         let open = !held.over && held.out.is_none();
         // Rule 5.
-        let ordered = held.job.key.filter(|_| self.types[held.job.class].ordered);
+        let ordered = held.job.key.filter(|_| self.types[held.job.class].settings.ordered_by_key);
         let turn = ordered.is_none_or(|key| {
             self.turns[&key].front() == Some(&id) && self.rests.get(&key).is_none_or(|rest| *rest <= self.now)
         });
@@ -463,43 +475,49 @@
         let (held, engine) = (&self.jobs[&id], &self.engines[&to]);
         let (kind, listing) = (&self.types[held.job.class], &engine.listing);
         // Rule 2 for keyed jobs, as far as `begin_by` has not said it.
-        let keyed = held.may_have_run.filter(|_| kind.effect == Effect::Keyed);
+        let keyed = held.may_have_run.filter(|_| kind.settings.effect == Effect::IdempotencyKey);
         let once = keyed.is_none_or(|(ran_on, _)| {
-            let (there, zone) = (&self.engines[&ran_on].listing, kind.group == "zone");
-            kind.group == "all"
+            let (there, zone) = (
+                &self.engines[&ran_on].listing,
+                kind.settings.deduplication_scope == DeduplicationScope::Location,
+            );
+            kind.settings.deduplication_scope == DeduplicationScope::Pool
                 || if zone { there.location == listing.location } else { there.cell == listing.cell }
         });
         // Rule 3: at once, well within the grace. Rule 4.
         let running = listing.lifecycle == LifecycleState::Running
             && self.slow_start_budget(engine) >= usual_work(kind);
         // Rule 6.
-        let among = |list: &Option<Vec<f64>>, x| list.as_ref().is_none_or(|list| list.contains(&(x as f64)));
-        let placed = among(&kind.locations, listing.location) && among(&kind.machines, listing.machine);
+        let among = |list: &Option<Vec<usize>>, x| list.as_ref().is_none_or(|list| list.contains(&x));
+        let placed = among(&kind.settings.locations, listing.location)
+            && among(&kind.settings.machine_types, listing.machine);
         once && running && placed
     }
 
     /// The last moment at which a dispatch may begin: rule 1, and for what may have run rule 2.
     fn begin_by(&self, held: &Held) -> Timestamp {
         let kind = &self.types[held.job.class];
-        match (held.may_have_run, kind.effect) {
+        match (held.may_have_run, kind.settings.effect) {
             (Some(_), Effect::RunOnce) => Timestamp::default(),
-            (Some((_, since)), Effect::Keyed) => held.ends.min(since + kind.window) - self.guard(),
+            (Some((_, since)), Effect::IdempotencyKey) => {
+                held.ends.min(since + kind.settings.deduplication_window) - self.guard()
+            }
             _ => held.ends - self.guard(),
         }
     }
 
     /// Whether a job may have one more dispatch, as far as its time, its effect and their number go.
     fn again(&self, held: &Held) -> bool {
-        let most = self.settings.number("Ceilings.TryLimit").unwrap_or(f64::INFINITY);
+        let most = self.settings.max_dispatches_per_job;
         f64::from(held.copies) < most && self.now < self.begin_by(held)
     }
 
     fn within_budget(&self) -> bool {
-        let Some(window) = self.settings.number("Contract.BudgetWindow") else { return true };
-        let since = self.now - TimeDelta::from_millis_f64(window);
+        let Some(window) = self.settings.contract.retry_budget_window else { return true };
+        let since = self.now - window;
         // Two dispatches one window apart count together: a limit within any span holds at both its ends.
-        let (extras, jobs) = (self.extras.since(since - self.guard()), self.taken.since(since));
-        extras + 1.0 <= self.contract("Contract.SpareAttempts") + self.contract("Contract.ExtraRatio") * jobs
+        let (extras, jobs) = (self.extras.sum_since(since - self.guard()), self.taken.sum_since(since));
+        extras + 1.0 <= self.settings.contract.min_retries + self.settings.contract.retries_per_job * jobs
     }
 
     /// Usual work that this gateway may still send to an engine within the window of the cold rule: its equal
@@ -508,15 +526,16 @@
     /// pairs, share so little that the two turns that a window meets keep to the budget. One that has just
     /// started may have forgotten what it sent, and waits.
     fn slow_start_budget(&self, engine: &Engine) -> f64 {
-        let (multiple, window) = (self.contract("Contract.FallMultiple"), self.span("Contract.OverloadFor"));
+        let (multiple, window) =
+            (self.settings.contract.warm_up_overload_factor, self.settings.contract.warm_up_window);
         // No window that begins while it is cold may meet what is sent to a warm one: all become warm at once, and
         // clocks differ.
-        let warm_after = self.span("Contract.WarmAfter") + window;
+        let warm_after = self.settings.contract.warm_up_time + window;
         let warm = |ready: &Timestamp| self.now >= *ready + warm_after || multiple <= 0.0;
         let Some(ready) = engine.listing.started_at.filter(|ready| !warm(ready)) else {
             return f64::INFINITY;
         };
-        let sent = engine.sent.since(self.now - window);
+        let sent = engine.sent.sum_since(self.now - window);
         let whole = |at| multiple * self.warmth(engine, at) * engine.cores * window.as_millis_f64();
         if !self.share_below_job(engine) {
             return SLOW_START_CARE * whole(self.now) / self.gateways - sent;
@@ -524,12 +543,16 @@
         let slot = (self.now - ready).0.max(0) / window.0.max(1);
         let whole = SLOW_START_TURN * whole(ready + window.mul_f64(slot as f64));
         // Two turns of three are for small jobs: many gateways have some, few have a large one in time.
-        let guessed = self.types.iter().map(|kind| kind.sla.as_millis_f64() * kind.threads / 2.0);
+        let guessed = self
+            .types
+            .iter()
+            .map(|kind| kind.settings.latency_objective.as_millis_f64() * kind.settings.threads / 2.0);
         let (heaviest, lightest) =
             (guessed.clone().fold(1.0, f64::max), guessed.fold(f64::INFINITY, f64::min));
         let unit = if slot % 3 == 0 { heaviest } else { SLOW_START_JOBS * lightest.max(1.0) };
         let holders = (whole / unit).floor().clamp(1.0, self.gateways);
-        let turn = (mix(engine.hash ^ slot as u64) % self.gateways as u64) as f64 + self.contract("Ordinal");
+        let turn =
+            (mix64(engine.hash ^ slot as u64) % self.gateways as u64) as f64 + self.settings.gateway_ordinal;
         let mine = turn % self.gateways < holders && self.started + window <= self.now;
         if mine { whole / holders - sent } else { 0.0 }
     }
@@ -540,13 +563,16 @@
         THREADS_A_CORE * engine.cores < self.gateways
     }
 
-    /// The one place from which a dispatch goes out. `next` is handed its result.
-    fn send(&mut self, id: JobId, to: usize, choice: Option<Choice>, next: Next) -> bool {
+    /// The one place from which a dispatch goes out.
+    fn send(&mut self, id: JobId, to: usize, choice: Option<Choice>) -> bool {
         if !self.may_go(id) || !self.may_go_to(id, to) {
             return false;
         }
         let (terms, begin_by) = (self.terms(id, to), self.begin_by(&self.jobs[&id]));
-        let (window, cold) = (self.span("Contract.BudgetWindow"), self.span("Contract.OverloadFor"));
+        let (window, cold) = (
+            self.settings.contract.retry_budget_window.unwrap_or_default(),
+            self.settings.contract.warm_up_window,
+        );
         let window = window + self.guard();
         let held = self.jobs.get_mut(&id).expect("a job that may be sent is held");
         let kind = &self.types[held.job.class];
@@ -561,7 +587,7 @@
         engine.work.add(self.now, CALM_OVER, held.cost, 1.0);
         self.work.add(self.now, CALM_OVER, held.cost, 1.0);
         let limit = held.ends - self.now;
-        held.out = Some(Out::new(to, held.copies, self.now, choice, memory, next));
+        held.out = Some(Out::new(to, held.copies, self.now, choice, memory));
         (held.copies, held.last) = (held.copies + 1, Some(to));
         let engine = EngineId(to as u32);
         self.decided.dispatches.push(Dispatch { job: id, engine, timeout: limit, begin_by, options: terms });
@@ -572,16 +598,18 @@
     /// The grant is the told need times what notes of spilling taught, and at least what goes with the
     /// job's threads, as far as it may need it: while threads are under the bound all such grants fit.
     fn terms(&self, id: JobId, to: usize) -> Option<DispatchOptions> {
-        let [ranks, grants] = ["Extra.RanksHeeded", "Extra.GrantsCount"].map(|name| self.settings.flag(name));
+        let (ranks, grants) =
+            (self.settings.capabilities.priorities, self.settings.capabilities.memory_grants);
         let held = &self.jobs[&id];
         let kind = &self.types[held.job.class];
         let rank = match () {
             _ if self.now > held.sla_ends => 0,
-            _ if kind.threads <= 1.0 => 3,
-            _ if kind.holds => 2,
+            _ if kind.settings.threads <= 1.0 => 3,
+            _ if kind.settings.locks_tables => 2,
             _ => 1,
         };
-        let fits = self.engines[&to].memory_mb * kind.threads / (self.engines[&to].cores * THREADS_A_CORE);
+        let fits =
+            self.engines[&to].memory_mb * kind.settings.threads / (self.engines[&to].cores * THREADS_A_CORE);
         let grant = (held.memory * kind.grant).max(fits.min(held.memory * GRANT_MOST));
         let grant_mb = if grants { grant.round() } else { 0.0 };
         (ranks || grants).then_some(DispatchOptions { priority: rank, memory_grant_mb: grant_mb })
@@ -592,8 +620,10 @@
         let Some(held) = self.jobs.get_mut(&id).filter(|held| !held.over) else { return };
         let kind = &self.types[held.job.class];
         let unrun = held.may_have_run.is_none() && held.out.is_none();
-        let harmless =
-            unrun || kind.effect != Effect::RunOnce && (kind.group == "all" || kind.effect != Effect::Keyed);
+        let harmless = unrun
+            || kind.settings.effect != Effect::RunOnce
+                && (kind.settings.deduplication_scope == DeduplicationScope::Pool
+                    || kind.settings.effect != Effect::IdempotencyKey);
         held.over = true;
         let answer = if harmless {
             FinalAnswer::Rejected { retry_after: RETRY_AFTER }
@@ -606,7 +636,7 @@
     }
 
     fn recall(&mut self, id: JobId) {
-        let allowed = self.settings.flag("Ceilings.Cancelling");
+        let allowed = self.settings.capabilities.cancellation;
         let out = self.jobs.get_mut(&id).and_then(|held| held.out.as_mut());
         if let Some(out) = out.filter(|out| allowed && !out.recalled) {
             out.recalled = true;
@@ -617,12 +647,12 @@
     /// Forgets a job that is over and has nothing out; the next job of its key may then have its turn.
     fn release(&mut self, id: JobId) {
         let Some(held) = self.jobs.get(&id).filter(|held| held.over && held.out.is_none()) else { return };
-        if let Some(key) = held.job.key.filter(|_| self.types[held.job.class].ordered) {
+        if let Some(key) = held.job.key.filter(|_| self.types[held.job.class].settings.ordered_by_key) {
             if let Some(unsure) = held.unsure_at {
-                self.rests.insert(key, unsure + self.span("Contract.OrderPause"));
+                self.rests.insert(key, unsure + self.settings.contract.key_quiet_time);
             }
             self.turns.entry(key).or_default().retain(|other| *other != id);
-            self.at(self.rests.get(&key).copied().unwrap_or(self.now), |logic| logic.place_waiting());
+            self.at(self.rests.get(&key).copied().unwrap_or(self.now), Timer::KeyAvailable);
         }
         if self.jobs.remove(&id).is_some_and(|held| held.waits) {
             self.waiting.retain(|other| *other != id);
@@ -634,13 +664,12 @@
 
     /// Sends a job to the engine that the mechanism chooses, or keeps it until one may take it.
     fn place(&mut self, id: JobId) {
-        let next = Box::new(AdmissionController::after_dispatch);
-        let sent = self.choose(id).is_some_and(|(engine, choice)| self.send(id, engine, choice, next));
+        let sent = self.choose(id).is_some_and(|(engine, choice)| self.send(id, engine, choice));
         let held = self.jobs.get_mut(&id).expect("a job that is placed is held");
         let waits = std::mem::replace(&mut held.waits, !sent);
         self.waiting.extend((!sent && !waits).then_some(id));
         if !sent && !self.placing && self.many() {
-            let pause = PLACE_EVERY.mul_f64(5.0 + 5.0 * self.chance.next());
+            let pause = PLACE_EVERY.mul_f64(5.0 + 5.0 * self.chance.next_f64());
             self.place_after(pause);
         }
     }
@@ -649,7 +678,7 @@
     fn at_pace(&self, pace: f64) -> f64 {
         let seen =
             1.0 - (-((self.now - self.started).as_millis_f64().max(1.0) / RECENT.as_millis_f64())).exp();
-        pace * self.arrivals.read(self.now, RECENT) / (seen * RECENT.as_millis_f64())
+        pace * self.arrivals.sum_at(self.now, RECENT) / (seen * RECENT.as_millis_f64())
     }
 
     fn threads_out(&self) -> f64 {
@@ -658,7 +687,7 @@
 
     /// Probes that the ordinary job may cause: where gateways are many, by what the settings say they cost.
     fn asks_a_job(&self) -> f64 {
-        let price = self.settings.number("Deductions.Probe").unwrap_or(0.0);
+        let price = self.settings.health_check_price;
         if self.many() { (ASK_SPEND / price.max(1e-6)).min(4.0) } else { PROBES_A_JOB }
     }
 
@@ -679,10 +708,7 @@
 
     fn place_after(&mut self, pause: TimeDelta) {
         self.placing = true;
-        self.after(pause, |logic| {
-            logic.placing = false;
-            logic.place_waiting();
-        });
+        self.after(pause, Timer::PlaceWaitingJobs);
     }
 
     /// The order in which a table group's jobs walk the running engines.
@@ -690,7 +716,7 @@
         let (running, engines) = (&self.running, &self.engines);
         let sorted = || {
             let mut order = running.clone();
-            order.sort_by_cached_key(|e| (mix(engines[e].hash ^ mix(group)), *e));
+            order.sort_by_cached_key(|e| (mix64(engines[e].hash ^ mix64(group)), *e));
             order.into()
         };
         self.orders.entry(group).or_insert_with(sorted).clone()
@@ -703,22 +729,24 @@
         let order = self.order(self.jobs[&id].job.table_group);
         let many = self.many();
         let (blind, pace_life) = (self.blind(), self.pace_life());
-        let draw = if many { self.chance.next() } else { 0.0 };
+        let draw = if many { self.chance.next_f64() } else { 0.0 };
         let held = &self.jobs[&id];
         let (kind, group) = (&self.types[held.job.class], held.job.table_group);
         let total = |of: fn(&Engine) -> f64| self.running.iter().map(|e| of(&self.engines[e])).sum::<f64>();
         let room = OnceCell::new();
         let room = || *room.get_or_init(|| total(|e| load(e, 0.0, 0.0)) < total(|e| e.bound));
         // Types that bill more for their work than the usual job may pass the bound.
-        let billed = kind.billed / (usual_work(kind).max(1.0) / 1000.0);
+        let billed = kind.settings.priority_weight / (usual_work(kind).max(1.0) / 1000.0);
         // Where not every pair can be probed, jobs that bill more come first, and none waits for reports.
-        let dear = !many || self.asks > 0.5 * ASKS_KEPT || kind.billed >= self.traffic.dear.mean_or(0.0);
-        let mean = self.work.read(self.now, CALM_OVER) / order.len() as f64;
+        let dear = !many
+            || self.asks > 0.5 * ASKS_KEPT
+            || kind.settings.priority_weight >= self.traffic.dear.mean_or(0.0);
+        let mean = self.work.sum_at(self.now, CALM_OVER) / order.len() as f64;
         let dense = (billed / self.traffic.billed.mean_or(billed).max(1e-9)).sqrt().clamp(1.0, 1.5);
         let now = self.now;
         let past = |engine: &Engine| engine.pace_at(now, pace_life, PACE_PRIOR) >= PACE_BAD;
         let under = |engine: &Engine| {
-            let load = self.fill(engine, kind.threads, held.memory);
+            let load = self.fill(engine, kind.settings.threads, held.memory);
             let most = engine.bound * self.warmth(engine, now);
             // On a turn at a cold engine its budget says how much: a part or a share would leave most of it unused.
             let turn = || self.share_below_job(engine) && self.slow_start_budget(engine) < f64::INFINITY;
@@ -726,12 +754,13 @@
                 let fits = load <= most * dense && (blind || !past(engine));
                 let fresh = now - engine.reported <= ASK_AFTER.mul_f64(2.0);
                 // Its part of what this gateway sent of late: as all walk alike, of what all sent.
-                let part = || engine.work.read(now, CALM_OVER) <= REPLICAS * mean * self.warmth(engine, now);
+                let part =
+                    || engine.work.sum_at(now, CALM_OVER) <= REPLICAS * mean * self.warmth(engine, now);
                 return fits && (fresh || blind && (turn() || part()));
             }
             load <= most || (engine.outs == 0 && room()) || turn()
         };
-        let pulls = self.settings.flag("Ceilings.Probes") && self.settings.text("Report.How") == "pull";
+        let pulls = self.settings.capabilities.health_checks && self.settings.reports.are_pulled;
         let (mut ask, asks) = (vec![], many || pulls);
         // Where gateways are many, a job waits a little for the engines whose tables are warm: it goes one
         // engine further with each beat, and hot groups have as many engines as their traffic asks for.
@@ -741,8 +770,8 @@
         let depth =
             if many && !blind { (2.0 + hot.floor() + PATIENCE * waited) as usize } else { usize::MAX };
         // Where crossing locations costs, near engines come first while the pool is well.
-        let costs = !self.tight && self.settings.number("Deductions.CrossZone").unwrap_or(0.0) > 0.0;
-        let zone = self.settings.number("Zone").unwrap_or(0.0);
+        let costs = !self.tight && self.settings.location_crossing_price > 0.0;
+        let zone = self.settings.location;
         // Loads walk the order from its far end, so that readers seldom meet them, and begin anywhere there
         // where other gateways' loads can't be known in time. The walk ends with two engines that nothing
         // speaks against; then those a load holds (to loads also their readers' first), then the last tried.
@@ -751,30 +780,34 @@
         let far = (order.len() as f64 - 2.0 - 2.0 * hot).max(0.0);
         // So do jobs of more than this gateway's part of an engine each: its own walk can't level them.
         let large = blind && held.cost > REPLICAS * mean;
-        let first = if kind.holds { (far * draw) as usize } else { 0 };
-        let turned = if large && !kind.holds { (order.len() as f64 * draw) as usize } else { 0 };
+        let first = if kind.settings.locks_tables { (far * draw) as usize } else { 0 };
+        let turned =
+            if large && !kind.settings.locks_tables { (order.len() as f64 * draw) as usize } else { 0 };
         // A cold engine that is this gateway's turn comes first: no other may send there now.
         let mine = |e: &usize| (1e-9..f64::INFINITY).contains(&self.slow_start_budget(&self.engines[e]));
         let turns: Vec<usize> = self.cold.iter().copied().filter(mine).collect();
         // Jobs out are the work that comes times pace: too many are a jam that other signs show late. What is
         // stuck in known jams holds the rest less, and nothing from a cold engine, whose budget is its own.
-        let widest = self.types.iter().fold(1.0, |most: f64, kind| most.max(kind.threads));
+        let widest = self.types.iter().fold(1.0, |most: f64, kind| most.max(kind.settings.threads));
         let most = self.concurrency_limit.min(self.at_pace(PACE_GOOD) + widest);
         let well = self.engines.values().filter(|e| !past(e)).map(|engine| engine.threads).sum::<f64>();
         let full = blind && (well >= most || self.threads_out() >= JAMMED * most);
-        let walk = (first..order.len())
-            .map(|at| order[if kind.holds { order.len() - 1 - at } else { (at + turned) % order.len() }]);
+        let walk = (first..order.len()).map(|at| {
+            order[if kind.settings.locks_tables { order.len() - 1 - at } else { (at + turned) % order.len() }]
+        });
         for e in turns.iter().copied().chain(walk.filter(|e| !full && !turns.contains(e))) {
             let engine = &self.engines[&e];
             let tried = engine.on_trial && engine.trial.is_some();
             if engine.shunned_until.max(engine.full_until) > self.now || tried || !self.may_go_to(id, e) {
                 continue;
             }
-            let last = held.last == Some(e) || (engine.on_trial && kind.effect == Effect::RunOnce);
+            let last = held.last == Some(e) || (engine.on_trial && kind.settings.effect == Effect::RunOnce);
             // The memory of a jam is long: such engines come last, and their share of what was sent of late bounds what they get.
             let last = last || blind && past(engine);
-            let home = kind.holds && order.first() == Some(&e);
-            let behind = home || engine.held(group, now) && (kind.waits || kind.holds);
+            let home = kind.settings.locks_tables && order.first() == Some(&e);
+            let behind = home
+                || engine.held(group, now)
+                    && (kind.settings.waits_for_bulk_loads || kind.settings.locks_tables);
             let tier = if last { 2 } else { usize::from(behind) };
             if open.iter().map(Vec::len).sum::<usize>() >= depth {
                 break;
@@ -788,7 +821,7 @@
                 }
             } else if under(engine) {
                 below[tier].push(e);
-                if tier == 0 && costs && engine.listing.location as f64 == zone {
+                if tier == 0 && costs && Some(engine.listing.location) == zone {
                     near.push(e);
                 }
                 if tier == 0 && (if costs { near.len() } else { below[0].len() }) == 2 {
@@ -830,7 +863,7 @@
         let u: f64 = (0..3).map(|i| x[i] * theta[i]).sum();
         let z = (s + u).tanh();
         let r = self.balance(pair);
-        let rate = self.arrivals.per_second(self.now, RECENT);
+        let rate = self.arrivals.update_rate_per_second(self.now, RECENT);
         // λ0: the rate at which this gateway's equal part of the pool would be full with its usual jobs.
         let fair = self.cores * 1000.0 / self.arrivals.mean_or(1.0).max(1.0) / self.gateways;
         let omega = 0.4 + 0.3 * sigmoid(rate / fair.max(1e-3) - RATE_SHIFT);
@@ -847,7 +880,7 @@
     fn balance(&mut self, pair: [usize; 2]) -> f64 {
         let now = self.now;
         for e in pair {
-            self.engines.entry(e).and_modify(|engine| engine.work.touch(now, CALM_OVER));
+            self.engines.entry(e).and_modify(|engine| engine.work.decay_to(now, CALM_OVER));
         }
         let share = |[a, b]: [f64; 2]| if a + b > 1e-9 { a / (a + b) } else { 0.5 };
         let engines = pair.map(|e| &self.engines[&e]);
@@ -860,7 +893,7 @@
         };
         // Where own jobs are few, those out now tell less than those sent of late.
         let processor = if self.many() {
-            of(|e| e.processor, |e| e.work.sum / e.cores)
+            of(|e| e.processor, |e| e.work.sum() / e.cores)
         } else {
             of(|e| e.processor, |e| e.threads / e.cores)
         };
@@ -909,7 +942,7 @@
                 if let Some(ActualCost { work, .. }) = outcome.actual_cost {
                     kind.true_cost.add(now, RECENT, work.as_millis_f64(), 1.0);
                     kind.calm[0] = Some(1.0);
-                    held.bare = work.as_millis_f64() / kind.threads;
+                    held.bare = work.as_millis_f64() / kind.settings.threads;
                 }
                 let took = outcome.elapsed.as_millis_f64();
                 if out.waited {
@@ -919,8 +952,8 @@
                     kind.grant = (kind.grant * GRANT_DOWN).max(1.0);
                 }
                 let usual = *kind.latency.get_or_insert(took);
-                step(&mut kind.latency, usual, ALPHA, took);
-                step(&mut engine.latency[reservation], usual, ALPHA, took);
+                update_ewma(&mut kind.latency, usual, ALPHA, took);
+                update_ewma(&mut engine.latency[reservation], usual, ALPHA, took);
                 if let Some(Choice { pair, x, s }) = out.choice {
                     let seen = |e| if e == out.engine { took } else { self.latency(e, reservation) };
                     let delta = (1.0 + seen(pair[0])).ln() - (1.0 + seen(pair[1])).ln();
@@ -995,12 +1028,12 @@
         let held = &self.jobs[&id];
         let kind = &self.types[held.job.class];
         let Some(out) = held.out.as_ref().filter(|out| !held.over && !out.recalled) else { return };
-        if kind.effect != Effect::Restartable || !self.again(held) || self.running.len() < 2 {
+        if kind.settings.effect != Effect::Restartable || !self.again(held) || self.running.len() < 2 {
             return;
         }
         let age = (self.now - out.sent).as_millis_f64();
         let fresh = kind.latency.unwrap_or(0.0) * held.cost / usual_work(kind).max(1.0);
-        let notes = 2.0 * self.settings.number("Extra.Progress").unwrap_or(0.0);
+        let notes = 2.0 * self.settings.progress_interval.unwrap_or_default().as_millis_f64();
         let silent = out.share == 0.0 && !out.waited && age < notes;
         let remaining = if out.share > 0.0 && !out.waited { age / out.share - age } else { f64::INFINITY };
         let time = (held.sla_ends - self.now).as_millis_f64();
@@ -1016,12 +1049,13 @@
     fn is_hopeless(&self, held: &Held) -> bool {
         let kind = &self.types[held.job.class];
         let Some(out) = held.out.as_ref().filter(|out| !held.over && !out.recalled) else { return false };
-        let late = kind.effect == Effect::Restartable && self.now > held.sla_ends;
+        let late = kind.settings.effect == Effect::Restartable && self.now > held.sla_ends;
         let Some(engine) = self.engines.get(&out.engine).filter(|_| late) else { return false };
         let left = held.cost * (1.0 - out.share).max(0.05) / 1000.0;
-        self.settings.flag("Ceilings.Cancelling")
+        self.settings.capabilities.cancellation
             && engine.pace_at(self.now, self.pace_life(), PACE_PRIOR) > PACE_BAD
-            && kind.late * kind.billed / left.max(1e-3) < self.traffic.billed.mean_or(0.0)
+            && kind.settings.late_value_ratio * kind.settings.priority_weight / left.max(1e-3)
+                < self.traffic.billed.mean_or(0.0)
     }
 
     /// Whether a job whose turn it is leaves it to those behind it: one after the other they can't all meet
@@ -1035,9 +1069,13 @@
         for other in turns {
             let held = &self.jobs[other];
             let kind = &self.types[held.job.class];
-            let usual = usual_work(kind) / kind.threads;
+            let usual = usual_work(kind) / kind.settings.threads;
             let takes = held.bare * kind.latency.map_or(1.0, |latency| latency / usual.max(1.0)).max(1.0);
-            kept.push((takes / kind.billed.max(1e-9), *other, TimeDelta::from_millis_f64(takes)));
+            kept.push((
+                takes / kind.settings.priority_weight.max(1e-9),
+                *other,
+                TimeDelta::from_millis_f64(takes),
+            ));
             ends = ends + kept[kept.len() - 1].2;
             let dearest = (0..kept.len()).max_by(|a, b| kept[*a].0.total_cmp(&kept[*b].0));
             if let Some(dearest) = dearest.filter(|_| ends > held.sla_ends) {
@@ -1059,7 +1097,7 @@
         for (id, _) in waiting {
             let held = &self.jobs[&id];
             let (kind, memory) = (held.job.class, held.memory);
-            let alike = held.copies == 0 && !self.types[kind].ordered;
+            let alike = held.copies == 0 && !self.types[kind].settings.ordered_by_key;
             // Too late, or past the window in which what may have run may be repeated.
             let late = self.now + TimeDelta::from_millis_f64(held.bare) > held.sla_ends;
             if late || !self.again(held) || self.leaves_turn(id) {
@@ -1077,7 +1115,7 @@
     }
 
     fn beat(&mut self) {
-        self.after(BEAT, |logic| logic.beat());
+        self.after(BEAT, Timer::Maintenance);
         self.step_gamma();
         self.step_bounds();
         self.watch_outs();
@@ -1099,7 +1137,7 @@
             keep
         });
         self.cold.retain(|id| self.engines.contains_key(id));
-        self.traffic.groups.retain(|_, met| now - met.at < FORGET);
+        self.traffic.groups.retain(|_, met| now - met.updated_at() < FORGET);
         self.orders.retain(|group, _| self.traffic.groups.contains_key(group));
         self.turns.retain(|_, turns| !turns.is_empty());
         self.rests.retain(|_, rest| *rest > now);
@@ -1113,7 +1151,7 @@
 
     /// An engine from which nothing is heard though notes are due is left alone.
     fn watch_outs(&mut self) {
-        let every = self.settings.number("Extra.Progress").filter(|every| *every > 0.0);
+        let every = self.settings.progress_interval;
         // A job out for long tells of its engine's pace before it is back: from a jam none comes back.
         let overdue = |(id, held): (&JobId, &Held)| {
             let out = held.out.as_ref().filter(|out| !out.waited && out.share <= LITTLE && !held.over)?;
@@ -1128,8 +1166,7 @@
         let hopeless = |(id, held): (&JobId, &Held)| self.is_hopeless(held).then_some(*id);
         let hopeless: Vec<JobId> = self.jobs.iter().filter_map(hopeless).collect();
         hopeless.into_iter().for_each(|id| self.give_up(id));
-        let due = every
-            .map_or(TimeDelta(i64::MAX), |every| TimeDelta::from_millis_f64(2.0 * every) + BEAT.mul_f64(2.0));
+        let due = every.map_or(TimeDelta(i64::MAX), |every| every.mul_f64(2.0) + BEAT.mul_f64(2.0));
         let heard = |e: usize| self.engines.get(&e).map_or(self.now, |engine| engine.heard);
         let quiet = |out: &&Out| self.now - out.noted > due && self.now - heard(out.engine) > due;
         let outs = self.jobs.iter().filter(|(_, held)| !held.over);
@@ -1144,7 +1181,7 @@
     /// Meets overload, slow machines and anything else that takes an engine past its knee.
     fn step_bounds(&mut self) {
         let (now, life, blind) = (self.now, self.pace_life(), self.blind());
-        let pool = self.pace.mean_now(now, PACE_OVER, 1.0, PACE_PRIOR);
+        let pool = self.pace.update_mean(now, PACE_OVER, 1.0, PACE_PRIOR);
         // Likewise for what this gateway has out in all, for a jam of the whole pool where loads are unknown.
         if pool > PACE_BAD {
             let equal = BOUND_LEAST * THREADS_A_CORE * self.cores / self.gateways;
@@ -1158,9 +1195,9 @@
         self.tight = pool > PACE_TIGHT || (self.tight && self.waiting.iter().any(line));
         for at in 0..2 * self.types.len() {
             let (kind, way) = (&mut self.types[at / 2], at % 2);
-            kind.pace[way].touch(now, CALM_OVER);
-            let known = kind.pace[way].weight > 5.0 * usual_work(kind) / kind.threads;
-            if known && (way > 0 || kind.true_cost.weight == 0.0) {
+            kind.pace[way].decay_to(now, CALM_OVER);
+            let known = kind.pace[way].weight() > 5.0 * usual_work(kind) / kind.settings.threads;
+            if known && (way > 0 || kind.true_cost.weight() == 0.0) {
                 let pace = kind.pace[way].mean_or(1.0);
                 let follow = |calm: f64| if pace < calm { calm + 0.05 * (pace - calm) } else { calm * 1.002 };
                 kind.calm[way] = Some(kind.calm[way].map_or(pace, follow).clamp(0.3, CALM_MOST[way]));
@@ -1170,7 +1207,7 @@
         for (engine, fill) in self.engines.values_mut().zip(fills) {
             // Where reports stand still past full, an engine little seen is presumed to keep the pool's pace.
             let presumed = if engine.whole && engine.jobs.is_none() { pool } else { 1.0 };
-            let pace = engine.pace.mean_now(now, life, presumed, PACE_PRIOR);
+            let pace = engine.pace.update_mean(now, life, presumed, PACE_PRIOR);
             let least = BOUND_LEAST * engine.share * if blind { 1.0 } else { (pool / pace).min(1.0) };
             if pace > PACE_BAD && fill > 0.5 * engine.bound {
                 engine.bound = (engine.bound * 0.93).max(least);
@@ -1185,7 +1222,7 @@
         for e in self.running.clone() {
             let engine = &self.engines[&e];
             let due = engine.on_trial && engine.outs == 0 && self.now - engine.probed >= ASK_AFTER;
-            if due && self.settings.flag("Ceilings.Probes") {
+            if due && self.settings.capabilities.health_checks {
                 self.ask(e);
             }
         }
