--- a/crates/soak/src/bus.rs
+++ b/crates/soak/src/bus.rs
@@ -1,9 +1,9 @@
 //! The event bus: numbered changes of the list of engines, told to each gateway on its own connection.
 
 use crate::engine::{self, Engine};
-use crate::ledger::{Event, GatewayRun};
-use crate::plan::Plan;
-use crate::world::{World, gateway_of, locked};
+use crate::history::{Event, GatewayRun};
+use crate::schedule::Schedule;
+use crate::testbed::{Testbed, gateway_of, locked};
 use rand::Rng;
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
@@ -64,10 +64,10 @@
         locked(&self.state).port
     }
 
-    pub fn publish(&self, world: &World, changes: Vec<Change>) {
+    pub fn publish(&self, testbed: &Testbed, changes: Vec<Change>) {
         for change in &changes {
             let (engine, run) = (change.engine, change.run);
-            world.ledger.event(match change.lifecycle {
+            testbed.history.event(match change.lifecycle {
                 Lifecycle::InService => Event::StartListed { engine, run },
                 Lifecycle::Terminating | Lifecycle::Terminated => Event::Drained { engine, run },
             });
@@ -87,8 +87,8 @@
     }
 
     /// Listens, at the old port or a new one.
-    pub async fn start(&self, world: &Arc<World>, same_port: bool) -> std::io::Result<()> {
-        let port = if same_port { self.port() } else { world.new_port() };
+    pub async fn start(&self, testbed: &Arc<Testbed>, same_port: bool) -> std::io::Result<()> {
+        let port = if same_port { self.port() } else { testbed.new_port() };
         let began = Instant::now();
         let listener = loop {
             match TcpListener::bind(("0.0.0.0", port)).await {
@@ -98,7 +98,7 @@
             }
         };
         locked(&self.state).port = listener.local_addr()?.port();
-        let (world, mut epochs) = (world.clone(), self.epochs.subscribe());
+        let (testbed, mut epochs) = (testbed.clone(), self.epochs.subscribe());
         let epoch = *epochs.borrow_and_update();
         tokio::spawn(async move {
             loop {
@@ -106,7 +106,7 @@
                     accepted = listener.accept() => {
                         let Ok((stream, _)) = accepted else { continue };
                         let Some(gateway) = stream.local_addr().ok().and_then(gateway_of) else { continue };
-                        tokio::spawn(feed(world.clone(), stream, gateway, epoch));
+                        tokio::spawn(feed(testbed.clone(), stream, gateway, epoch));
                     }
                     _ = epochs.changed() => return,
                 }
@@ -125,12 +125,12 @@
     }
 
     /// What a gateway is told at its start: the list as it is, or as it was at the beginning.
-    pub fn known(&self, world: &World, to: GatewayRun, stale: bool) -> Json {
+    pub fn known(&self, testbed: &Testbed, to: GatewayRun, stale: bool) -> Json {
         let all = locked(&self.state).events.len();
         let offset = if stale { 1 } else { all };
         let list = self.list(offset);
-        tell(world, to, &list);
-        json!({"offset": offset, "batch": [render(world, to.gateway, offset, true, &list)]})
+        tell(testbed, to, &list);
+        json!({"offset": offset, "batch": [render(testbed, to.gateway, offset, true, &list)]})
     }
 
     fn after(&self, offset: usize) -> Vec<(usize, Vec<Change>)> {
@@ -143,37 +143,37 @@
     }
 }
 
-fn tell(world: &World, to: GatewayRun, changes: &[Change]) {
+fn tell(testbed: &Testbed, to: GatewayRun, changes: &[Change]) {
     for change in changes {
         let drained = change.lifecycle != Lifecycle::InService;
-        world.ledger.event(Event::Told { to, engine: change.engine, run: change.run, drained });
+        testbed.history.event(Event::Told { to, engine: change.engine, run: change.run, drained });
     }
 }
 
-fn render(world: &World, gateway: usize, offset: usize, reset: bool, changes: &[Change]) -> Json {
-    let entries: Vec<Json> = changes.iter().filter_map(|change| entry(world, gateway, change)).collect();
+fn render(testbed: &Testbed, gateway: usize, offset: usize, reset: bool, changes: &[Change]) -> Json {
+    let entries: Vec<Json> = changes.iter().filter_map(|change| entry(testbed, gateway, change)).collect();
     json!({"offset": offset, "topology": {"generation": offset, "reset": reset, "instances": entries}})
 }
 
-fn entry(world: &World, gateway: usize, change: &Change) -> Option<Json> {
-    let engine: Arc<Engine> = world.engine(change.engine)?;
+fn entry(testbed: &Testbed, gateway: usize, change: &Change) -> Option<Json> {
+    let engine: Arc<Engine> = testbed.engine(change.engine)?;
     let lifecycle = match change.lifecycle {
         Lifecycle::InService => "in_service",
         Lifecycle::Terminating => "terminating",
         Lifecycle::Terminated => "terminated",
     };
     Some(json!({"instanceId": engine.name(), "hostPort": engine::address(&engine, gateway).to_string(),
-        "zone": Plan::zone_name(engine.zone), "machineType": "std", "cell": world.plan.cell_of(engine.index),
-        "lifecycle": lifecycle, "weight": world.plan.cores, "startedAtMs": change.started_at_ms}))
+        "zone": Schedule::zone_name(engine.zone), "machineType": "std", "cell": testbed.schedule.cell_of(engine.index),
+        "lifecycle": lifecycle, "weight": testbed.schedule.cores, "startedAtMs": change.started_at_ms}))
 }
 
 /// Tells one gateway what it asks for, until the bus goes down.
-async fn feed(world: Arc<World>, stream: TcpStream, gateway: usize, epoch: u32) {
-    let mut epochs = world.bus.epochs.subscribe();
+async fn feed(testbed: Arc<Testbed>, stream: TcpStream, gateway: usize, epoch: u32) {
+    let mut epochs = testbed.bus.epochs.subscribe();
     if *epochs.borrow_and_update() != epoch {
         return;
     }
-    let to = world.run_of(gateway);
+    let to = testbed.run_of(gateway);
     let serving = async {
         let mut stream = BufReader::new(stream);
         let mut line = String::new();
@@ -181,18 +181,18 @@
         let mut offset: usize = line.trim().strip_prefix("from ").and_then(|n| n.parse().ok()).unwrap_or(0);
         let (opened, mut beaten) = (Instant::now(), Instant::now() - HEARTBEAT);
         loop {
-            if world.bus.is_silent(opened) {
+            if testbed.bus.is_silent(opened) {
                 tokio::time::sleep(LOOK).await;
                 continue;
             }
-            for (number, changes) in world.bus.after(offset) {
-                let line = format!("{}\n", render(&world, gateway, number, number == 1, &changes));
+            for (number, changes) in testbed.bus.after(offset) {
+                let line = format!("{}\n", render(&testbed, gateway, number, number == 1, &changes));
                 // Some events come in two pieces.
                 let cut = if rand::rng().random_bool(0.2) { line.len() / 2 } else { 0 };
                 stream.get_mut().write_all(&line.as_bytes()[..cut]).await?;
                 tokio::time::sleep(Duration::from_millis(if cut > 0 { 5 } else { 0 })).await;
                 stream.get_mut().write_all(&line.as_bytes()[cut..]).await?;
-                tell(&world, to, &changes);
+                tell(&testbed, to, &changes);
                 (offset, beaten) = (number, Instant::now());
             }
             if beaten.elapsed() >= HEARTBEAT {
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/checker.rs
@@ -1,8 +1,8 @@
-//! Judges a play by the seven rules and the terms, from the ledgers alone.
+//! Checks a play by the seven rules and the terms, from the history alone.
 
 use crate::answers::rows;
-use crate::ledger::{At, Books, Dispatch, DispatchEnd, Event, GatewayRun, Request, RequestEnd};
-use crate::plan::{Group, Plan, Semantics, Trouble};
+use crate::history::{At, Dispatch, DispatchEnd, Event, GatewayRun, Records, Request, RequestEnd};
+use crate::schedule::{Fault, Group, Schedule, Semantics};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -100,9 +100,9 @@
     ended: BTreeMap<GatewayRun, (At, String, bool)>,
 }
 
-struct Judge<'a> {
-    plan: &'a Plan,
-    books: &'a Books,
+struct Checker<'a> {
+    schedule: &'a Schedule,
+    records: &'a Records,
     runs: Runs,
     by_id: HashMap<&'a str, &'a Request>,
     /// When each gateway was told of an engine's run in service.
@@ -111,30 +111,30 @@
     verdict: Verdict,
 }
 
-pub fn judge(plan: &Plan, books: &Books) -> Verdict {
-    let mut judge = Judge {
-        plan,
-        books,
-        runs: Runs::read(books),
-        by_id: books.requests.iter().map(|request| (request.id.as_str(), request)).collect(),
-        told: told(books),
-        lags: lags(books),
+pub fn check(schedule: &Schedule, records: &Records) -> Verdict {
+    let mut checker = Checker {
+        schedule,
+        records,
+        runs: Runs::read(records),
+        by_id: records.requests.iter().map(|request| (request.id.as_str(), request)).collect(),
+        told: told(records),
+        lags: lags(records),
         verdict: Verdict::default(),
     };
-    judge.processes();
-    judge.requests();
-    judge.dispatches();
-    judge.budgets();
-    judge.cold_engines();
-    let mut verdict = judge.verdict;
+    checker.processes();
+    checker.requests();
+    checker.dispatches();
+    checker.budgets();
+    checker.cold_engines();
+    let mut verdict = checker.verdict;
     verdict.violations.sort_by_key(|violation| violation.at);
-    (verdict.requests, verdict.dispatches) = (books.requests.len(), books.dispatches.len());
+    (verdict.requests, verdict.dispatches) = (records.requests.len(), records.dispatches.len());
     verdict
 }
 
-fn told(books: &Books) -> BTreeMap<(GatewayRun, usize, u32), At> {
+fn told(records: &Records) -> BTreeMap<(GatewayRun, usize, u32), At> {
     let mut all = BTreeMap::new();
-    for (at, event) in &books.events {
+    for (at, event) in &records.events {
         if let Event::Told { to, engine, run, drained: false } = event {
             all.entry((*to, *engine, *run)).or_insert(*at);
         }
@@ -142,12 +142,12 @@
     all
 }
 
-fn lags(books: &Books) -> Vec<At> {
+fn lags(records: &Records) -> Vec<At> {
     let late = |(at, event): &(At, Event)| match event {
         Event::Lagged { by_us } if *by_us > LAG => Some(*at),
         _ => None,
     };
-    books.events.iter().filter_map(late).collect()
+    records.events.iter().filter_map(late).collect()
 }
 
 fn micros(span: Duration) -> At {
@@ -155,9 +155,9 @@
 }
 
 impl Runs {
-    fn read(books: &Books) -> Runs {
+    fn read(records: &Records) -> Runs {
         let mut runs = Runs::default();
-        for (at, event) in &books.events {
+        for (at, event) in &records.events {
             match event {
                 Event::GatewayStarted { run } => drop(runs.started.insert(*run, *at)),
                 Event::GatewayReady { run } => drop(runs.ready.insert(*run, *at)),
@@ -173,7 +173,7 @@
     }
 }
 
-impl Judge<'_> {
+impl Checker<'_> {
     fn found(&mut self, rule: Rule, at: At, id: Option<&str>, timed: bool, what: String) {
         let lagged =
             self.lags.iter().any(|lag| (at.saturating_sub(LAG_BEFORE)..at + LAG_BEFORE).contains(lag));
@@ -202,7 +202,7 @@
                 self.found(Rule::FailedStart, by, None, true, format!("{run:?} was not ready in 10 s"));
             }
         }
-        for (at, event) in &self.books.events {
+        for (at, event) in &self.records.events {
             if let Event::Complained { run, line } = event {
                 self.found(Rule::Complaint, *at, None, false, format!("{run:?} says: {line}"));
             }
@@ -210,12 +210,12 @@
     }
 
     fn requests(&mut self) {
-        let books = self.books;
+        let records = self.records;
         let mut by_id: HashMap<&str, Vec<&Dispatch>> = HashMap::new();
-        for dispatch in &books.dispatches {
+        for dispatch in &records.dispatches {
             by_id.entry(&dispatch.id).or_default().push(dispatch);
         }
-        for request in &books.requests {
+        for request in &records.requests {
             let dispatches = by_id.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
             self.request(request, dispatches);
         }
@@ -276,8 +276,8 @@
 
     /// Whether idle connections hold a gateway's descriptors: new connections may be shut unread then.
     fn is_flooded(&self, gateway: usize, at: At) -> bool {
-        self.plan.schedule.iter().any(|scheduled| match &scheduled.trouble {
-            Trouble::IdleFlood { gateways, for_ms, .. } => {
+        self.schedule.faults.iter().any(|scheduled| match &scheduled.fault {
+            Fault::IdleFlood { gateways, for_ms, .. } => {
                 let from = scheduled.at_ms * 1000;
                 gateways.contains(&gateway) && (from..from + for_ms * 1000 + 1_000_000).contains(&at)
             }
@@ -295,9 +295,9 @@
     }
 
     fn refused(&mut self, request: &Request, dispatches: &[&Dispatch], at: At) {
-        let harmless = match self.plan.classes[request.class].semantics {
+        let harmless = match self.schedule.classes[request.class].semantics {
             Semantics::Restartable => true,
-            Semantics::Keyed => self.plan.group == Group::All,
+            Semantics::Keyed => self.schedule.group == Group::All,
             Semantics::RunOnce => false,
         };
         let before = |dispatch: &&&Dispatch| dispatch.at < at && !proves_unrun(dispatch);
@@ -308,12 +308,12 @@
     }
 
     fn dispatches(&mut self) {
-        let books = self.books;
+        let records = self.records;
         let mut by_id: BTreeMap<&str, Vec<&Dispatch>> = BTreeMap::new();
-        for dispatch in &books.dispatches {
+        for dispatch in &records.dispatches {
             by_id.entry(&dispatch.id).or_default().push(dispatch);
         }
-        let drains = Drains::read(books);
+        let drains = Drains::read(records);
         for (id, mut all) in by_id {
             all.sort_by_key(|dispatch| dispatch.at);
             let Some(request) = self.by_id.get(id).copied() else {
@@ -360,8 +360,10 @@
             let what = format!("told {} ms with {} ms left", dispatch.limit_ms, left / 1000);
             self.found(Rule::DeadlineTooLong, at, id, true, what);
         }
-        let class = &self.plan.classes[request.class];
-        if self.knows(dispatch) && class.zone.is_some_and(|zone| zone != self.plan.zone_of(dispatch.engine)) {
+        let class = &self.schedule.classes[request.class];
+        if self.knows(dispatch)
+            && class.zone.is_some_and(|zone| zone != self.schedule.zone_of(dispatch.engine))
+        {
             self.found(
                 Rule::Placement,
                 at,
@@ -370,7 +372,7 @@
                 format!("class {} on {}", class.name, dispatch.engine),
             );
         }
-        let until = drains.until(dispatch, micros(self.plan.rules.drain_grace));
+        let until = drains.until(dispatch, micros(self.schedule.rules.drain_grace));
         if let Some(until) = until.filter(|until| at > until + SLACK) {
             let late = (at - until) / 1000;
             let what = format!("to draining engine {}, {late} ms past its grace", dispatch.engine);
@@ -392,7 +394,7 @@
             self.found(Rule::TwoOut, at, id, true, what);
         }
         let Some(ran) = before.iter().find(|other| !proves_unrun(other)) else { return };
-        match self.plan.classes[request.class].semantics {
+        match self.schedule.classes[request.class].semantics {
             Semantics::Restartable => {}
             Semantics::RunOnce => {
                 let what =
@@ -400,13 +402,13 @@
                 self.found(Rule::RunOnceAgain, at, id, false, what);
             }
             Semantics::Keyed => {
-                if at > ran.at + micros(self.plan.rules.dedup_window) + SLACK {
+                if at > ran.at + micros(self.schedule.rules.dedup_window) + SLACK {
                     let late = (at - ran.at) / 1000;
                     self.found(Rule::KeyedOutsideWindow, at, id, true, format!("{late} ms after the first"));
                 }
-                let group = |engine: usize| match self.plan.group {
-                    Group::Zone => self.plan.zone_of(engine),
-                    Group::Cell => self.plan.cell_of(engine),
+                let group = |engine: usize| match self.schedule.group {
+                    Group::Zone => self.schedule.zone_of(engine),
+                    Group::Cell => self.schedule.cell_of(engine),
                     Group::All => 0,
                 };
                 if group(ran.engine) != group(dispatch.engine) && self.knows(dispatch) {
@@ -419,11 +421,11 @@
 
     /// Dispatches beyond a job's first, by gateway, in every window.
     fn budgets(&mut self) {
-        let books = self.books;
-        let window = micros(self.plan.rules.budget_window);
+        let records = self.records;
+        let window = micros(self.schedule.rules.budget_window);
         let mut seen: BTreeSet<&str> = BTreeSet::new();
         let mut extras: BTreeMap<GatewayRun, Vec<At>> = BTreeMap::new();
-        let mut sorted: Vec<&Dispatch> = books.dispatches.iter().collect();
+        let mut sorted: Vec<&Dispatch> = records.dispatches.iter().collect();
         sorted.sort_by_key(|dispatch| dispatch.at);
         for dispatch in sorted {
             if !seen.insert(&dispatch.id) {
@@ -431,7 +433,7 @@
             }
         }
         for (run, extras) in extras {
-            let jobs: Vec<At> = books
+            let jobs: Vec<At> = records
                 .requests
                 .iter()
                 .filter(|request| request.to == run)
@@ -445,7 +447,7 @@
                 let count = near.count() as f64;
                 let from = at.saturating_sub(window + CONNECTING);
                 let taken = jobs.iter().filter(|job| (from..=*at).contains(job)).count() as f64;
-                let most = self.plan.rules.spare_attempts + self.plan.rules.extra_ratio * taken;
+                let most = self.schedule.rules.spare_attempts + self.schedule.rules.extra_ratio * taken;
                 if count > most + 1e-9 {
                     let what = format!("{run:?}: {count} further dispatches where {most:.1} are allowed");
                     self.found(Rule::Budget, *at, None, true, what);
@@ -454,20 +456,20 @@
         }
     }
 
-    /// Ledgers of engines that have just started: in no window more than the settings allow and chance may add.
+    /// Dispatches to engines that have just started: in no window more than the settings allow and chance may add.
     fn cold_engines(&mut self) {
-        let books = self.books;
-        let (rules, plan) = (&self.plan.rules, self.plan);
-        let work: u64 = plan.classes.iter().map(|class| class.work_ms).sum();
-        let mean_work = work as f64 / plan.classes.len() as f64;
+        let records = self.records;
+        let (rules, schedule) = (&self.schedule.rules, self.schedule);
+        let work: u64 = schedule.classes.iter().map(|class| class.work_ms).sum();
+        let mean_work = work as f64 / schedule.classes.len() as f64;
         let (warm, window) = (micros(rules.warm_after), micros(rules.overload_for));
         let mut broken = vec![];
-        for (started, event) in &books.events {
+        for (started, event) in &records.events {
             let Event::EngineStarted { engine, run } = event else { continue };
-            if *run == 0 && *engine < plan.engines {
+            if *run == 0 && *engine < schedule.engines {
                 continue;
             }
-            let mut came: Vec<&Dispatch> = books.dispatches.iter().collect();
+            let mut came: Vec<&Dispatch> = records.dispatches.iter().collect();
             came.retain(|d| d.engine == *engine && d.engine_run == *run && d.at < started + warm);
             came.sort_by_key(|dispatch| dispatch.at);
             let knows = |dispatch: &&&Dispatch| {
@@ -479,7 +481,7 @@
                     came.iter().filter(|d| d.at <= last.at && d.at + window > last.at).collect();
                 let age = (last.at - started) as f64 / warm as f64;
                 let share = rules.start_capacity + (1.0 - rules.start_capacity) * age.min(1.0);
-                let n = rules.fall_multiple * plan.cores * share * (window as f64 / 1000.0) / mean_work;
+                let n = rules.fall_multiple * schedule.cores * share * (window as f64 / 1000.0) / mean_work;
                 let most = if n < 30.0 { n + 3.0 * n.sqrt() + 3.0 } else { n + 2.0 * n.sqrt() + 2.0 };
                 let known = within.iter().filter(|d| knows(d)).count();
                 if within.len() as f64 > most && known * 3 > within.len() * 2 {
@@ -510,9 +512,9 @@
 }
 
 impl Drains {
-    fn read(books: &Books) -> Drains {
+    fn read(records: &Records) -> Drains {
         let mut drains = Drains { published: BTreeMap::new(), told: BTreeMap::new() };
-        for (at, event) in &books.events {
+        for (at, event) in &records.events {
             match event {
                 Event::Drained { engine, run } => {
                     drains.published.entry((*engine, *run)).or_insert(*at);
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,9 +1,9 @@
 //! Clients: most ask and wait, some leave, take back, write slowly, rest or speak nonsense. Every request that may reach
-//! a job is entered in the ledger.
+//! a job is recorded in the history.
 
 use crate::gateway::Phase;
-use crate::ledger::{GatewayRun, Request, RequestEnd};
-use crate::world::{World, locked};
+use crate::history::{GatewayRun, Request, RequestEnd};
+use crate::testbed::{Testbed, locked};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rmp::{decode, encode};
@@ -35,7 +35,7 @@
 
 /// A client's way to one gateway.
 pub struct Client {
-    world: Arc<World>,
+    testbed: Arc<Testbed>,
     gateway: usize,
     chance: ChaCha8Rng,
 }
@@ -57,28 +57,28 @@
 }
 
 impl Client {
-    pub fn new(world: Arc<World>, gateway: usize, number: usize) -> Client {
-        let seed = world.plan.seed ^ ((gateway * 1000 + number) as u64) << 20;
-        Client { world, gateway, chance: ChaCha8Rng::seed_from_u64(seed) }
+    pub fn new(testbed: Arc<Testbed>, gateway: usize, number: usize) -> Client {
+        let seed = testbed.schedule.seed ^ ((gateway * 1000 + number) as u64) << 20;
+        Client { testbed, gateway, chance: ChaCha8Rng::seed_from_u64(seed) }
     }
 
     /// Asks until the traffic is over.
     pub async fn run(mut self) {
-        while !self.world.is_over() {
+        while !self.testbed.is_over() {
             let _ = self.one_connection().await;
             self.think().await;
         }
     }
 
     async fn think(&mut self) {
-        let mean = self.world.plan.think_ms;
+        let mean = self.testbed.schedule.think_ms;
         let pause = self.chance.random_range(mean / 3..=mean * 2);
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
 
     /// Whether the protocol still lets clients connect to the gateway.
     fn may_connect(&self) -> bool {
-        match self.world.gateways[self.gateway].phase() {
+        match self.testbed.gateways[self.gateway].phase() {
             Phase::Ready => true,
             Phase::Stopping(since) => since.elapsed() < NEW_CONNECTIONS,
             Phase::Starting | Phase::Down => false,
@@ -88,8 +88,8 @@
     /// Whether it lets them ask on a connection to that run.
     fn may_ask(&self, to: GatewayRun, fresh: bool) -> bool {
         let within = if fresh { FRESH_CONNECTIONS } else { USED_CONNECTIONS };
-        self.world.run_of(self.gateway) == to
-            && match self.world.gateways[self.gateway].phase() {
+        self.testbed.run_of(self.gateway) == to
+            && match self.testbed.gateways[self.gateway].phase() {
                 Phase::Ready => true,
                 Phase::Stopping(since) => since.elapsed() < within,
                 Phase::Starting | Phase::Down => false,
@@ -101,7 +101,7 @@
             tokio::time::sleep(LOOK).await;
             return Ok(());
         }
-        let mut connection = Connection::open(&self.world, self.gateway).await?;
+        let mut connection = Connection::open(&self.testbed, self.gateway).await?;
         if self.chance.random_bool(0.15) {
             let rest = self.chance.random_range(50..LONGEST_REST);
             tokio::time::sleep(Duration::from_millis(rest)).await;
@@ -120,11 +120,11 @@
                 0..8 => {
                     self.pause(5..300).await;
                     let (message, entry) = asked[0];
-                    connection.forget(&self.world, message, entry).await?;
+                    connection.forget(&self.testbed, message, entry).await?;
                 }
                 8..13 => {
                     self.pause(0..300).await;
-                    connection.leave(&self.world);
+                    connection.leave(&self.testbed);
                     return Ok(());
                 }
                 _ => {}
@@ -148,10 +148,10 @@
     }
 
     fn request(&mut self, to: GatewayRun, fresh: bool) -> Request {
-        let class = self.chance.random_range(0..self.world.plan.classes.len());
-        let [least, most] = self.world.plan.classes[class].patience_ms;
+        let class = self.chance.random_range(0..self.testbed.schedule.classes.len());
+        let [least, most] = self.testbed.schedule.classes[class].patience_ms;
         Request {
-            id: format!("{:08x}{:08x}", self.world.plan.seed as u32, IDS.fetch_add(1, SeqCst) as u32),
+            id: format!("{:08x}{:08x}", self.testbed.schedule.seed as u32, IDS.fetch_add(1, SeqCst) as u32),
             to,
             class,
             patience_ms: if self.chance.random_bool(0.06) {
@@ -166,11 +166,11 @@
         }
     }
 
-    /// Sends a request, sometimes in slow pieces; returns its message number and its entry in the ledger.
+    /// Sends a request, sometimes in slow pieces; returns its message number and its entry in the history.
     async fn ask(&mut self, connection: &mut Connection, request: Request) -> std::io::Result<(u32, usize)> {
         let message = connection.next;
         connection.next += 1;
-        let bytes = encode_request(&self.world, message, &request);
+        let bytes = encode_request(&self.testbed, message, &request);
         // Until its last byte is written it is no request.
         let slow = self.chance.random_bool(0.08);
         if slow {
@@ -179,11 +179,11 @@
                 self.pause(1..60).await;
             }
         }
-        let entry = connection.enter(&self.world, message, request)?;
+        let entry = connection.enter(&self.testbed, message, request)?;
         let rest = if slow { &bytes[bytes.len() - 1..] } else { &bytes[..] };
         if let Err(e) = connection.writer.write_all(rest).await {
             // It was never taken whole: nothing is owed.
-            self.world.ledger.request_ended(entry, RequestEnd::Left);
+            self.testbed.history.request_ended(entry, RequestEnd::Left);
             return Err(e);
         }
         Ok((message, entry))
@@ -194,13 +194,13 @@
         if !self.may_connect() {
             return Ok(());
         }
-        let mut connection = Connection::open(&self.world, self.gateway).await?;
+        let mut connection = Connection::open(&self.testbed, self.gateway).await?;
         match self.chance.random_range(0..5) {
             0 => connection.writer.write_all(b"GET / HTTP/1.1\r\n\r\n").await?,
             1 => connection.writer.write_all(b"\x94\x00\x01\xa6lookup\x92\x80\xc6\xff\xff\xff\xff").await?,
             2 => {
                 let request = self.request(connection.to, true);
-                let bytes = encode_request(&self.world, 1, &request);
+                let bytes = encode_request(&self.testbed, 1, &request);
                 connection.writer.write_all(&bytes[..bytes.len() / 2]).await?;
                 self.pause(10..800).await;
             }
@@ -212,7 +212,7 @@
                 self.pause(0..40).await;
             }
         }
-        connection.leave(&self.world);
+        connection.leave(&self.testbed);
         Ok(())
     }
 
@@ -221,7 +221,7 @@
         let mut held = vec![];
         for _ in 0..connections {
             if self.may_connect()
-                && let Ok(stream) = self.world.gateways[self.gateway].connect().await
+                && let Ok(stream) = self.testbed.gateways[self.gateway].connect().await
             {
                 held.push(stream);
             }
@@ -232,23 +232,23 @@
 }
 
 impl Connection {
-    async fn open(world: &Arc<World>, gateway: usize) -> std::io::Result<Connection> {
-        let to = world.run_of(gateway);
-        let stream = world.gateways[gateway].connect().await?;
+    async fn open(testbed: &Arc<Testbed>, gateway: usize) -> std::io::Result<Connection> {
+        let to = testbed.run_of(gateway);
+        let stream = testbed.gateways[gateway].connect().await?;
         let (reader, writer) = TcpStream::into_split(stream);
         let open: Arc<Mutex<OpenRequests>> = Arc::default();
-        let reading = read_answers(world.clone(), reader, open.clone());
+        let reading = read_answers(testbed.clone(), reader, open.clone());
         Ok(Connection { to, writer, open, reader: tokio::spawn(reading), next: 1 })
     }
 
     /// Enters a request that is about to be written whole.
-    fn enter(&self, world: &World, message: u32, mut request: Request) -> std::io::Result<usize> {
+    fn enter(&self, testbed: &Testbed, message: u32, mut request: Request) -> std::io::Result<usize> {
         let mut open = locked(&self.open);
         if open.ended {
             return Err(std::io::ErrorKind::BrokenPipe.into());
         }
-        request.sent = world.ledger.now();
-        let entry = world.ledger.request(request);
+        request.sent = testbed.history.now();
+        let entry = testbed.history.request(request);
         open.entries.insert(message, entry);
         Ok(entry)
     }
@@ -257,19 +257,19 @@
         self.reader.is_finished()
     }
 
-    async fn forget(&mut self, world: &World, message: u32, entry: usize) -> std::io::Result<()> {
+    async fn forget(&mut self, testbed: &Testbed, message: u32, entry: usize) -> std::io::Result<()> {
         let mut bytes = b"\x93\x02\xa6forget\x91".to_vec();
         encode::write_uint(&mut bytes, message.into()).map_err(|e| std::io::Error::other(e.to_string()))?;
         self.writer.write_all(&bytes).await?;
-        world.ledger.request_ended(entry, RequestEnd::Left);
+        testbed.history.request_ended(entry, RequestEnd::Left);
         Ok(())
     }
 
     /// Closes it over whatever is open.
-    fn leave(self, world: &World) {
+    fn leave(self, testbed: &Testbed) {
         self.reader.abort();
         for (_, entry) in locked(&self.open).entries.drain() {
-            world.ledger.request_ended(entry, RequestEnd::Left);
+            testbed.history.request_ended(entry, RequestEnd::Left);
         }
     }
 
@@ -291,8 +291,8 @@
     }
 }
 
-fn encode_request(world: &World, message: u32, request: &Request) -> Vec<u8> {
-    let class = &world.plan.classes[request.class];
+fn encode_request(testbed: &Testbed, message: u32, request: &Request) -> Vec<u8> {
+    let class = &testbed.schedule.classes[request.class];
     let patience = request.patience_ms.to_string();
     let fields = [("i", request.id.as_str()), ("d", &patience), ("h", "20.0"), ("mem", "16")];
     let mut bytes = vec![0x94, 0];
@@ -309,7 +309,7 @@
     bytes
 }
 
-async fn read_answers(world: Arc<World>, mut from: OwnedReadHalf, open: Arc<Mutex<OpenRequests>>) {
+async fn read_answers(testbed: Arc<Testbed>, mut from: OwnedReadHalf, open: Arc<Mutex<OpenRequests>>) {
     let (mut bytes, mut piece) = (Vec::new(), vec![0; 16 * 1024]);
     let mut answered: HashMap<u32, usize> = HashMap::new();
     let reset = loop {
@@ -323,14 +323,14 @@
             let entry = locked(&open).entries.remove(&message).or_else(|| answered.get(&message).copied());
             if let Some(entry) = entry {
                 answered.insert(message, entry);
-                world.ledger.request_ended(entry, end);
+                testbed.history.request_ended(entry, end);
             }
         }
     };
     let mut open = locked(&open);
     open.ended = true;
     for (_, entry) in open.entries.drain() {
-        world.ledger.request_ended(entry, RequestEnd::Closed { reset });
+        testbed.history.request_ended(entry, RequestEnd::Closed { reset });
     }
 }
 
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -1,8 +1,8 @@
-//! Engines: they read dispatches, keep the ledger of them, work for a while and answer, unless they are in trouble.
+//! Engines: they read dispatches, record them in the history, work for a while and answer, unless a fault is injected.
 
 use crate::answers::rows;
-use crate::ledger::{Dispatch, DispatchEnd, Event};
-use crate::world::{World, gateway_of, locked};
+use crate::history::{Dispatch, DispatchEnd, Event};
+use crate::testbed::{Testbed, gateway_of, locked};
 use rand::Rng;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -130,15 +130,15 @@
     }
 
     /// The process ends: connections are reset and new ones refused.
-    pub fn die(&self, world: &World) {
+    pub fn die(&self, testbed: &Testbed) {
         locked(&self.state).alive = false;
-        world.ledger.event(Event::EngineDied { engine: self.index, run: self.run() });
+        testbed.history.event(Event::EngineDied { engine: self.index, run: self.run() });
         self.runs.send_modify(|run| *run += 1);
     }
 
     /// Starts the process, at its old port if it had one.
-    pub async fn start(self: &Arc<Self>, world: &Arc<World>) -> std::io::Result<()> {
-        let port = if self.port() == 0 { world.new_port() } else { self.port() };
+    pub async fn start(self: &Arc<Self>, testbed: &Arc<Testbed>) -> std::io::Result<()> {
+        let port = if self.port() == 0 { testbed.new_port() } else { self.port() };
         let began = Instant::now();
         let listener = loop {
             match listen(port) {
@@ -151,8 +151,8 @@
             let mut state = locked(&self.state);
             (state.port, state.alive) = (listener.local_addr()?.port(), true);
         }
-        world.ledger.event(Event::EngineStarted { engine: self.index, run: self.run() });
-        let (engine, world, run) = (self.clone(), world.clone(), self.run());
+        testbed.history.event(Event::EngineStarted { engine: self.index, run: self.run() });
+        let (engine, testbed, run) = (self.clone(), testbed.clone(), self.run());
         tokio::spawn(async move {
             let mut runs = engine.runs.subscribe();
             loop {
@@ -164,7 +164,7 @@
                             continue;
                         }
                         let Some(gateway) = stream.local_addr().ok().and_then(gateway_of) else { continue };
-                        tokio::spawn(engine.clone().serve(world.clone(), stream, gateway, run));
+                        tokio::spawn(engine.clone().serve(testbed.clone(), stream, gateway, run));
                     }
                     _ = runs.changed() => if engine.run() != run { return },
                 }
@@ -186,8 +186,8 @@
         }
     }
 
-    async fn serve(self: Arc<Self>, world: Arc<World>, stream: TcpStream, gateway: usize, run: u32) {
-        let from = world.run_of(gateway);
+    async fn serve(self: Arc<Self>, testbed: Arc<Testbed>, stream: TcpStream, gateway: usize, run: u32) {
+        let from = testbed.run_of(gateway);
         let _ = stream.set_nodelay(true);
         let std = stream.into_std().and_then(|std| {
             socket2::SockRef::from(&std).set_linger(Some(Duration::ZERO))?;
@@ -207,7 +207,7 @@
             }
         });
         let mut link =
-            Link { engine: self.clone(), world, gateway, from, run, answers, open: HashMap::new() };
+            Link { engine: self.clone(), testbed, gateway, from, run, answers, open: HashMap::new() };
         let (mut bytes, mut piece) = (Vec::new(), vec![0; 16 * 1024]);
         loop {
             tokio::select! {
@@ -222,7 +222,7 @@
         }
         for (_, job) in link.open.drain() {
             job.given_up.store(true, SeqCst);
-            link.world.ledger.dispatch_ended(job.entry, DispatchEnd::Disconnected);
+            link.testbed.history.dispatch_ended(job.entry, DispatchEnd::Disconnected);
         }
         writing.abort();
     }
@@ -239,9 +239,9 @@
 /// One connection from a gateway.
 struct Link {
     engine: Arc<Engine>,
-    world: Arc<World>,
+    testbed: Arc<Testbed>,
     gateway: usize,
-    from: crate::ledger::GatewayRun,
+    from: crate::history::GatewayRun,
     run: u32,
     answers: mpsc::UnboundedSender<Vec<u8>>,
     open: HashMap<String, OpenDispatch>,
@@ -272,7 +272,7 @@
                 ["STOP" | "END", id] => {
                     if let Some(job) = self.open.remove(id) {
                         job.given_up.store(true, SeqCst);
-                        self.world.ledger.dispatch_ended(job.entry, DispatchEnd::Stopped);
+                        self.testbed.history.dispatch_ended(job.entry, DispatchEnd::Stopped);
                     }
                 }
                 ["FETCH", id, page] => self.fetch(id, page.parse().unwrap_or(0)),
@@ -290,23 +290,23 @@
             fields.into_iter().find(|(told, _)| *told == name).map_or("", |(_, value)| value)
         };
         let class = field("cls").to_string();
-        let entry = self.world.ledger.dispatch(Dispatch {
+        let entry = self.testbed.history.dispatch(Dispatch {
             id: id.to_string(),
             class: class.clone(),
             from: self.from,
             engine: self.engine.index,
             engine_run: self.run,
-            at: self.world.ledger.now(),
+            at: self.testbed.history.now(),
             limit_ms: field("limit").parse().unwrap_or(0),
             end: None,
         });
         let given_up = Arc::new(AtomicBool::new(false));
         self.open.insert(id.to_string(), OpenDispatch { entry, given_up: given_up.clone() });
-        let kind = self.world.plan.classes.iter().find(|kind| kind.name == class);
+        let kind = self.testbed.schedule.classes.iter().find(|kind| kind.name == class);
         let work = Duration::from_millis(kind.map_or(20, |kind| kind.work_ms));
         let job = Work {
             engine: self.engine.clone(),
-            world: self.world.clone(),
+            testbed: self.testbed.clone(),
             gateway: self.gateway,
             run: self.run,
             id: id.to_string(),
@@ -314,7 +314,7 @@
             given_up,
             answers: self.answers.clone(),
         };
-        tokio::spawn(job.carry_out(work));
+        tokio::spawn(job.inject(work));
     }
 
     fn fetch(&self, id: &str, page: u32) {
@@ -327,7 +327,7 @@
     }
 
     fn probe(&self, tag: &str) {
-        let threads = 2.0 * self.world.plan.cores;
+        let threads = 2.0 * self.testbed.schedule.cores;
         let used = f64::from(self.engine.inflight.load(SeqCst)) / threads;
         let _ = self.answers.send(message(tag, "PONG", &format!("meter=util:{:.2}", used.min(1.0)), ""));
     }
@@ -340,7 +340,7 @@
 /// One dispatch as the engine carries it out.
 struct Work {
     engine: Arc<Engine>,
-    world: Arc<World>,
+    testbed: Arc<Testbed>,
     gateway: usize,
     run: u32,
     id: String,
@@ -350,7 +350,7 @@
 }
 
 impl Work {
-    async fn carry_out(self, work: Duration) {
+    async fn inject(self, work: Duration) {
         self.engine.passes(self.gateway).await;
         if self.is_over() {
             return;
@@ -359,7 +359,7 @@
             return self.fail();
         }
         let before = self.engine.inflight.fetch_add(1, SeqCst);
-        let crowd = f64::from(before + 1) / (2.0 * self.world.plan.cores);
+        let crowd = f64::from(before + 1) / (2.0 * self.testbed.schedule.cores);
         let mut left = work.mul_f64(crowd.max(1.0) * rand::rng().random_range(0.5..1.6));
         let all = left;
         while left > NOTE_EVERY {
@@ -389,7 +389,7 @@
     }
 
     fn ended(&self, end: DispatchEnd) {
-        self.world.ledger.dispatch_ended(self.entry, end);
+        self.testbed.history.dispatch_ended(self.entry, end);
     }
 
     fn hit(&self) -> Vec<u8> {
@@ -449,5 +449,5 @@
 
 /// Where an engine is met by a gateway.
 pub fn address(engine: &Engine, gateway: usize) -> SocketAddr {
-    crate::world::link_address(gateway, engine.port())
+    crate::testbed::link_address(gateway, engine.port())
 }
--- a/crates/soak/src/gateway.rs
+++ b/crates/soak/src/gateway.rs
@@ -1,7 +1,7 @@
 //! The processes under test: their configurations, signals, logs and control files.
 
-use crate::ledger::{Event, GatewayRun};
-use crate::world::{World, link_address, locked};
+use crate::history::{Event, GatewayRun};
+use crate::testbed::{Testbed, link_address, locked};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::json;
@@ -25,7 +25,7 @@
 const LOOK: Duration = Duration::from_millis(20);
 const CONTROL_BYTES: usize = 64;
 /// Sorts of faults, as the shim numbers them.
-pub const FAULTS: usize = 8;
+pub const SYSCALL_FAULT_KINDS: usize = 8;
 /// The sort that breaks connections, and the one that keeps threads from being made.
 pub const FAULT_BREAK: usize = 5;
 pub const FAULT_THREAD: usize = 6;
@@ -74,26 +74,26 @@
         Ok(stream)
     }
 
-    fn file(&self, world: &World, ending: &str) -> PathBuf {
-        world.folder.join(format!("g{}.{ending}", self.index))
+    fn file(&self, testbed: &Testbed, ending: &str) -> PathBuf {
+        testbed.folder.join(format!("g{}.{ending}", self.index))
     }
 
-    fn configuration(&self, world: &World, run: GatewayRun, stale: bool) -> String {
-        let plan = &world.plan;
+    fn configuration(&self, testbed: &Testbed, run: GatewayRun, stale: bool) -> String {
+        let schedule = &testbed.schedule;
         json!({
             "name": format!("g{}", self.index), "listen": link_address(self.index, self.port).to_string(),
-            "seed": format!("{:016x}", plan.seed.wrapping_mul(1000) + self.index as u64),
+            "seed": format!("{:016x}", schedule.seed.wrapping_mul(1000) + self.index as u64),
             "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 320},
-            "bus": link_address(self.index, world.bus.port()).to_string(),
-            "known": world.bus.known(world, run, stale), "settings": plan.settings(self.index),
+            "bus": link_address(self.index, testbed.bus.port()).to_string(),
+            "known": testbed.bus.known(testbed, run, stale), "settings": schedule.settings(self.index),
         })
         .to_string()
     }
 
     /// Writes the configuration anew, a half first, and tells the program.
-    pub async fn reload(&self, world: &World) {
-        let text = self.configuration(world, world.run_of(self.index), false);
-        let file = self.file(world, "json");
+    pub async fn reload(&self, testbed: &Testbed) {
+        let text = self.configuration(testbed, testbed.run_of(self.index), false);
+        let file = self.file(testbed, "json");
         let _ = tokio::fs::write(&file, &text.as_bytes()[..text.len() / 2]).await;
         self.signal(Signal::SIGHUP);
         tokio::time::sleep(Duration::from_millis(30)).await;
@@ -108,41 +108,41 @@
     }
 
     /// Steps the program's wall clock.
-    pub fn step_clock(&self, world: &World, offset: Duration, back: bool) {
+    pub fn step_clock(&self, testbed: &Testbed, offset: Duration, back: bool) {
         let offset_us = offset.as_micros() as i64 * if back { -1 } else { 1 };
-        self.control(world, 0, &offset_us.to_ne_bytes());
+        self.control(testbed, 0, &offset_us.to_ne_bytes());
     }
 
     /// Sets how often each sort of call fails.
-    pub fn fail_calls(&self, world: &World, shares: [f64; FAULTS]) {
+    pub fn fail_calls(&self, testbed: &Testbed, shares: [f64; SYSCALL_FAULT_KINDS]) {
         let rates = shares.map(|share| (share * f64::from(u32::MAX)) as u32);
         let bytes: Vec<u8> = rates.iter().flat_map(|rate| rate.to_ne_bytes()).collect();
-        self.control(world, 8, &bytes);
+        self.control(testbed, 8, &bytes);
     }
 
-    fn control(&self, world: &World, at: u64, bytes: &[u8]) {
-        let file = std::fs::OpenOptions::new().write(true).open(self.file(world, "control"));
+    fn control(&self, testbed: &Testbed, at: u64, bytes: &[u8]) {
+        let file = std::fs::OpenOptions::new().write(true).open(self.file(testbed, "control"));
         let _ = file.and_then(|file| file.write_all_at(bytes, at));
     }
 
     /// Starts the process and returns at once; it is ready later.
-    pub fn start(&self, world: &Arc<World>, stale: bool) -> std::io::Result<()> {
+    pub fn start(&self, testbed: &Arc<Testbed>, stale: bool) -> std::io::Result<()> {
         let run = GatewayRun { gateway: self.index, run: self.run.fetch_add(1, SeqCst) + 1 };
-        let (config, control) = (self.file(world, "json"), self.file(world, "control"));
-        std::fs::write(&config, self.configuration(world, run, stale))?;
+        let (config, control) = (self.file(testbed, "json"), self.file(testbed, "control"));
+        std::fs::write(&config, self.configuration(testbed, run, stale))?;
         if !control.exists() {
             std::fs::write(&control, [0; CONTROL_BYTES])?;
         }
         let mut child = Command::new("/bin/sh")
             .args(["-c", RUN])
-            .arg(&world.program)
+            .arg(&testbed.program)
             .env_clear()
             .env("NODE_CONFIG", &config)
             .env("MALLOC_ARENA_MAX", "1")
             .env("PEBBLEVANE_LOG", "debug")
             .env("LD_PRELOAD", env!("SOAK_SHIM"))
             .env("SOAK_CONTROL", &control)
-            .env("SOAK_SEED", (world.plan.seed * 1009 + self.index as u64).to_string())
+            .env("SOAK_SEED", (testbed.schedule.seed * 1009 + self.index as u64).to_string())
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
@@ -152,39 +152,39 @@
             let mut state = locked(&self.state);
             (state.phase, state.pid) = (Phase::Starting, child.id());
         }
-        world.ledger.event(Event::GatewayStarted { run });
-        let log = world.folder.join(format!("g{}-{}.log", run.gateway, run.run));
+        testbed.history.event(Event::GatewayStarted { run });
+        let log = testbed.folder.join(format!("g{}-{}.log", run.gateway, run.run));
         if let Some(out) = child.stdout.take() {
-            tokio::spawn(watch(world.clone(), run, out, Some(log)));
+            tokio::spawn(watch(testbed.clone(), run, out, Some(log)));
         }
         if let Some(err) = child.stderr.take() {
-            tokio::spawn(watch(world.clone(), run, err, None));
+            tokio::spawn(watch(testbed.clone(), run, err, None));
         }
-        let world = world.clone();
+        let testbed = testbed.clone();
         tokio::spawn(async move {
-            let gateway = &world.gateways[run.gateway];
+            let gateway = &testbed.gateways[run.gateway];
             tokio::select! {
-                ended = child.wait() => gateway.ended(&world, run, ended),
-                () = gateway.becomes_ready(&world, run) => {
+                ended = child.wait() => gateway.ended(&testbed, run, ended),
+                () = gateway.becomes_ready(&testbed, run) => {
                     let ended = child.wait().await;
-                    gateway.ended(&world, run, ended);
+                    gateway.ended(&testbed, run, ended);
                 }
             }
         });
         Ok(())
     }
 
-    fn ended(&self, world: &World, run: GatewayRun, ended: std::io::Result<std::process::ExitStatus>) {
+    fn ended(&self, testbed: &Testbed, run: GatewayRun, ended: std::io::Result<std::process::ExitStatus>) {
         let mut state = locked(&self.state);
         let told = matches!(state.phase, Phase::Stopping(_));
         (state.phase, state.pid) = (Phase::Down, None);
         drop(state);
         let status = ended.map_or_else(|e| e.to_string(), |status| status.to_string());
         let clean = told && status == "exit status: 0";
-        world.ledger.event(Event::GatewayEnded { run, status, clean });
+        testbed.history.event(Event::GatewayEnded { run, status, clean });
     }
 
-    async fn becomes_ready(&self, world: &World, run: GatewayRun) {
+    async fn becomes_ready(&self, testbed: &Testbed, run: GatewayRun) {
         let since = Instant::now();
         while since.elapsed() < READY_WITHIN {
             if self.is_well().await.unwrap_or(false) {
@@ -192,7 +192,7 @@
                 if state.phase == Phase::Starting {
                     state.phase = Phase::Ready;
                     drop(state);
-                    world.ledger.event(Event::GatewayReady { run });
+                    testbed.history.event(Event::GatewayReady { run });
                 }
                 return;
             }
@@ -209,8 +209,8 @@
     }
 
     /// A planned stop; returns when the process has ended, which is forced in the end.
-    pub async fn stop(&self, world: &World) {
-        let run = world.run_of(self.index);
+    pub async fn stop(&self, testbed: &Testbed) {
+        let run = testbed.run_of(self.index);
         let since = Instant::now();
         {
             let mut state = locked(&self.state);
@@ -219,7 +219,7 @@
             }
             state.phase = Phase::Stopping(since);
         }
-        world.ledger.event(Event::GatewayStopping { run });
+        testbed.history.event(Event::GatewayStopping { run });
         self.signal(Signal::SIGTERM);
         while self.phase() != Phase::Down {
             if since.elapsed() > STOP_WITHIN {
@@ -230,37 +230,37 @@
         }
     }
 
-    pub async fn kill(&self, world: &World) {
-        world.ledger.event(Event::GatewayKilled { run: world.run_of(self.index) });
+    pub async fn kill(&self, testbed: &Testbed) {
+        testbed.history.event(Event::GatewayKilled { run: testbed.run_of(self.index) });
         self.signal(Signal::SIGKILL);
         while self.phase() != Phase::Down {
             tokio::time::sleep(LOOK).await;
         }
     }
 
-    pub async fn freeze(&self, world: &World, time: Duration) {
-        let run = world.run_of(self.index);
-        world.ledger.event(Event::GatewayFrozen { run });
+    pub async fn freeze(&self, testbed: &Testbed, time: Duration) {
+        let run = testbed.run_of(self.index);
+        testbed.history.event(Event::GatewayFrozen { run });
         self.signal(Signal::SIGSTOP);
         tokio::time::sleep(time).await;
         self.signal(Signal::SIGCONT);
-        world.ledger.event(Event::GatewayThawed { run });
+        testbed.history.event(Event::GatewayThawed { run });
     }
 }
 
 /// Keeps a log and looks for what must not be in it.
-async fn watch(world: Arc<World>, run: GatewayRun, from: impl AsyncRead + Unpin, log: Option<PathBuf>) {
+async fn watch(testbed: Arc<Testbed>, run: GatewayRun, from: impl AsyncRead + Unpin, log: Option<PathBuf>) {
     let mut lines = BufReader::new(from).lines();
     let (mut kept, mut bytes) = (Vec::new(), 0);
     while let Ok(Some(line)) = lines.next_line().await {
         // Whatever comes on standard error is a panic or the reason of a failed start.
         let odd = log.is_none() || line.contains(" ERROR ") || line.contains("panicked");
         if odd {
-            world.ledger.event(Event::Complained { run, line: line.clone() });
+            testbed.history.event(Event::Complained { run, line: line.clone() });
         }
         if bytes < LONGEST_LOG {
             bytes += line.len();
-            kept.push(format!("{} {line}", world.ledger.now()));
+            kept.push(format!("{} {line}", testbed.history.now()));
         }
     }
     if let Some(log) = log {
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/history.rs
@@ -1,5 +1,5 @@
 //! What clients, engines, the bus and the supervisor saw, each with its time on one monotonic clock (microseconds since
-//! the start of the play). Nothing here judges.
+//! the start of the play). Nothing here checks it.
 
 use serde::Serialize;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -138,45 +138,45 @@
 }
 
 #[derive(Default, Serialize)]
-pub struct Books {
+pub struct Records {
     pub requests: Vec<Request>,
     pub dispatches: Vec<Dispatch>,
     pub events: Vec<(At, Event)>,
 }
 
-pub struct Ledger {
+pub struct History {
     began: Instant,
-    books: Mutex<Books>,
+    records: Mutex<Records>,
 }
 
-impl Ledger {
-    pub fn begin() -> Ledger {
-        Ledger { began: Instant::now(), books: Mutex::default() }
+impl History {
+    pub fn begin() -> History {
+        History { began: Instant::now(), records: Mutex::default() }
     }
 
     pub fn now(&self) -> At {
         self.began.elapsed().as_micros() as At
     }
 
-    fn books(&self) -> MutexGuard<'_, Books> {
-        self.books.lock().unwrap_or_else(PoisonError::into_inner)
+    fn records(&self) -> MutexGuard<'_, Records> {
+        self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub fn event(&self, event: Event) {
         let at = self.now();
-        self.books().events.push((at, event));
+        self.records().events.push((at, event));
     }
 
     /// Enters a request; the returned number names it.
     pub fn request(&self, request: Request) -> usize {
-        let mut books = self.books();
-        books.requests.push(request);
-        books.requests.len() - 1
+        let mut records = self.records();
+        records.requests.push(request);
+        records.requests.len() - 1
     }
 
     pub fn request_ended(&self, request: usize, end: RequestEnd) {
         let now = self.now();
-        let request = &mut self.books().requests[request];
+        let request = &mut self.records().requests[request];
         let is_answer = !matches!(end, RequestEnd::Closed { .. } | RequestEnd::Left);
         match &request.end {
             None => request.end = Some((now, end)),
@@ -187,18 +187,18 @@
     }
 
     pub fn dispatch(&self, dispatch: Dispatch) -> usize {
-        let mut books = self.books();
-        books.dispatches.push(dispatch);
-        books.dispatches.len() - 1
+        let mut records = self.records();
+        records.dispatches.push(dispatch);
+        records.dispatches.len() - 1
     }
 
     pub fn dispatch_ended(&self, dispatch: usize, end: DispatchEnd) {
         let now = self.now();
-        let dispatch = &mut self.books().dispatches[dispatch];
+        let dispatch = &mut self.records().dispatches[dispatch];
         dispatch.end.get_or_insert((now, end));
     }
 
-    pub fn take(&self) -> Books {
-        std::mem::take(&mut *self.books())
+    pub fn take(&self) -> Records {
+        std::mem::take(&mut *self.records())
     }
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,22 +1,22 @@
 //! Soak test of pebblevane: dozens of real processes on loopback with engines, an event bus and clients of this test's
-//! own, under troubles that overlap, judged from the ledgers of all who were there.
+//! own, under faults that overlap, checked from the history that all of them record.
 
 mod answers;
 mod bus;
+mod checker;
 mod client;
 mod engine;
+mod faults;
 mod gateway;
-mod judge;
-mod ledger;
-mod plan;
+mod history;
 mod report;
 mod run;
-mod troubles;
-mod world;
+mod schedule;
+mod testbed;
 
 use clap::Parser;
-use plan::Plan;
 use run::{PlayError, Played};
+use schedule::Schedule;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -30,7 +30,7 @@
 const PORTS_A_PLAY: u64 = 100;
 const PLAYS: u64 = 220;
 
-/// Plays seeds and judges them.
+/// Plays seeds and checks their histories.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -54,13 +54,13 @@
     /// The program under test.
     #[arg(long, default_value = "target/release/pebblevane")]
     program: PathBuf,
-    /// Where logs and ledgers lie.
+    /// Where logs and histories lie.
     #[arg(long, default_value = "target/soak")]
     folder: PathBuf,
-    /// Keep the ledgers of plays that passed, too.
+    /// Keep the histories of plays that passed, too.
     #[arg(long)]
     keep: bool,
-    /// Play these plans, as --print-plans prints them, in place of seeds.
+    /// Play these schedules, as --print-plans prints them, in place of seeds.
     #[arg(long, num_args = 1..)]
     plans: Vec<PathBuf>,
     /// Only print what the seeds would play.
@@ -72,8 +72,8 @@
     let arguments = Arguments::parse();
     if arguments.print_plans {
         for seed in arguments.all_seeds() {
-            let plan = Plan::draw(seed, arguments.processes as usize, arguments.seconds);
-            println!("{}", serde_json::to_string(&plan).unwrap_or_else(|e| e.to_string()));
+            let schedule = Schedule::draw(seed, arguments.processes as usize, arguments.seconds);
+            println!("{}", serde_json::to_string(&schedule).unwrap_or_else(|e| e.to_string()));
         }
         return ExitCode::SUCCESS;
     }
@@ -114,14 +114,14 @@
         let arguments = arguments.clone();
         plays.push(tokio::spawn(async move {
             let _place = place;
-            let plan = Plan::draw(seed, arguments.processes as usize, arguments.seconds);
-            play_one(plan, &arguments).await
+            let schedule = Schedule::draw(seed, arguments.processes as usize, arguments.seconds);
+            play_one(schedule, &arguments).await
         }));
     }
     for path in &arguments.plans {
         let arguments = arguments.clone();
-        let plan = match read_plan(path) {
-            Ok(plan) => plan,
+        let schedule = match read_schedule(path) {
+            Ok(schedule) => schedule,
             Err(e) => {
                 println!("not played: {}: {e}", path.display());
                 return false;
@@ -130,7 +130,7 @@
         let Ok(place) = places.clone().acquire_owned().await else { break };
         plays.push(tokio::spawn(async move {
             let _place = place;
-            play_one(plan, &arguments).await
+            play_one(schedule, &arguments).await
         }));
     }
     let (mut passed, mut failed, mut rules) = (0, 0, BTreeMap::new());
@@ -158,16 +158,16 @@
     failed == 0
 }
 
-fn read_plan(path: &Path) -> std::io::Result<Plan> {
+fn read_schedule(path: &Path) -> std::io::Result<Schedule> {
     Ok(serde_json::from_str(&std::fs::read_to_string(path)?)?)
 }
 
-/// Plays a plan and prints how it went; returns the rules that were broken.
-async fn play_one(plan: Plan, arguments: &Arguments) -> Result<Vec<String>, PlayError> {
-    let seed = plan.seed;
+/// Plays a schedule and prints how it went; returns the rules that were broken.
+async fn play_one(schedule: Schedule, arguments: &Arguments) -> Result<Vec<String>, PlayError> {
+    let seed = schedule.seed;
     let folder = arguments.folder.join(format!("seed-{seed}"));
     let port = FIRST_PORT + (seed % PLAYS * PORTS_A_PLAY) as u16;
-    let played = run::play(plan, &folder, &arguments.program, port).await?;
+    let played = run::play(schedule, &folder, &arguments.program, port).await?;
     let broken: Vec<String> =
         played.verdict.broken().map(|violation| format!("{:?}", violation.rule)).collect();
     println!("{}", report::line(&played));
@@ -182,8 +182,9 @@
 
 /// Leaves what is needed to read a play later.
 fn keep(played: &Played, folder: &Path) {
-    let all = serde_json::json!({"plan": played.plan, "books": played.books, "verdict": played.verdict});
+    let all =
+        serde_json::json!({"plan": played.schedule, "books": played.records, "verdict": played.verdict});
     if let Err(e) = std::fs::write(folder.join("play.json"), all.to_string()) {
-        println!("cannot keep the ledgers: {e}");
+        println!("cannot keep the history: {e}");
     }
 }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,7 +1,7 @@
 //! What a person is shown of a play.
 
-use crate::judge::Violation;
-use crate::ledger::{At, Event};
+use crate::checker::Violation;
+use crate::history::{At, Event};
 use crate::run::Played;
 use std::fmt::Write;
 use std::path::Path;
@@ -23,7 +23,7 @@
     let unsure = if unsure > 0 { format!(", {unsure} unsure as the test lagged") } else { String::new() };
     format!(
         "seed {}: {end}{unsure} ({} requests: {} done, {} busy, {} failed; {} dispatches; {} crossings; {} at killed gateways)",
-        played.plan.seed,
+        played.schedule.seed,
         verdict.requests,
         verdict.done,
         verdict.busy,
@@ -37,8 +37,8 @@
 /// The schedule, the violations, and the first one's request through every process.
 pub fn details(played: &Played, folder: &Path) -> String {
     let mut text = String::new();
-    for scheduled in &played.plan.schedule {
-        let _ = writeln!(text, "  at {:>5} ms {:?}", scheduled.at_ms, scheduled.trouble);
+    for scheduled in &played.schedule.faults {
+        let _ = writeln!(text, "  at {:>5} ms {:?}", scheduled.at_ms, scheduled.fault);
     }
     let verdict = &played.verdict;
     for violation in verdict.broken().take(MOST_SHOWN) {
@@ -60,8 +60,8 @@
 /// All that any process has said of a request, in the order of time.
 fn timeline(played: &Played, id: &str, folder: &Path) -> String {
     let mut lines: Vec<(At, String)> = vec![];
-    for request in played.books.requests.iter().filter(|request| request.id == id) {
-        let class = &played.plan.classes[request.class].name;
+    for request in played.records.requests.iter().filter(|request| request.id == id) {
+        let class = &played.schedule.classes[request.class].name;
         let what = format!(
             "client: {class}, {} ms, to {:?}, fresh {}",
             request.patience_ms, request.to, request.fresh
@@ -76,10 +76,10 @@
             | Event::GatewayEnded { run, .. } => *run == request.to,
             _ => false,
         };
-        let events = played.books.events.iter().filter(|(_, event)| concerns(event));
+        let events = played.records.events.iter().filter(|(_, event)| concerns(event));
         lines.extend(events.map(|(at, event)| (*at, format!("supervisor: {event:?}"))));
     }
-    for dispatch in played.books.dispatches.iter().filter(|dispatch| dispatch.id == id) {
+    for dispatch in played.records.dispatches.iter().filter(|dispatch| dispatch.id == id) {
         let (engine, run) = (dispatch.engine, dispatch.engine_run);
         lines.push((dispatch.at, format!("engine {engine} run {run}: read, limit {} ms", dispatch.limit_ms)));
         lines.extend(
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,13 +1,13 @@
 //! Plays one seed from its start to its verdict.
 
 use crate::bus::{Change, Lifecycle};
+use crate::checker::{Verdict, check};
 use crate::client::Client;
+use crate::faults;
 use crate::gateway::Phase;
-use crate::judge::{Verdict, judge};
-use crate::ledger::{Books, Event};
-use crate::plan::{Plan, TRAFFIC_FROM};
-use crate::troubles;
-use crate::world::World;
+use crate::history::{Event, Records};
+use crate::schedule::{Schedule, TRAFFIC_FROM};
+use crate::testbed::Testbed;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
@@ -22,8 +22,8 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 pub struct Played {
-    pub plan: Plan,
-    pub books: Books,
+    pub schedule: Schedule,
+    pub records: Records,
     pub verdict: Verdict,
 }
 
@@ -37,65 +37,65 @@
     Start(usize, std::io::Error),
 }
 
-pub async fn play(plan: Plan, folder: &Path, program: &Path, port: u16) -> Result<Played, PlayError> {
+pub async fn play(schedule: Schedule, folder: &Path, program: &Path, port: u16) -> Result<Played, PlayError> {
     let _ = std::fs::remove_dir_all(folder);
     std::fs::create_dir_all(folder).map_err(|e| PlayError::Folder(folder.to_path_buf(), e))?;
-    let until = Duration::from_millis(plan.traffic_until_ms);
-    let world = Arc::new(World::new(plan, folder.to_path_buf(), program.to_path_buf(), port));
-    let lag = tokio::spawn(watch_lag(world.clone()));
-    start_engines(&world).await?;
-    world.bus.start(&world, false).await.map_err(PlayError::Listen)?;
-    for gateway in &world.gateways {
-        gateway.start(&world, false).map_err(|e| PlayError::Start(gateway.index, e))?;
+    let until = Duration::from_millis(schedule.traffic_until_ms);
+    let testbed = Arc::new(Testbed::new(schedule, folder.to_path_buf(), program.to_path_buf(), port));
+    let lag = tokio::spawn(watch_lag(testbed.clone()));
+    start_engines(&testbed).await?;
+    testbed.bus.start(&testbed, false).await.map_err(PlayError::Listen)?;
+    for gateway in &testbed.gateways {
+        gateway.start(&testbed, false).map_err(|e| PlayError::Start(gateway.index, e))?;
     }
-    tokio::time::sleep_until((world.began + TRAFFIC_FROM).into()).await;
-    let clients = start_clients(&world);
-    let troubles = troubles::schedule(&world);
-    tokio::time::sleep_until((world.began + until).into()).await;
-    end(&world, clients, troubles).await;
+    tokio::time::sleep_until((testbed.began + TRAFFIC_FROM).into()).await;
+    let clients = start_clients(&testbed);
+    let faults = faults::inject_all(&testbed);
+    tokio::time::sleep_until((testbed.began + until).into()).await;
+    end(&testbed, clients, faults).await;
     lag.abort();
-    let books = world.ledger.take();
-    world.close();
-    let verdict = judge(&world.plan, &books);
-    Ok(Played { plan: world.plan.clone(), books, verdict })
+    let records = testbed.history.take();
+    testbed.close();
+    let verdict = check(&testbed.schedule, &records);
+    Ok(Played { schedule: testbed.schedule.clone(), records, verdict })
 }
 
-async fn start_engines(world: &Arc<World>) -> Result<(), PlayError> {
+async fn start_engines(testbed: &Arc<Testbed>) -> Result<(), PlayError> {
     let mut list = vec![];
-    for _ in 0..world.plan.engines {
-        let engine = world.add_engine();
-        engine.start(world).await.map_err(PlayError::Listen)?;
+    for _ in 0..testbed.schedule.engines {
+        let engine = testbed.add_engine();
+        engine.start(testbed).await.map_err(PlayError::Listen)?;
         list.push(Change::of(&engine, Lifecycle::InService, 0));
     }
-    world.bus.publish(world, list);
+    testbed.bus.publish(testbed, list);
     Ok(())
 }
 
-fn start_clients(world: &Arc<World>) -> Vec<JoinHandle<()>> {
-    let of = |gateway| (0..world.plan.clients_per_gateway).map(move |number| (gateway, number));
-    let all = (0..world.plan.gateways).flat_map(of);
-    all.map(|(gateway, number)| tokio::spawn(Client::new(world.clone(), gateway, number).run())).collect()
+fn start_clients(testbed: &Arc<Testbed>) -> Vec<JoinHandle<()>> {
+    let of = |gateway| (0..testbed.schedule.clients_per_gateway).map(move |number| (gateway, number));
+    let all = (0..testbed.schedule.gateways).flat_map(of);
+    all.map(|(gateway, number)| tokio::spawn(Client::new(testbed.clone(), gateway, number).run())).collect()
 }
 
 /// Stops all gateways under traffic, and waits for their ends and for what clients still wait for.
-async fn end(world: &Arc<World>, clients: Vec<JoinHandle<()>>, troubles: Vec<JoinHandle<()>>) {
-    let stops: Vec<JoinHandle<()>> = (0..world.plan.gateways)
+async fn end(testbed: &Arc<Testbed>, clients: Vec<JoinHandle<()>>, faults: Vec<JoinHandle<()>>) {
+    let stops: Vec<JoinHandle<()>> = (0..testbed.schedule.gateways)
         .map(|gateway| {
-            let world = world.clone();
-            tokio::spawn(async move { world.gateways[gateway].stop(&world).await })
+            let testbed = testbed.clone();
+            tokio::spawn(async move { testbed.gateways[gateway].stop(&testbed).await })
         })
         .collect();
     tokio::time::sleep(AFTER_STOP).await;
-    world.over.store(true, SeqCst);
+    testbed.over.store(true, SeqCst);
     for stop in stops {
         let _ = stop.await;
     }
     // A restart under way may have started one more process meanwhile.
-    for trouble in troubles {
-        let _ = tokio::time::timeout(CLIENTS_END, trouble).await;
+    for fault in faults {
+        let _ = tokio::time::timeout(CLIENTS_END, fault).await;
     }
-    for gateway in &world.gateways {
-        gateway.stop(world).await;
+    for gateway in &testbed.gateways {
+        gateway.stop(testbed).await;
         while gateway.phase() != Phase::Down {
             tokio::time::sleep(LOOK).await;
         }
@@ -109,13 +109,13 @@
 }
 
 /// Enters how late the test itself runs, as its times are worth no more than that.
-async fn watch_lag(world: Arc<World>) {
+async fn watch_lag(testbed: Arc<Testbed>) {
     loop {
         let before = Instant::now();
         tokio::time::sleep(LAG_LOOK).await;
         let late = before.elapsed().saturating_sub(LAG_LOOK);
         if late > LAG_TOLD {
-            world.ledger.event(Event::Lagged { by_us: late.as_micros() as u64 });
+            testbed.history.event(Event::Lagged { by_us: late.as_micros() as u64 });
         }
     }
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What one seed plays: the deployment, the settings and the troubles with their times. Made before anything starts, so
+//! What one seed plays: the deployment, the settings and the faults with their times. Made before anything starts, so
 //! that a seed can be played again and its schedule be printed beside a violation.
 
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -10,8 +10,8 @@
 
 /// Traffic begins this long after the programs were started.
 pub const TRAFFIC_FROM: Duration = Duration::from_millis(1500);
-/// How long after the end of the traffic, when all gateways stop, the last trouble may begin (s).
-const LAST_TROUBLE: f64 = 0.4;
+/// How long after the end of the traffic, when all gateways stop, the last fault may begin (s).
+const LAST_FAULT: f64 = 0.4;
 /// Some plays are this much longer, so that connections rest until they are closed.
 const LONGER: f64 = 1.7;
 
@@ -43,7 +43,7 @@
     pub zone: Option<usize>,
 }
 
-/// The figures of the settings that rules are judged by.
+/// The figures of the settings that rules are checked by.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Rules {
     pub dedup_window: Duration,
@@ -59,7 +59,7 @@
 
 /// One disturbance. Indices are of gateways and engines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Trouble {
+pub enum Fault {
     DrainEngines {
         engines: Vec<usize>,
     },
@@ -155,13 +155,15 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Scheduled {
+pub struct ScheduledFault {
     pub at_ms: u64,
-    pub trouble: Trouble,
+    /// Files of schedules call it so.
+    #[serde(rename = "trouble")]
+    pub fault: Fault,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Plan {
+pub struct Schedule {
     pub seed: u64,
     pub gateways: usize,
     pub engines: usize,
@@ -176,11 +178,13 @@
     /// Pause between the jobs of one client (ms).
     pub think_ms: u64,
     pub clients_per_gateway: usize,
-    pub schedule: Vec<Scheduled>,
+    /// Files of schedules call them so.
+    #[serde(rename = "schedule")]
+    pub faults: Vec<ScheduledFault>,
 }
 
-impl Plan {
-    pub fn draw(seed: u64, gateways: usize, seconds: f64) -> Plan {
+impl Schedule {
+    pub fn draw(seed: u64, gateways: usize, seconds: f64) -> Schedule {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let seconds = if chance.random_bool(0.2) { seconds * LONGER } else { seconds };
         // Some fleets have next to no engines, so that a cold one has to be held back to stay up.
@@ -208,7 +212,7 @@
             start_capacity: f64::from(chance.random_range(15..=50)) / 100.0,
             warm_after: Duration::from_millis(chance.random_range(4..=10) * 1000),
         };
-        let mut plan = Plan {
+        let mut schedule = Schedule {
             seed,
             gateways,
             engines,
@@ -220,11 +224,11 @@
             traffic_until_ms: (seconds * 1000.0) as u64,
             think_ms: if few { chance.random_range(60..=150) } else { chance.random_range(150..=500) },
             clients_per_gateway: chance.random_range(2..=4),
-            schedule: vec![],
+            faults: vec![],
         };
         let count = chance.random_range(3..=8);
-        // Troubles that overlap: most begin within a second of one another.
-        let last = seconds + LAST_TROUBLE;
+        // Faults that overlap: most begin within a second of one another.
+        let last = seconds + LAST_FAULT;
         let first = TRAFFIC_FROM.as_secs_f64() + 0.5;
         // In a third of the plays they gather round the stop of all gateways.
         let heart = if chance.random_bool(0.33) { seconds } else { chance.random_range(first..last) };
@@ -234,45 +238,45 @@
             } else {
                 chance.random_range(first..last)
             };
-            let trouble = plan.draw_trouble(&mut chance);
-            plan.schedule.push(Scheduled { at_ms: (at * 1000.0) as u64, trouble });
+            let fault = schedule.draw_fault(&mut chance);
+            schedule.faults.push(ScheduledFault { at_ms: (at * 1000.0) as u64, fault });
         }
-        plan.schedule.sort_by_key(|scheduled| scheduled.at_ms);
-        plan
+        schedule.faults.sort_by_key(|scheduled| scheduled.at_ms);
+        schedule
     }
 
-    fn draw_trouble(&self, chance: &mut ChaCha8Rng) -> Trouble {
+    fn draw_fault(&self, chance: &mut ChaCha8Rng) -> Fault {
         let engines = self.some(chance, self.engines, 0.1, 0.45);
         let gateways = self.some(chance, self.gateways, 0.1, 0.6);
         let for_ms = chance.random_range(3..=30) * 100;
         match chance.random_range(0..22) {
-            0 => Trouble::DrainEngines { engines },
-            1 => Trouble::ReplaceEngines { engines },
-            2 => Trouble::RestartEngines { engines, down_ms: chance.random_range(0..=800) },
-            3 | 4 => Trouble::HangEngines { engines, for_ms },
-            5 => Trouble::CutLinks { gateways, engines, for_ms },
-            6 => Trouble::ResetConnections { engines },
-            7 => Trouble::SpoilAnswers { engines, share: chance.random_range(0.1..0.6), for_ms },
-            8 => Trouble::FailJobs { engines, share: chance.random_range(0.1..0.7), for_ms },
-            9 => Trouble::BusDown { for_ms: for_ms * 2 },
-            10 => Trouble::BusSilent { for_ms },
-            11 => Trouble::BusMoves { times: chance.random_range(1..=3) },
-            12 | 13 => Trouble::StopGateways { gateways },
-            14 => Trouble::KillGateways { gateways },
-            15 => Trouble::FreezeGateways { gateways, for_ms: chance.random_range(50..=350) },
-            16 => Trouble::StepClocks {
+            0 => Fault::DrainEngines { engines },
+            1 => Fault::ReplaceEngines { engines },
+            2 => Fault::RestartEngines { engines, down_ms: chance.random_range(0..=800) },
+            3 | 4 => Fault::HangEngines { engines, for_ms },
+            5 => Fault::CutLinks { gateways, engines, for_ms },
+            6 => Fault::ResetConnections { engines },
+            7 => Fault::SpoilAnswers { engines, share: chance.random_range(0.1..0.6), for_ms },
+            8 => Fault::FailJobs { engines, share: chance.random_range(0.1..0.7), for_ms },
+            9 => Fault::BusDown { for_ms: for_ms * 2 },
+            10 => Fault::BusSilent { for_ms },
+            11 => Fault::BusMoves { times: chance.random_range(1..=3) },
+            12 | 13 => Fault::StopGateways { gateways },
+            14 => Fault::KillGateways { gateways },
+            15 => Fault::FreezeGateways { gateways, for_ms: chance.random_range(50..=350) },
+            16 => Fault::StepClocks {
                 gateways,
                 by_s: *[-3600, -5, 5, 3600].choose(chance).unwrap_or(&5),
                 engines_too: chance.random_bool(0.5),
             },
-            17 => Trouble::FailCalls { gateways, share: chance.random_range(0.01..0.2), for_ms },
-            18 => Trouble::ClientsLeave { gateways },
-            19 => Trouble::TakeAddresses { engines },
-            20 => Trouble::SlowAccepts { engines, for_ms },
+            17 => Fault::FailCalls { gateways, share: chance.random_range(0.01..0.2), for_ms },
+            18 => Fault::ClientsLeave { gateways },
+            19 => Fault::TakeAddresses { engines },
+            20 => Fault::SlowAccepts { engines, for_ms },
             _ if chance.random_bool(0.5) => {
-                Trouble::IdleFlood { gateways, connections: chance.random_range(5..=120), for_ms }
+                Fault::IdleFlood { gateways, connections: chance.random_range(5..=120), for_ms }
             }
-            _ => Trouble::BadClients { gateways, for_ms },
+            _ => Fault::BadClients { gateways, for_ms },
         }
     }
 
@@ -301,7 +305,7 @@
     /// The settings that a gateway is started with.
     pub fn settings(&self, gateway: usize) -> Json {
         let classes: Vec<Json> = self.classes.iter().map(|class| self.class_settings(class)).collect();
-        let zones: Vec<String> = (0..self.zones).map(Plan::zone_name).collect();
+        let zones: Vec<String> = (0..self.zones).map(Schedule::zone_name).collect();
         let rules = &self.rules;
         let ms = |span: Duration| span.as_millis() as f64;
         json!({
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/testbed.rs
@@ -1,20 +1,20 @@
-//! What the parts of one play share: the plan, the ledger, and who listens where. Each gateway has its own address for
-//! everything it talks to, so that each link can be troubled by itself.
+//! What the parts of one play share: the schedule, the history, and who listens where. Each gateway has its own address for
+//! everything it talks to, so that faults can be injected on each link by itself.
 
 use crate::bus::Bus;
 use crate::engine::Engine;
 use crate::gateway::Gateway;
-use crate::ledger::{GatewayRun, Ledger};
-use crate::plan::Plan;
+use crate::history::{GatewayRun, History};
+use crate::schedule::Schedule;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU16, Ordering::SeqCst};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Instant, SystemTime};
 
-pub struct World {
-    pub plan: Plan,
-    pub ledger: Ledger,
+pub struct Testbed {
+    pub schedule: Schedule,
+    pub history: History,
     pub began: Instant,
     /// Where configurations, logs and control files lie.
     pub folder: PathBuf,
@@ -47,12 +47,12 @@
     }
 }
 
-impl World {
-    pub fn new(plan: Plan, folder: PathBuf, program: PathBuf, port: u16) -> World {
-        let gateways = (0..plan.gateways).map(|gateway| Gateway::new(gateway, port)).collect();
-        World {
-            plan,
-            ledger: Ledger::begin(),
+impl Testbed {
+    pub fn new(schedule: Schedule, folder: PathBuf, program: PathBuf, port: u16) -> Testbed {
+        let gateways = (0..schedule.gateways).map(|gateway| Gateway::new(gateway, port)).collect();
+        Testbed {
+            schedule,
+            history: History::begin(),
             began: Instant::now(),
             folder,
             program,
@@ -82,7 +82,7 @@
     pub fn add_engine(&self) -> Arc<Engine> {
         let mut engines = locked(&self.engines);
         let index = engines.len();
-        let engine = Arc::new(Engine::new(index, self.plan.zone_of(index)));
+        let engine = Arc::new(Engine::new(index, self.schedule.zone_of(index)));
         engines.push(engine.clone());
         engine
     }
--- a/crates/soak/tests/cases.rs
+++ b/crates/soak/tests/cases.rs
@@ -1,18 +1,18 @@
-//! Plans that failed once, played again with the program as cargo has built it beside this test.
+//! Schedules that failed once, played again with the program as cargo has built it beside this test.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Plays a plan of `cases/`; the soak test says on its last line how many plays passed.
+/// Plays a schedule of `cases/`; the soak test says on its last line how many plays passed.
 fn play(case: &str) {
     let soak = Path::new(env!("CARGO_BIN_EXE_pebblevane-soak"));
     let program = soak.with_file_name("pebblevane");
     assert!(program.exists(), "no program at {}: the whole workspace is to be tested", program.display());
-    let plan = Path::new(env!("CARGO_MANIFEST_DIR")).join("cases").join(case);
+    let schedule = Path::new(env!("CARGO_MANIFEST_DIR")).join("cases").join(case);
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(case);
     let output = Command::new(soak)
         .arg("--plans")
-        .arg(plan)
+        .arg(schedule)
         .arg("--program")
         .arg(program)
         .arg("--folder")
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/checker.rs
@@ -1,38 +1,38 @@
-//! Each rule of the judge, broken once by a ledger made for it: a check that can't fail would be none.
+//! Each rule of the checker, broken once by a history made for it: a check that can't fail would be none.
 
 #[allow(dead_code)] // the program uses what these tests don't
 #[path = "../src/answers.rs"]
 mod answers;
 #[allow(dead_code)]
-#[path = "../src/judge.rs"]
-mod judge;
+#[path = "../src/checker.rs"]
+mod checker;
 #[allow(dead_code)]
-#[path = "../src/ledger.rs"]
-mod ledger;
+#[path = "../src/history.rs"]
+mod history;
 #[allow(dead_code)]
-#[path = "../src/plan.rs"]
-mod plan;
+#[path = "../src/schedule.rs"]
+mod schedule;
 
 use answers::rows;
+use checker::check;
 use expect_test::expect;
-use judge::judge;
-use ledger::{At, Books, Dispatch, DispatchEnd, Event, GatewayRun, Request, RequestEnd};
-use plan::{Group, Plan, Semantics, Trouble};
+use history::{At, Dispatch, DispatchEnd, Event, GatewayRun, Records, Request, RequestEnd};
+use schedule::{Fault, Group, Schedule, Semantics};
 
 const GATEWAY: GatewayRun = GatewayRun { gateway: 0, run: 1 };
 const MS: At = 1000;
-/// Classes as every plan has them.
+/// Classes as every schedule has them.
 const LOOKUP: usize = 0;
 const LOAD: usize = 1;
 const POST: usize = 2;
 const LOCAL: usize = 3;
 
-fn plan() -> Plan {
-    let mut plan = Plan::draw(1, 2, 5.0);
-    (plan.zones, plan.group, plan.engines, plan.cores) = (2, Group::Zone, 4, 1.0);
-    plan.classes[LOCAL].zone = Some(1);
-    plan.schedule.clear();
-    plan
+fn schedule() -> Schedule {
+    let mut schedule = Schedule::draw(1, 2, 5.0);
+    (schedule.zones, schedule.group, schedule.engines, schedule.cores) = (2, Group::Zone, 4, 1.0);
+    schedule.classes[LOCAL].zone = Some(1);
+    schedule.faults.clear();
+    schedule
 }
 
 /// A request sent at second 1 that waits 1 s.
@@ -59,15 +59,15 @@
 
 #[derive(Default)]
 struct Play {
-    plan: Option<Plan>,
+    schedule: Option<Schedule>,
     requests: Vec<Request>,
     dispatches: Vec<Dispatch>,
     events: Vec<(At, Event)>,
 }
 
 fn rules(play: Play) -> String {
-    let books = Books { requests: play.requests, dispatches: play.dispatches, events: play.events };
-    let verdict = judge(&play.plan.unwrap_or_else(plan), &books);
+    let records = Records { requests: play.requests, dispatches: play.dispatches, events: play.events };
+    let verdict = check(&play.schedule.unwrap_or_else(schedule), &records);
     let found = verdict.violations.iter();
     let found =
         found.map(|violation| format!("{:?}{}", violation.rule, if violation.unsure { "?" } else { "" }));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn each_rule_is_seen_to_break() {
+fn each_broken_rule_is_detected() {
     use DispatchEnd::{Disconnected, Done, Fault, Shed};
     let busy = || at(1500, RequestEnd::Busy);
     let failed = || at(1500, RequestEnd::Failed { why: String::new() });
@@ -189,19 +189,19 @@
 }
 
 #[test]
-fn windows_and_processes_are_judged() {
+fn windows_and_processes_are_checked() {
     let mut trace = String::new();
     // A keyed repeat after its window, within its client's wait.
-    let mut keyed = plan();
+    let mut keyed = schedule();
     keyed.rules.dedup_window = std::time::Duration::from_millis(200);
     let late = vec![dispatch(POST, 0, 1010, Some((1100, DispatchEnd::Fault))), dispatch(POST, 2, 1500, None)];
     let end = done(POST, 2, 1600);
     trace +=
-        &format!("keyed late: {}\n", rules(Play { plan: Some(keyed), ..play(request(POST, end), late) }));
+        &format!("keyed late: {}\n", rules(Play { schedule: Some(keyed), ..play(request(POST, end), late) }));
     // Ten jobs, each sent twice at the same time, where two and a tenth of the jobs are allowed.
-    let mut budget = plan();
+    let mut budget = schedule();
     (budget.rules.spare_attempts, budget.rules.extra_ratio) = (2.0, 0.1);
-    let mut all = Play { plan: Some(budget), ..Play::default() };
+    let mut all = Play { schedule: Some(budget), ..Play::default() };
     for number in 0..10 {
         let id = format!("{:016x}", 100 + number);
         let rows = rows(&id, 0, 0).concat();
@@ -252,12 +252,12 @@
         trace += &format!("{what}: {}\n", rules(Play { events, ..Play::default() }));
     }
     // A flood of idle connections lets new ones be shut unread.
-    let mut flooded = plan();
-    let trouble = Trouble::IdleFlood { gateways: vec![0], connections: 100, for_ms: 500 };
-    flooded.schedule.push(plan::Scheduled { at_ms: 900, trouble });
+    let mut flooded = schedule();
+    let fault = Fault::IdleFlood { gateways: vec![0], connections: 100, for_ms: 500 };
+    flooded.faults.push(schedule::ScheduledFault { at_ms: 900, fault });
     let shut = request(LOOKUP, at(1040, RequestEnd::Closed { reset: false }));
-    trace += &format!("shut in a flood: {}\n", rules(Play { plan: Some(flooded), ..play(shut, vec![]) }));
-    assert_eq!(plan().classes[LOAD].semantics, Semantics::RunOnce);
+    trace += &format!("shut in a flood: {}\n", rules(Play { schedule: Some(flooded), ..play(shut, vec![]) }));
+    assert_eq!(schedule().classes[LOAD].semantics, Semantics::RunOnce);
     expect![[r#"
         keyed late: KeyedOutsideWindow
         budget: Budget
