--- a/crates/adapter-common/src/engine_ids.rs
+++ b/crates/adapter-common/src/engine_ids.rs
@@ -37,7 +37,7 @@
         &self.names[&engine]
     }
 
-    /// Removes an engine. Its id is never assigned again: an engine of the same name is another one.
+    /// Removes an engine. Its id is never assigned again: a later engine of the same name gets another one.
     pub fn remove(&mut self, engine: EngineId) {
         if let Some(name) = self.names.remove(&engine) {
             self.ids.remove(&name);
--- a/crates/server/src/codec/sql.rs
+++ b/crates/server/src/codec/sql.rs
@@ -84,6 +84,7 @@
     if is_number && !name.is_empty() { digits.parse().ok() } else { None }
 }
 
+#[derive(Clone, Copy)]
 enum Token<'a> {
     /// A keyword, a number that begins like one, or a name with or without quotes.
     Name(&'a [u8]),
--- a/crates/server/src/config/error.rs
+++ b/crates/server/src/config/error.rs
@@ -15,7 +15,7 @@
     Unreadable {
         /// The path of the file.
         path: String,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// The configuration file is no JSON.
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -11,7 +11,7 @@
 use crate::lifecycle::clock;
 use crossbeam_channel::{Receiver, select};
 use pebblevane::controller::AdmissionController;
-use pebblevane::interface::{DispatchResult, DispatchStatus, Job, JobId};
+use pebblevane::interface::{Actions, DispatchResult, DispatchStatus, Job, JobId};
 use pebblevane::settings::Settings;
 use pebblevane::time::Timestamp;
 use std::collections::BTreeMap;
@@ -55,10 +55,12 @@
     /// Tells the controller of the engines that are known at the start, as one list.
     pub(super) fn load_initial_endpoints(&mut self, events: Vec<Event>) {
         let event = merge_initial_events(events);
-        self.endpoints_changed(clock::now(), event, None);
+        let now = clock::now();
+        let actions = self.endpoints_changed(now, event, None);
+        self.carry_out(now, actions);
     }
 
-    /// Handles events for ever; urgent ones first.
+    /// Handles events until the process ends, urgent ones first.
     pub(super) fn run(
         mut self,
         events: &Receiver<ControllerEvent>,
@@ -107,65 +109,76 @@
     }
 
     fn handle_event(&mut self, now: Timestamp, event: ControllerEvent) {
-        match event {
+        let actions = match event {
             ControllerEvent::JobSubmitted { id, mut job, arrived, admitted } => {
                 job.time_left = job.time_left + (arrived - now);
-                self.job_submitted(now, id, job, admitted);
+                self.job_submitted(now, id, job, admitted)
             }
             ControllerEvent::DispatchFinished { id, attempt, result } => {
-                self.dispatch_finished(now, id, attempt, result);
+                self.dispatch_finished(now, id, attempt, result)
             }
             ControllerEvent::DispatchProgress { id, attempt, update } => {
-                let actions = self.controller.dispatch_progress(now, id, attempt, update);
-                self.carry_out(now, actions);
+                Some(self.controller.dispatch_progress(now, id, attempt, update))
             }
             ControllerEvent::HealthCheckFinished { engine, result } => {
-                let actions = self.controller.health_check_finished(now, engine, result);
-                self.carry_out(now, actions);
+                Some(self.controller.health_check_finished(now, engine, result))
             }
             ControllerEvent::EndpointsChanged { event, last_complete } => {
-                self.endpoints_changed(now, event, last_complete);
-            }
-            ControllerEvent::EndpointListUnavailable => {
-                let actions = self.controller.endpoint_list_unavailable(now);
-                self.carry_out(now, actions);
+                Some(self.endpoints_changed(now, event, last_complete))
             }
+            ControllerEvent::EndpointListUnavailable => Some(self.controller.endpoint_list_unavailable(now)),
             ControllerEvent::ShutdownBegun { deadline } => {
-                let actions = self.controller.begin_shutdown(now, deadline);
-                self.carry_out(now, actions);
+                Some(self.controller.begin_shutdown(now, deadline))
             }
             // Their jobs were handled before this event.
-            ControllerEvent::ClientsDisconnected => {}
+            ControllerEvent::ClientsDisconnected => None,
+        };
+        if let Some(actions) = actions {
+            self.carry_out(now, actions);
         }
     }
 
-    fn job_submitted(&mut self, now: Timestamp, id: JobId, job: Job, admitted: Box<AdmittedJob>) {
+    fn job_submitted(
+        &mut self,
+        now: Timestamp,
+        id: JobId,
+        job: Job,
+        admitted: Box<AdmittedJob>,
+    ) -> Option<Actions> {
         let open = OpenJob::new(admitted);
         // Its client disconnected while it waited in the channel: the controller never hears of it.
         if open.is_over() {
             self.handle.open_jobs.fetch_sub(1, SeqCst);
-            return;
+            return None;
         }
         self.jobs.insert(id, open);
-        let actions = self.controller.submit(now, id, job);
-        self.carry_out(now, actions);
+        Some(self.controller.submit(now, id, job))
     }
 
-    fn dispatch_finished(&mut self, now: Timestamp, id: JobId, attempt: u32, mut result: DispatchResult) {
-        let Some(open) = self.jobs.get_mut(&id) else { return };
+    fn dispatch_finished(
+        &mut self,
+        now: Timestamp,
+        id: JobId,
+        attempt: u32,
+        mut result: DispatchResult,
+    ) -> Option<Actions> {
+        let open = self.jobs.get_mut(&id)?;
         // A client that has disconnected is not waited for, even if the controller has not been told yet.
         if open.is_over() || result.status == DispatchStatus::Completed {
             open.mark_answered();
         }
         result.job_finished = open.is_answered();
-        let actions = self.controller.dispatch_finished(now, id, attempt, result);
-        self.carry_out(now, actions);
+        Some(self.controller.dispatch_finished(now, id, attempt, result))
     }
 
-    fn endpoints_changed(&mut self, now: Timestamp, event: Event, last_complete: Option<Timestamp>) {
+    fn endpoints_changed(
+        &mut self,
+        now: Timestamp,
+        event: Event,
+        last_complete: Option<Timestamp>,
+    ) -> Actions {
         let complete = event.complete;
         let endpoints = self.endpoints.apply(now, event, last_complete);
-        let actions = self.controller.endpoints_changed(now, complete, endpoints);
-        self.carry_out(now, actions);
+        self.controller.endpoints_changed(now, complete, endpoints)
     }
 }
--- a/crates/server/src/decision/endpoint_directory.rs
+++ b/crates/server/src/decision/endpoint_directory.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Notes where the wall clock is, so that its steps are known when an engine's start is told.
+    /// Records the wall clock's offset, so that its steps are known when the list names an engine's start.
     pub(super) fn observe_wall_clock(&mut self, now: Timestamp) {
         self.start_clock.observe(now, StartClock::wall());
     }
@@ -72,12 +72,12 @@
         self.engines.get(&id).map(|known| &known.handle)
     }
 
-    /// Gives up an engine's number, which is never given again: an engine of the same name is another one.
+    /// Forgets an engine's id, which is never assigned again: a later engine of the same name gets another one.
     pub(super) fn forget_id(&mut self, id: EngineId) {
         self.ids.remove(id);
     }
 
-    /// Takes over a change of the endpoint list; returns it as the controller takes it. `last_complete` is when the
+    /// Applies a change of the endpoint list, and returns it in the controller's terms. `last_complete` is when the
     /// list was last known to be complete before the change.
     #[must_use]
     pub(super) fn apply(
@@ -100,7 +100,7 @@
         endpoints
     }
 
-    /// Takes over one entry; none if its address can't be read.
+    /// Applies one entry; `None` if its address is malformed.
     fn apply_entry(
         &mut self,
         now: Timestamp,
@@ -126,7 +126,7 @@
         })
     }
 
-    /// A start that was told before stays where it was on the program's clock.
+    /// The start that this stamp stands for. One that was named before stays where it was on the program's clock.
     fn start_of(
         &self,
         id: EngineId,
@@ -140,7 +140,7 @@
             .unwrap_or_else(|| EngineStart { stamp, at: self.start_clock.started(stamp, now, last_complete) })
     }
 
-    /// Keeps the handle on an engine in step with the list.
+    /// Updates the handle on an engine after a change of its entry.
     fn update_engine(
         &mut self,
         id: EngineId,
--- a/crates/server/src/decision/event.rs
+++ b/crates/server/src/decision/event.rs
@@ -1,4 +1,4 @@
-//! What the controller's thread is told.
+//! The events that the controller's thread handles.
 
 use crate::codec::event_bus::Event;
 use crate::job::AdmittedJob;
@@ -34,6 +34,6 @@
         /// By when all jobs are to have their answers.
         deadline: Timestamp,
     },
-    /// Clients have disconnected; the handle keeps their jobs.
+    /// Clients have disconnected; the handle holds the ids of their jobs.
     ClientsDisconnected,
 }
--- a/crates/server/src/decision/handle.rs
+++ b/crates/server/src/decision/handle.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// What clients are told that meet one of the program's own limits: come back after this time.
+/// After which time clients may retry that meet one of the program's own limits.
 pub const RETRY_AFTER: TimeDelta = TimeDelta(1_000_000);
 
 /// The handle on the controller's thread.
--- a/crates/server/src/decision/open_job.rs
+++ b/crates/server/src/decision/open_job.rs
@@ -1,4 +1,4 @@
-//! What the controller's thread keeps of a job until its release.
+//! The jobs that the controller has not released yet.
 
 use crate::codec::client::Reply;
 use crate::decision::handle::{ControllerHandle, RETRY_AFTER};
@@ -23,11 +23,11 @@
 }
 
 enum JobState {
-    /// Nothing was dispatched yet, and no thread is needed.
+    /// Nothing has been dispatched yet, so that no thread is needed.
     Pending(Box<AdmittedJob>),
-    /// In a thread that takes its commands here.
+    /// In a thread that receives commands from here.
     Running(Sender<JobCommand>),
-    /// No thread could be made for it, and its client has been told to come back.
+    /// No thread could be created for it, and its client has been told to retry.
     Rejected,
 }
 
@@ -38,7 +38,7 @@
         OpenJob { state: JobState::Pending(admitted), responder, ledger, answered: false, attempts: 0 }
     }
 
-    /// Whether the job has its answer, or its client has disconnected, whether or not the controller knows.
+    /// Whether the job has its answer or its client has disconnected, even if the controller does not know yet.
     pub(super) fn is_over(&self) -> bool {
         self.responder.is_finished()
     }
@@ -61,8 +61,8 @@
         attempt
     }
 
-    /// Gives the job a thread, unless it has one; returns whether it has one now. Where none can be made the job is
-    /// rejected, which is harmless as nothing of it has ever left.
+    /// Gives the job a thread, unless it has one; returns whether it has one now. If none can be created, the
+    /// job is rejected, which is safe since nothing of it has been sent.
     #[must_use]
     pub(super) fn start(
         &mut self,
--- a/crates/server/src/decision/start.rs
+++ b/crates/server/src/decision/start.rs
@@ -21,7 +21,7 @@
     /// thread runs until the process ends, so that nobody joins it.
     ///
     /// # Errors
-    /// What the system says where it refuses the thread.
+    /// The system's error if it refuses to create the thread.
     pub fn start(
         settings: Settings,
         seed: u64,
--- a/crates/server/src/discovery/connection.rs
+++ b/crates/server/src/discovery/connection.rs
@@ -34,7 +34,7 @@
     /// Connects, and subscribes to what comes after this event.
     ///
     /// # Errors
-    /// What the system says where the connection can't be made or written to, or if the address changed meanwhile.
+    /// The system's error if the connection can't be made or written to, or an error if the address changed meanwhile.
     pub(super) fn connect(&self, last_event: u64) -> io::Result<TcpStream> {
         let address = self.state().address;
         let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
--- a/crates/server/src/job/in_flight_dispatch.rs
+++ b/crates/server/src/job/in_flight_dispatch.rs
@@ -21,7 +21,7 @@
     pub(super) result: Option<ResultPages>,
     /// The engine has reported progress that only a running job makes.
     progress_reported: bool,
-    /// Until when it may leave; none once it was found to have left by then.
+    /// Its first byte leaves before this time or never. `None` once that has been checked.
     begin_by: Option<Timestamp>,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Notes what progress says of whether the job runs at its engine.
+    /// Records whether this progress shows that the job runs at its engine.
     pub(super) fn note_progress(&mut self, update: ProgressUpdate) {
         self.progress_reported |=
             matches!(update, ProgressUpdate::CompletedFraction(_) | ProgressUpdate::SpillingToDisk(_));
@@ -62,12 +62,12 @@
         self.progress_reported || self.result.is_some()
     }
 
-    /// When it has to be looked at next, whatever the engine says.
+    /// When it has to be checked next, even if the engine sends nothing.
     pub(super) fn next_check(&self) -> Timestamp {
         self.begin_by.map_or(self.deadline, |begin_by| begin_by.min(self.deadline))
     }
 
-    /// Whether it still waits for a connection at the time by which it has to begin. It never leaves then.
+    /// Checks whether it still waits for a connection past its `begin_by`. If so, it will never be sent.
     pub(super) fn missed_begin_by(&mut self) -> bool {
         let due = self.begin_by.take_if(|begin_by| *begin_by <= clock::now());
         due.is_some() && self.handle.withhold_if_queued()
--- a/crates/server/src/job/mod.rs
+++ b/crates/server/src/job/mod.rs
@@ -1,4 +1,4 @@
-//! A job that has something to dispatch: its task, and the threads that run such tasks.
+//! The tasks that carry out jobs once something is dispatched for them, and the threads that run these tasks.
 //!
 //! The job knows nothing of the admission controller. It receives [`JobCommand`]s and reports through
 //! [`JobReporter`].
--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -33,9 +33,9 @@
 /// What a job's thread waits for.
 enum TaskEvent {
     CancellationWritten,
-    /// None if whoever gives the commands has ended.
+    /// `None` once the sender has been dropped.
     Command(Option<JobCommand>),
-    /// None if the engine's connections have dropped the dispatch.
+    /// `None` once the engine's connections have dropped the dispatch.
     Engine(Option<DispatchEvent>),
     Due,
 }
@@ -98,7 +98,7 @@
         self.finish(dispatch, &end);
     }
 
-    /// Does what has become due, one thing at a time.
+    /// Handles what has become due, one thing at a time.
     fn handle_due(&mut self) {
         let now = clock::now();
         if let Some(cancelled) = self.cancelled.take_if(|cancelled| cancelled.report_at() <= now) {
@@ -160,8 +160,8 @@
         self.reporter.dispatch_progress(self.id, dispatch.attempt, update);
     }
 
-    /// Finishes an attempt that its engine says it has not run. Where the engine has shown before that it runs the
-    /// job, that proves nothing, and the attempt counts as failed.
+    /// Finishes an attempt that its engine claims not to have run. The claim is not trusted if the engine has shown
+    /// before that the job runs there: the attempt counts as failed then.
     fn finish_unrun(
         &mut self,
         dispatch: InFlightDispatch,
@@ -172,8 +172,8 @@
         self.finish(dispatch, &DispatchEnd::new(status).load_report(report));
     }
 
-    /// Requests further pages, or answers the client once the last one has come. A result of which a page is missing
-    /// at the deadline, or is of no use, never completes a job.
+    /// Requests further pages, or answers the client once the last one has come. A result with a page missing
+    /// at the deadline, or with a malformed one, never completes a job.
     fn collect_result(&mut self, mut dispatch: InFlightDispatch) {
         let Some(result) = &mut dispatch.result else {
             self.in_flight = Some(dispatch);
@@ -189,7 +189,7 @@
             self.in_flight = Some(dispatch);
             return;
         }
-        // The client hears its answer before the controller does: of two answers the first one counts.
+        // The client gets its answer before the controller hears of it. The responder passes on only one answer.
         if self.job.responder.respond(&Reply::Completed { rows: result.rows() }) {
             counters::JOBS_COMPLETED.increment();
         }
--- a/crates/server/src/job/worker_pool.rs
+++ b/crates/server/src/job/worker_pool.rs
@@ -31,7 +31,7 @@
     /// Starts a job in a thread that waits for one, or in a new one.
     ///
     /// # Errors
-    /// What the system says where it refuses a new thread. The job has been dropped then, without a report.
+    /// The system's error if it refuses to create a thread. The job is dropped then, without a report.
     pub fn start(&self, task: JobTask) -> io::Result<()> {
         let idle_worker = self.idle().pop();
         let task = match idle_worker {
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -65,7 +65,7 @@
     Read {
         /// The number of the line, from 1.
         line: u64,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// A batch can't be used.
@@ -81,7 +81,7 @@
     Write {
         /// The number of the line, from 1.
         line: u64,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -77,9 +77,10 @@
     ) -> Result<(), EventError> {
         let actions = match event.name {
             events::INGRESS => Some(self.submit(now, event)?),
-            events::REPLY | events::PROGRESS | events::HEAD_RECEIVED | events::EXPIRED => {
-                self.handle_job_event(now, event)?
-            }
+            events::REPLY => self.finish_dispatch(now, event)?,
+            events::PROGRESS => self.report_progress(now, event)?,
+            events::HEAD_RECEIVED => self.start_response(now, event)?,
+            events::EXPIRED => self.disconnect_client(now, event)?,
             events::CHECKED => self.finish_health_check(now, event)?,
             events::TIMEOUT_FIRED => Some(self.fire_timer(now)),
             events::DIRECTORY_UPDATE => Some(self.update_endpoints(now, event, endpoint_lists)?),
@@ -104,24 +105,35 @@
         Ok(self.controller.submit(now, id, job))
     }
 
-    fn handle_job_event(&mut self, now: Timestamp, event: Fields) -> Result<Option<Actions>, FieldError> {
+    fn finish_dispatch(&mut self, now: Timestamp, event: Fields) -> Result<Option<Actions>, FieldError> {
+        let Some(job) = self.job(event)? else { return Ok(None) };
+        let result = decode_result(event)?;
+        let attempt = decode_attempt(event)?;
+        Ok(Some(self.controller.dispatch_finished(now, job, attempt, result)))
+    }
+
+    fn report_progress(&mut self, now: Timestamp, event: Fields) -> Result<Option<Actions>, FieldError> {
+        let Some(job) = self.job(event)? else { return Ok(None) };
+        let Some(update) = decode_progress(event)? else { return Ok(None) };
+        let attempt = decode_attempt(event)?;
+        Ok(Some(self.controller.dispatch_progress(now, job, attempt, update)))
+    }
+
+    fn start_response(&mut self, now: Timestamp, event: Fields) -> Result<Option<Actions>, FieldError> {
+        let Some(job) = self.job(event)? else { return Ok(None) };
+        let attempt = decode_attempt(event)?;
+        Ok(Some(self.controller.response_started(now, job, attempt)))
+    }
+
+    fn disconnect_client(&mut self, now: Timestamp, event: Fields) -> Result<Option<Actions>, FieldError> {
+        let Some(job) = self.job(event)? else { return Ok(None) };
+        Ok(Some(self.controller.client_disconnected(now, job)))
+    }
+
+    /// The job that an event is about; none if it has been released, or was never submitted.
+    fn job(&self, event: Fields) -> Result<Option<JobId>, FieldError> {
         let request = event.whole(REQUEST_ID)? as u32;
-        let Some(&job) = self.jobs.get(&request) else { return Ok(None) };
-        Ok(match event.name {
-            events::REPLY => {
-                let result = decode_result(event)?;
-                Some(self.controller.dispatch_finished(now, job, decode_attempt(event)?, result))
-            }
-            events::PROGRESS => match decode_progress(event)? {
-                Some(update) => {
-                    Some(self.controller.dispatch_progress(now, job, decode_attempt(event)?, update))
-                }
-                None => None,
-            },
-            events::HEAD_RECEIVED => Some(self.controller.response_started(now, job, decode_attempt(event)?)),
-            events::EXPIRED => Some(self.controller.client_disconnected(now, job)),
-            _ => None,
-        })
+        Ok(self.jobs.get(&request).copied())
     }
 
     fn finish_health_check(&mut self, now: Timestamp, event: Fields) -> Result<Option<Actions>, FieldError> {
