--- a/crates/server/tests/server/support/event_bus.rs
+++ b/crates/server/tests/server/support/event_bus.rs
@@ -44,8 +44,11 @@
             for stream in listener.incoming().flatten() {
                 let mut line = String::new();
                 let _ = BufReader::new(&stream).read_line(&mut line);
-                let (heartbeats, offset) = (stream.try_clone().unwrap(), heartbeat_offset.clone());
-                std::thread::spawn(move || send_heartbeats(heartbeats, &offset));
+                let (mut heartbeats, offset) = (stream.try_clone().unwrap(), heartbeat_offset.clone());
+                // Before the test can send an event: the first heartbeat tells that the list is complete so far.
+                if send_heartbeat(&mut heartbeats, &offset) {
+                    std::thread::spawn(move || send_heartbeats(heartbeats, &offset));
+                }
                 let _ = sender.send(Subscription { line: line.trim_end().to_string(), stream });
             }
         });
@@ -85,12 +88,21 @@
     }
 }
 
+/// Sends heartbeats after the first one until the connection ends.
 fn send_heartbeats(mut stream: TcpStream, offset: &AtomicU64) {
-    while stream.write_all(format!("{{\"offset\":{}}}\n", offset.load(SeqCst)).as_bytes()).is_ok() {
+    loop {
         std::thread::sleep(HEARTBEAT_INTERVAL);
+        if !send_heartbeat(&mut stream, offset) {
+            return;
+        }
     }
 }
 
+/// Sends one heartbeat; says whether the connection took it.
+fn send_heartbeat(stream: &mut TcpStream, offset: &AtomicU64) -> bool {
+    stream.write_all(format!("{{\"offset\":{}}}\n", offset.load(SeqCst)).as_bytes()).is_ok()
+}
+
 /// An event with the complete endpoint list.
 pub fn snapshot_event(offset: u64, endpoints: &[Json]) -> Json {
     event(offset, true, endpoints)
