--- a/src/candidates/walk.rs
+++ b/src/candidates/walk.rs
@@ -13,7 +13,7 @@
 use crate::settings::Effect;
 use crate::state::ControllerState;
 
-/// The walk ends with so many engines that nothing speaks against.
+/// The walk ends with this many preferred engines.
 const PAIR: usize = 2;
 /// Engines of a table group that its jobs try at once in a large fleet.
 const MIN_DEPTH: f64 = 2.0;
@@ -25,7 +25,7 @@
 /// How willingly an engine is chosen; the number of a tier is its position in the lists of [`Candidates`].
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Tier {
-    /// Nothing speaks against it.
+    /// There is no reason against it.
     Preferred = 0,
     /// A bulk load locks the job's tables there, or it is one that the tables' readers try first.
     Locked = 1,
@@ -136,7 +136,7 @@
             && rules::may_dispatch_to(self.state, self.id, id)
     }
 
-    /// Adds an eligible engine; says whether there are enough.
+    /// Adds an eligible engine; returns whether there are enough.
     fn visit(&self, id: EngineId, found: &mut Candidates) -> bool {
         let engine = &self.state.pool.engines[&id];
         let tier = self.tier(id, engine);
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,6 +1,6 @@
 //! The admission controller: routes each event to the concern that decides on it and gathers the actions.
 //!
-//! `docs/design.md` tells why decisions are made as they are.
+//! `docs/design.md` gives the reasons for the decisions.
 
 use crate::interface::{Actions, DispatchResult, Endpoint, EngineId, Job, JobId, ListScope, ProgressUpdate};
 use crate::settings::{ControllerSettings, Settings};
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::memory_grant::memory_grant_mb;
 use crate::state::ControllerState;
 use crate::traffic::WORK_TIME_CONSTANT;
-use crate::{retry, rules, slow_start};
+use crate::{retry, rules};
 
 const PRIORITY_LATE: u8 = 0;
 const PRIORITY_PARALLEL: u8 = 1;
@@ -21,7 +21,7 @@
     pub choice: Option<PairChoice>,
 }
 
-/// Sends a job to an engine, if the rules allow it; says whether they do.
+/// Sends a job to an engine, if the rules allow it; returns whether they do.
 pub fn send(state: &mut ControllerState, id: JobId, target: Target) -> bool {
     if !rules::may_dispatch(state, id) || !rules::may_dispatch_to(state, id, target.engine) {
         return false;
@@ -53,7 +53,7 @@
     let granted = dispatch.options.map_or(0.0, |options| options.memory_grant_mb);
     let memory_mb = if granted > 0.0 { granted } else { job.memory_mb }.min(engine.max_job_memory_mb);
     engine.count_dispatch(dispatch.job, class, job.request.table_group, memory_mb);
-    engine.slow_start_work.add(now, slow_start::budget_window(&state.settings), class.typical_work_ms());
+    engine.slow_start_work.add(now, state.settings.contract.warm_up_window, class.typical_work_ms());
     engine.recent_work.add(now, WORK_TIME_CONSTANT, job.work_ms, 1.0);
     state.traffic.observe_dispatch(now, job.work_ms);
     let in_flight = InFlightDispatch::new(dispatch.engine, job.dispatch_count, now);
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,11 +1,13 @@
-//! One engine: what the endpoint list and the settings tell of it, what is in flight there, and what was seen
-//! of it. Nothing here decides.
+//! One engine: its entry in the endpoint list and the settings, what is in flight there, and what was
+//! learnt of it. Nothing here decides.
 
+use crate::concurrency::EngineLimit;
 use crate::estimators::{DecayingAverage, SlidingWindow};
 use crate::interface::{Endpoint, JobId, LoadReport};
 use crate::job_class::JobClass;
+use crate::outlier::Ejection;
 use crate::settings::ControllerSettings;
-use crate::time::{TimeDelta, Timestamp};
+use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
 /// Threads that use an engine fully, per core.
@@ -43,21 +45,6 @@
     pub threads_sent_since: f64,
 }
 
-/// An engine's ejection as an outlier.
-#[derive(Debug, Default)]
-pub struct Ejection {
-    /// Until when nothing is sent there.
-    pub ejected_until: Timestamp,
-    /// How long the last ejection was.
-    pub duration: TimeDelta,
-    /// It was ejected and has not answered since: it gets one dispatch at a time.
-    pub half_open: bool,
-    /// The job that is in flight while it is half open.
-    pub half_open_dispatch: Option<JobId>,
-    /// Refused and lost connections since the last answer.
-    pub consecutive_failures: u32,
-}
-
 /// An engine's health checks.
 #[derive(Debug, Default)]
 pub struct HealthCheckState {
@@ -69,19 +56,16 @@
     pub idle_elapsed_ms: Option<f64>,
 }
 
-/// An engine's concurrency limit, as a utilization that this gateway may cause.
-#[derive(Default)]
-pub struct EngineLimit {
-    /// The limit.
-    pub limit: f64,
-    /// This gateway's equal share of the engine; 1 where the limit is for all gateways.
-    pub equal_share: f64,
-    /// The limit is on what all gateways cause, as reports tell it: an equal share would be less than a job.
-    pub covers_all_gateways: bool,
-    /// It rejected a job for lack of capacity: nothing is sent there until then.
-    pub overloaded_until: Timestamp,
-    /// Time that jobs took there over the time that they take without load.
-    pub slowdown: DecayingAverage,
+impl HealthCheckState {
+    /// Notes that a check is sent, unless one is in flight; returns whether it is sent.
+    pub fn start(&mut self, now: Timestamp) -> bool {
+        if self.in_flight {
+            return false;
+        }
+        self.in_flight = true;
+        self.sent_at = now;
+        true
+    }
 }
 
 /// One engine.
--- a/src/feedback.rs
+++ b/src/feedback.rs
@@ -1,84 +1,18 @@
 //! Learns from progress, results and health checks: costs, latencies, slowdown, failures.
 
-use crate::concurrency::{self, OVERLOAD_SLOWDOWN, SlowdownSample};
 use crate::engine::Engine;
 use crate::interface::{DispatchResult, DispatchStatus, EngineId, JobId, LoadReport, ProgressUpdate};
-use crate::job::{ExecutionMode, InFlightDispatch, PossibleRun};
-use crate::selection;
+use crate::job::{InFlightDispatch, PossibleRun};
+use crate::slowdown::{self, ElapsedTime, JobStage, MIN_TELLING_FRACTION, SlowdownScope};
 use crate::state::ControllerState;
 use crate::time::{TimeDelta, Timestamp};
+use crate::utilization::{Demand, own_utilization};
+use crate::{health, selection};
 
-/// A completed fraction so small tells no time for the whole.
-pub const MIN_TELLING_FRACTION: f64 = 0.02;
-
-/// Weight of the slowdown of a job that still runs.
-const RUNNING_JOB_WEIGHT: f64 = 0.25;
 /// The least time that a bulk load is believed to lock its tables (ms).
 const MIN_BULK_LOAD_MS: f64 = 250.0;
 
-/// How far the job is whose time is told.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum JobStage {
-    /// It still runs: the time is projected or counted so far.
-    Running,
-    /// It is finished.
-    Finished,
-}
-
-/// What a job's time tells of.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SlowdownScope {
-    /// Only its engine.
-    Engine,
-    /// Its engine and the pool.
-    Pool,
-}
-
-/// A job's time on an engine.
-#[derive(Clone, Copy, Debug)]
-pub struct ElapsedTime {
-    /// The job.
-    pub job: JobId,
-    /// The engine.
-    pub engine: EngineId,
-    /// The time of the whole job (ms).
-    pub elapsed_ms: f64,
-    /// How far the job is.
-    pub stage: JobStage,
-    /// What the time tells of.
-    pub scope: SlowdownScope,
-    /// How the job runs.
-    pub mode: ExecutionMode,
-}
-
-/// Notes a job's time against its unloaded run time, and what is usual for its class without load.
-pub fn observe_elapsed(state: &mut ControllerState, time: ElapsedTime) {
-    let (now, visibility) = (state.now, state.visibility());
-    let job = &state.jobs[&time.job];
-    let class = &mut state.classes[job.request.class];
-    let run_ms = job.run_ms.max(1.0);
-    let is_finished = time.stage == JobStage::Finished;
-    let class_slowdown = class.slowdown_mut(time.mode);
-    if is_finished {
-        class_slowdown.observe(now, time.elapsed_ms / run_ms, run_ms);
-    }
-    // A gateway that starts in an overload believes estimates: no job comes back to show their baseline.
-    let presumed = (visibility.lacks_load_reports && !is_finished).then_some(1.0);
-    let Some(baseline) = class_slowdown.baseline.or(presumed) else { return };
-    let Some(engine) = state.pool.engines.get_mut(&time.engine) else { return };
-    let slowdown = time.elapsed_ms / run_ms / baseline;
-    let weight = if is_finished { 1.0 } else { RUNNING_JOB_WEIGHT };
-    let sample = SlowdownSample { slowdown, run_ms, weight };
-    // What is known of an engine's overload is that engine's: the pool is what jobs meet elsewhere.
-    let is_known_overload =
-        || visibility.lacks_load_reports && engine.limit.slowdown_at(now, visibility) > OVERLOAD_SLOWDOWN;
-    if time.scope == SlowdownScope::Pool && !is_known_overload() {
-        state.concurrency.observe_slowdown(now, sample);
-    }
-    engine.limit.observe_slowdown(now, visibility, sample);
-}
-
-/// Learns from an engine's progress; says whether it concerned the dispatch in flight.
+/// Learns from an engine's progress; returns whether it concerned the dispatch in flight.
 pub fn progress(state: &mut ControllerState, id: JobId, attempt: u32, update: ProgressUpdate) -> bool {
     let now = state.now;
     let Some(job) = state.jobs.get_mut(&id) else { return false };
@@ -121,7 +55,7 @@
     TimeDelta::from_millis_f64(latencies.fold(MIN_BULK_LOAD_MS, f64::max))
 }
 
-/// Notes the time of the whole job, where the fraction that is done tells it.
+/// Notes the time of the whole job, projected from the fraction that is done.
 fn observe_projected_time(state: &mut ControllerState, id: JobId) {
     let Some(dispatch) = state.jobs[&id].in_flight() else { return };
     if dispatch.completed_fraction <= MIN_TELLING_FRACTION || dispatch.waited_for_bulk_load {
@@ -135,10 +69,10 @@
         scope: SlowdownScope::Pool,
         mode: dispatch.mode(),
     };
-    observe_elapsed(state, time);
+    slowdown::observe_elapsed(state, time);
 }
 
-/// Takes a job's dispatch in flight if it is this attempt, and learns from its result; says whether it was.
+/// Takes a job's dispatch in flight if it is this attempt, and learns from its result; returns whether it was.
 pub fn result(state: &mut ControllerState, id: JobId, attempt: u32, result: &DispatchResult) -> bool {
     let Some(job) = state.jobs.get_mut(&id) else { return false };
     if result.job_finished {
@@ -176,7 +110,8 @@
             engine.ejection.connection_failed(state.now);
         }
         DispatchStatus::Overloaded => {
-            concurrency::engine_overloaded(engine, state.now);
+            let own_utilization = own_utilization(engine, Demand::NONE);
+            engine.limit.overloaded(state.now, own_utilization);
             state.concurrency.observe_overload(state.now, job.run_ms);
         }
         _ => {}
@@ -210,7 +145,7 @@
             scope: SlowdownScope::Pool,
             mode: dispatch.mode(),
         };
-        observe_elapsed(state, time);
+        slowdown::observe_elapsed(state, time);
     }
 }
 
@@ -273,7 +208,7 @@
 fn detect_restart(state: &mut ControllerState, id: EngineId, jobs_before: f64, now: Timestamp) {
     let warm_up_time = state.settings.contract.warm_up_time;
     let Some(engine) = state.pool.engines.get_mut(&id) else { return };
-    if crate::health::has_restarted_unseen(engine, jobs_before, now, warm_up_time) {
+    if health::has_restarted_unseen(engine, jobs_before, now, warm_up_time) {
         engine.endpoint.started_at = Some(now);
         state.pool.warming_up.push(id);
     }
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,7 +1,7 @@
-//! Decides when an engine is health-checked, and what a check's own time tells of its load.
+//! Decides when an engine is health-checked, and what a check's elapsed time shows of its load.
 
 use crate::concurrency::OVERLOAD_SLOWDOWN;
-use crate::engine::{Engine, HealthCheckState};
+use crate::engine::Engine;
 use crate::estimators::MeanDeviation;
 use crate::settings::ControllerSettings;
 use crate::time::{TimeDelta, Timestamp};
@@ -25,7 +25,7 @@
 const IDLE_UTILIZATION: f64 = 0.5;
 /// Differences behind the mean variation of checks at a location.
 const VARIATION_MEMORY: f64 = 32.0;
-/// The fewest differences that tell the variation.
+/// The fewest differences that the variation may rest on.
 const MIN_VARIATION_COUNT: u32 = 4;
 /// A check within so many mean variations of the least says nothing of load.
 const MIN_VARIATIONS_ABOVE_LEAST: f64 = 4.0;
@@ -46,18 +46,6 @@
     fleet_is_large && checks_per_job(settings, fleet_is_large) < CHECKS_PER_PAIR
 }
 
-impl HealthCheckState {
-    /// Notes that a check is sent, if none is in flight; says whether it is.
-    pub fn start(&mut self, now: Timestamp) -> bool {
-        if self.in_flight {
-            return false;
-        }
-        self.in_flight = true;
-        self.sent_at = now;
-        true
-    }
-}
-
 /// The budget of health checks, and what is usual for their time at each location.
 #[derive(Default)]
 pub struct HealthChecks {
@@ -89,26 +77,26 @@
         self.tokens > TOKENS_FOR_VALUABLE_JOBS * MAX_TOKENS
     }
 
-    /// Raises the engine's processor utilization to what a check's own time tells of it.
+    /// Raises the engine's processor utilization to what the check's elapsed time shows.
     ///
-    /// Reported processor use stands still at full and falls when memory runs out; the time tells more, once it
-    /// is known how much it varies without load.
+    /// Reported processor utilization is capped at full use and falls when memory runs out. The elapsed time shows
+    /// more, once it is known how much it varies without load.
     pub fn observe_elapsed(&mut self, engine: &mut Engine, elapsed: TimeDelta) {
         let elapsed_ms = elapsed.as_millis_f64();
         let location = engine.endpoint.location;
         let least = self.least_elapsed_ms.entry(location).or_insert(f64::INFINITY);
         *least = (*least * LEAST_TIME_RISE).min(elapsed_ms).max(MIN_LEAST_TIME_MS);
         let variation = self.variation_ms.entry(location).or_default();
-        let is_idle = engine.reported.processor.is_some_and(|told| told < IDLE_UTILIZATION);
+        let is_idle = engine.reported.processor.is_some_and(|utilization| utilization < IDLE_UTILIZATION);
         let previous = engine.health_check.idle_elapsed_ms.take();
         engine.health_check.idle_elapsed_ms = is_idle.then_some(elapsed_ms);
         if let Some((previous, current)) = previous.zip(engine.health_check.idle_elapsed_ms) {
             variation.add((current - previous).abs(), VARIATION_MEMORY);
         }
-        let tells_load = variation.count() >= MIN_VARIATION_COUNT
+        let shows_load = variation.count() >= MIN_VARIATION_COUNT
             && elapsed_ms > *least + MIN_VARIATIONS_ABOVE_LEAST * variation.mean();
-        let by_time = if tells_load { elapsed_ms / *least / OVERLOAD_SLOWDOWN } else { 0.0 };
-        engine.reported.processor = engine.reported.processor.map(|told| told.max(by_time));
+        let by_time = if shows_load { elapsed_ms / *least / OVERLOAD_SLOWDOWN } else { 0.0 };
+        engine.reported.processor = engine.reported.processor.map(|utilization| utilization.max(by_time));
     }
 }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! The plain types through which a caller speaks to the [`AdmissionController`]. Nothing here decides.
+//! The plain types of the interface of the [`AdmissionController`]. Nothing here decides.
 //!
 //! [`AdmissionController`]: crate::controller::AdmissionController
 
@@ -29,7 +29,7 @@
     pub lifecycle: LifecycleState,
     /// When the engine last started; none if that is long ago.
     pub started_at: Option<Timestamp>,
-    /// Relative capacity, used where the settings don't tell the machine type's cores.
+    /// Relative capacity, used where the settings don't give the machine type's cores.
     pub capacity_hint: f64,
 }
 
@@ -98,7 +98,7 @@
     Expired,
 }
 
-/// Work and memory that an engine says a job took.
+/// Work and memory that a job took, as its engine reports them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ActualCost {
     /// Work of all threads, as time on one.
@@ -118,7 +118,7 @@
     pub job_finished: bool,
     /// The engine is not at fault: it has accepted a new connection since, or was never tried.
     pub engine_reachable: bool,
-    /// What the job took, where the engine says so.
+    /// What the job took, where the engine reports it.
     pub actual_cost: Option<ActualCost>,
     /// The engine's load, where the answer carried it.
     pub load_report: Option<LoadReport>,
@@ -135,7 +135,7 @@
     pub memory_utilization: Option<f64>,
 }
 
-/// An engine's news of a dispatch that is in flight.
+/// Progress of a dispatch that is in flight, as its engine reports it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressUpdate {
     /// Fraction of the work that is done.
@@ -204,13 +204,13 @@
     pub dispatches: Vec<Dispatch>,
     /// Engines to be health-checked.
     pub health_checks: Vec<EngineId>,
-    /// Ask to be kept informed of the endpoint list.
+    /// Subscribe to the endpoint list.
     pub subscribe: bool,
     /// Call [`timer_fired`](crate::controller::AdmissionController::timer_fired) at this time, or soon after.
     pub next_timer: Option<Timestamp>,
     /// Jobs of which nothing is in flight or owed any more; their numbers may be forgotten.
     pub released_jobs: Vec<JobId>,
-    /// Engines that mean nothing to the controller any more; their numbers may be forgotten.
+    /// Engines that the controller has forgotten; their numbers may be forgotten.
     pub forgotten_engines: Vec<EngineId>,
     /// Lines for the caller's log.
     pub log: Vec<String>,
--- a/src/job.rs
+++ b/src/job.rs
@@ -144,7 +144,7 @@
     pub objective_deadline: Timestamp,
     /// Estimated work, in milliseconds on one thread.
     pub work_ms: f64,
-    /// How long it runs on an unloaded engine (ms); exact once an engine has told its work.
+    /// How long it runs on an unloaded engine (ms); exact once an engine has reported the work.
     pub run_ms: f64,
     /// Value per second of its work.
     pub value_rate: f64,
@@ -154,7 +154,7 @@
     pub dispatch_count: u32,
     /// The first dispatch that may have run.
     pub possible_run: Option<PossibleRun>,
-    /// When a dispatch last ended without telling whether it ran.
+    /// When a dispatch last ended without it being known whether it ran.
     pub outcome_unknown_at: Option<Timestamp>,
     /// The engine that it was last sent to.
     pub last_engine: Option<EngineId>,
@@ -224,7 +224,7 @@
         self.finished && self.in_flight().is_none()
     }
 
-    /// It joins the waiting jobs; says whether it was none of them.
+    /// It joins the waiting jobs; returns whether it was not among them before.
     pub fn start_waiting(&mut self) -> bool {
         let was_queued = self.is_queued();
         self.state = JobState::Waiting;
--- a/src/job_class.rs
+++ b/src/job_class.rs
@@ -21,7 +21,7 @@
 /// Estimates are off by so much at most.
 const MAX_BASELINE_IN_MEMORY: f64 = 2.0;
 
-/// A single job says no more than this of the slowdown.
+/// A single job counts with no more than this slowdown.
 pub const MAX_SLOWDOWN: f64 = 6.0;
 
 /// Time taken over unloaded time of a class's jobs, and what is usual for it without load.
@@ -59,7 +59,7 @@
 pub struct JobClass {
     /// Its settings.
     pub settings: ClassSettings,
-    /// Actual work (ms on one thread), where engines tell it.
+    /// Actual work (ms on one thread), where engines report it.
     pub actual_cost: DecayingAverage,
     /// Estimated memory (MB).
     pub estimated_memory: DecayingAverage,
@@ -72,7 +72,7 @@
     spilled: ClassSlowdown,
 }
 
-/// The most work and memory that an estimate is believed to tell.
+/// The most work and memory that an estimate is believed for.
 #[derive(Clone, Copy, Debug)]
 pub struct EstimateLimits {
     /// Work that the client could wait for, in milliseconds on one thread.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,33 +11,43 @@
 pub mod settings;
 pub mod time;
 
-mod admission;
-mod candidates;
-mod completion;
-mod concurrency;
-mod dispatch;
-mod draining;
-mod endpoints;
-mod engine;
+// Arithmetic.
 mod estimators;
-mod feedback;
-mod health;
+
+// What is known: of jobs, of engines, of the stream of jobs.
+mod engine;
 mod job;
 mod job_class;
-mod key_order;
-mod maintenance;
 mod memory_factor;
+mod pool;
+mod timers;
+mod traffic;
+mod utilization;
+mod waiting;
+
+// What is decided, each with its own state.
+mod concurrency;
+mod health;
+mod key_order;
 mod memory_grant;
 mod outlier;
 mod placement;
-mod pool;
 mod retry;
-mod rules;
 mod selection;
 mod slow_start;
+
+// All state together.
 mod state;
+
+// How a job is carried through its life.
+mod admission;
+mod candidates;
+mod completion;
+mod dispatch;
+mod draining;
+mod endpoints;
+mod feedback;
+mod maintenance;
+mod rules;
+mod slowdown;
 mod stuck_jobs;
-mod timers;
-mod traffic;
-mod utilization;
-mod waiting;
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -1,9 +1,8 @@
 //! What is done at regular intervals: limits move, silent engines are ejected, half-open ones checked, what is not
 //! used any more is evicted.
 
-use crate::concurrency::{
-    self, EngineLoad, GatewayLoad, HEALTHY_SLOWDOWN, MIN_LIMIT_SLOWDOWN, equal_share_of_pool,
-};
+use crate::concurrency::{EngineLoad, GatewayLoad, HEALTHY_SLOWDOWN, MIN_LIMIT_OF_SHARE, MIN_LIMIT_SLOWDOWN};
+use crate::engine::THREADS_PER_CORE;
 use crate::health::MAX_CHECK_AGE;
 use crate::interface::EngineId;
 use crate::job::PendingJob;
@@ -43,8 +42,9 @@
     let (now, visibility) = (state.now, state.visibility());
     for engine in state.pool.engines.values_mut() {
         let utilization = utilization(engine, Demand::NONE, &state.traffic, now);
-        let load = EngineLoad { utilization, pool_slowdown };
-        concurrency::update_engine_limit(engine, now, visibility, load);
+        let jobs_are_reported = engine.reported.jobs_in_flight.is_some();
+        let load = EngineLoad { utilization, pool_slowdown, jobs_are_reported };
+        engine.limit.update(now, visibility, load);
     }
 }
 
@@ -54,7 +54,8 @@
         in_flight: state.pool.threads_in_flight(),
         expected_when_healthy: traffic.expected_threads(now, HEALTHY_SLOWDOWN),
         expected_at_least: traffic.expected_threads(now, MIN_LIMIT_SLOWDOWN),
-        equal_share: equal_share_of_pool(state.pool.running_cores, state.settings.gateway_count),
+        equal_share: MIN_LIMIT_OF_SHARE * THREADS_PER_CORE * state.pool.running_cores
+            / state.settings.gateway_count,
     };
     state.concurrency.update_limit(pool_slowdown, load);
 }
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -3,7 +3,7 @@
 //! An engine is ejected after refused or lost connections, or when it is silent though progress is due. After
 //! that it is half open: it gets one dispatch at a time until it answers.
 
-use crate::engine::Ejection;
+use crate::interface::JobId;
 use crate::time::{TimeDelta, Timestamp};
 
 const FIRST_EJECTION: TimeDelta = TimeDelta(500_000);
@@ -13,6 +13,21 @@
 /// One lost connection is no reason to lose an engine; two in a row are.
 const FAILURES_TO_EJECT: u32 = 2;
 
+/// An engine's ejection as an outlier.
+#[derive(Debug, Default)]
+pub struct Ejection {
+    /// Until when nothing is sent there.
+    pub ejected_until: Timestamp,
+    /// How long the last ejection was.
+    pub duration: TimeDelta,
+    /// It was ejected and has not answered since: it gets one dispatch at a time.
+    pub half_open: bool,
+    /// The job that is in flight while it is half open.
+    pub half_open_dispatch: Option<JobId>,
+    /// Refused and lost connections since the last answer.
+    pub consecutive_failures: u32,
+}
+
 impl Ejection {
     /// Ejects the engine, unless it is ejected already.
     pub fn eject(&mut self, now: Timestamp) {
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -30,7 +30,7 @@
 }
 
 impl EnginePool {
-    /// Takes over what the endpoint list says of one engine; says whether the engine is new or has restarted.
+    /// Takes over what the endpoint list says of one engine; returns whether the engine is new or has restarted.
     pub fn update_endpoint(
         &mut self,
         settings: &ControllerSettings,
@@ -48,7 +48,7 @@
         let id = endpoint.engine;
         let previous = self.engines.remove(&id).unwrap_or_default();
         let mut engine = Engine::new(settings, endpoint, previous, now);
-        let reports_can_be_had = settings.permissions.health_checks && settings.reports.tell_total_load;
+        let reports_can_be_had = settings.permissions.health_checks && settings.reports.include_total_load;
         engine.limit.covers_all_gateways =
             reports_can_be_had && equal_share_is_below_job(&engine, settings.gateway_count);
         engine.limit.equal_share =
--- a/src/settings/typed.rs
+++ b/src/settings/typed.rs
@@ -28,7 +28,7 @@
     pub max_memory_fraction_per_job: f64,
     /// What this gateway may do.
     pub permissions: Permissions,
-    /// What engines heed.
+    /// Options of a dispatch that engines heed.
     pub engine_capabilities: EngineCapabilities,
     /// What engines report of their load.
     pub reports: ReportSettings,
@@ -49,7 +49,7 @@
     pub cancellation: bool,
 }
 
-/// What engines heed.
+/// Options of a dispatch that engines heed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineCapabilities {
     /// Engines heed the priority of a dispatch.
@@ -61,8 +61,8 @@
 /// What engines report of their load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportSettings {
-    /// Reports tell the load that all gateways cause: jobs in flight or processor utilization.
-    pub tell_total_load: bool,
+    /// Reports include the load that all gateways cause: jobs in flight or processor utilization.
+    pub include_total_load: bool,
     /// Reports come only with health checks.
     pub are_pulled: bool,
 }
@@ -145,7 +145,7 @@
     pub machine_types: Option<Vec<usize>>,
 }
 
-/// What the settings tell of a machine type.
+/// A machine type.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MachineType {
     /// Number of cores.
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -63,10 +63,10 @@
 }
 
 fn read_reports(flat: &Settings) -> ReportSettings {
-    let tells_total_load =
+    let is_total_load =
         |position| matches!(flat.text(&format!("Report.Names.{position}")), "concurrent" | "load_share");
     ReportSettings {
-        tell_total_load: (0..MAX_REPORT_VALUES).any(tells_total_load),
+        include_total_load: (0..MAX_REPORT_VALUES).any(is_total_load),
         are_pulled: flat.text("Report.How") == "pull",
     }
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -10,7 +10,7 @@
 use crate::job_class::JobClass;
 use crate::pool::equal_share_is_below_job;
 use crate::settings::ControllerSettings;
-use crate::time::{TimeDelta, Timestamp};
+use crate::time::Timestamp;
 
 /// The part of the budget that is used: capacity and work are guesses.
 const SHARED_BUDGET_FRACTION: f64 = 0.6;
@@ -35,7 +35,7 @@
 }
 
 impl SlowStart<'_> {
-    /// The part of its capacity that an engine has now, as far as its start tells.
+    /// The part of its capacity that an engine has now, by the time since its start.
     pub fn capacity_fraction(&self, engine: &Engine) -> f64 {
         self.capacity_fraction_at(engine, self.now)
     }
@@ -114,8 +114,3 @@
         }
     }
 }
-
-/// How long work sent to a warming engine is remembered.
-pub fn budget_window(settings: &ControllerSettings) -> TimeDelta {
-    settings.contract.warm_up_window
-}
--- a/src/state.rs
+++ b/src/state.rs
@@ -96,7 +96,7 @@
         &self.class_of(job).settings
     }
 
-    /// The key in whose order a job runs, if its class asks for that.
+    /// The key in whose order a job runs, if its class is ordered by key.
     pub fn ordering_key(&self, job: &PendingJob) -> Option<u64> {
         job.request.key.filter(|_| self.class_settings_of(job).ordered_by_key)
     }
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Sends a health check to an engine that is known and has none in flight; says whether it did.
+    /// Sends a health check to an engine that is known and has none in flight; returns whether it did.
     pub fn start_health_check(&mut self, id: EngineId) -> bool {
         let engine = self.pool.engines.get_mut(&id);
         let started = engine.is_some_and(|engine| engine.health_check.start(self.now));
--- a/src/stuck_jobs.rs
+++ b/src/stuck_jobs.rs
@@ -2,10 +2,10 @@
 //! ones that keep an overload going.
 
 use crate::concurrency::OVERLOAD_SLOWDOWN;
-use crate::feedback::{self, ElapsedTime, JobStage, MIN_TELLING_FRACTION, SlowdownScope};
 use crate::interface::{EngineId, JobId};
 use crate::job::{InFlightDispatch, PendingJob};
 use crate::settings::Effect;
+use crate::slowdown::{self, ElapsedTime, JobStage, MIN_TELLING_FRACTION, SlowdownScope};
 use crate::state::ControllerState;
 use crate::time::TimeDelta;
 use crate::{completion, rules};
@@ -36,7 +36,7 @@
     }
 }
 
-/// Whether a dispatch has told nothing yet and need not have.
+/// Whether no progress has come yet and none is overdue.
 fn awaits_first_progress(state: &ControllerState, dispatch: &InFlightDispatch) -> bool {
     let interval_ms = state.settings.progress_interval.unwrap_or_default().as_millis_f64();
     dispatch.completed_fraction == 0.0
@@ -71,20 +71,20 @@
     let overdue: Vec<ElapsedTime> =
         state.jobs.iter().filter_map(|(id, job)| overdue_time(state, *id, job)).collect();
     for time in overdue {
-        feedback::observe_elapsed(state, time);
+        slowdown::observe_elapsed(state, time);
     }
 }
 
 fn overdue_time(state: &ControllerState, id: JobId, job: &PendingJob) -> Option<ElapsedTime> {
-    let tells_nothing = |dispatch: &&InFlightDispatch| {
+    let has_no_progress = |dispatch: &&InFlightDispatch| {
         !dispatch.waited_for_bulk_load && dispatch.completed_fraction <= MIN_TELLING_FRACTION
     };
-    let dispatch = job.active_dispatch().filter(tells_nothing)?;
+    let dispatch = job.active_dispatch().filter(has_no_progress)?;
     let elapsed_ms = dispatch.age(state.now).as_millis_f64();
     if elapsed_ms <= OVERLOAD_SLOWDOWN * job.run_ms {
         return None;
     }
-    // Silence tells of the engine or of the way to it, not of the pool.
+    // Silence is evidence against the engine or its network path, not against the pool.
     let engine_speaks =
         state.settings.progress_interval.is_none() || dispatch.last_update_at > dispatch.sent_at;
     let scope = if engine_speaks { SlowdownScope::Pool } else { SlowdownScope::Engine };
--- a/src/utilization.rs
+++ b/src/utilization.rs
@@ -1,10 +1,10 @@
-//! How much of an engine is in use: by this gateway alone, or by all as far as reports tell.
+//! How much of an engine is in use: by this gateway alone, or by all gateways according to load reports.
 
 use crate::engine::Engine;
 use crate::time::{TimeDelta, Timestamp};
 use crate::traffic::Traffic;
 
-/// Older reports say nothing: the gateway's own figure stands in.
+/// Older reports are ignored: the gateway's own figure stands in.
 pub const MAX_REPORT_AGE: TimeDelta = TimeDelta(2_500_000);
 
 /// What a job would add to an engine.
@@ -41,7 +41,7 @@
         let by_memory = jobs * traffic.typical_memory_mb() / engine.memory_mb.max(1.0);
         by_memory.max(jobs * traffic.typical_threads() / engine.thread_capacity())
     };
-    let told = reported.jobs_in_flight.map_or(reported.processor.unwrap_or(0.0), by_jobs);
+    let reported_use = reported.jobs_in_flight.map_or(reported.processor.unwrap_or(0.0), by_jobs);
     let sent_since = (reported.threads_sent_since + added.threads) / engine.thread_capacity();
-    own.max(told.max(reported.memory.unwrap_or(0.0)) + sent_since)
+    own.max(reported_use.max(reported.memory.unwrap_or(0.0)) + sent_since)
 }
