--- a/src/admission.rs
+++ b/src/admission.rs
@@ -14,8 +14,9 @@
 const MIN_RUN_FRACTION: f64 = 0.7;
 /// How soon waiting jobs are tried again after a result.
 const RETRY_DELAY_AFTER_RESULT: TimeDelta = TimeDelta(10_000);
-/// How soon waiting jobs are tried again in a large fleet, at least; up to twice as long, by chance.
-const MIN_RETRY_DELAY_INTERVALS: f64 = 5.0;
+/// In a large fleet waiting jobs are tried again after this multiple of that delay, and up to twice as much by
+/// chance.
+const RETRY_DELAY_IN_LARGE_FLEET: f64 = 5.0;
 
 /// Admits a job: sends it, lets it wait, or rejects it if it can't be done in time.
 pub fn submit(state: &mut ControllerState, id: JobId, request: Job) {
@@ -76,7 +77,7 @@
         state.waiting.jobs.push(id);
     }
     if !state.waiting.retry_is_scheduled && state.pool.fleet_is_large() {
-        let intervals = MIN_RETRY_DELAY_INTERVALS + MIN_RETRY_DELAY_INTERVALS * state.random.next_f64();
+        let intervals = RETRY_DELAY_IN_LARGE_FLEET + RETRY_DELAY_IN_LARGE_FLEET * state.random.next_f64();
         schedule_retry(state, RETRY_DELAY_AFTER_RESULT.mul_f64(intervals));
     }
 }
--- a/src/candidates/capacity.rs
+++ b/src/candidates/capacity.rs
@@ -12,7 +12,7 @@
 
 /// How far valuable jobs may exceed an engine's limit.
 const MAX_LIMIT_FACTOR: f64 = 1.5;
-/// A report may be so many check intervals old to count as fresh.
+/// The age of a fresh report, at most, in check intervals.
 const MAX_CHECK_INTERVALS: f64 = 2.0;
 
 /// Tests engines for capacity for one job.
@@ -22,7 +22,7 @@
     demand: Demand,
     /// How far the job may exceed an engine's limit.
     limit_factor: f64,
-    /// Mean work that this gateway sent to an engine of late (ms on one thread).
+    /// Mean work that this gateway recently sent to an engine (ms on one thread).
     pub mean_engine_work_ms: f64,
     pool_has_capacity: OnceCell<bool>,
 }
@@ -77,8 +77,8 @@
         self.state.slow_start().takes_turns(engine)
     }
 
-    /// Whether the engine had no more than its share of what this gateway sent of late: as all gateways walk alike,
-    /// of what all sent.
+    /// Whether the engine got no more than its share of what this gateway recently sent: as all gateways walk in the
+    /// same order, this stands for what all of them sent.
     fn is_within_own_share(&self, engine: &Engine) -> bool {
         let share =
             REPLICATION_FACTOR * self.mean_engine_work_ms * self.state.slow_start().capacity_fraction(engine);
--- a/src/candidates/order.rs
+++ b/src/candidates/order.rs
@@ -15,8 +15,8 @@
 /// Where a job begins its walk along the hashed order, and in which direction.
 ///
 /// Bulk loads walk it from its far end, so that readers seldom meet them, and begin anywhere there where other
-/// gateways' loads can't be known in time. So do jobs of more than this gateway's share of an engine: its own walk can't
-/// level them.
+/// gateways' loads can't be known in time. Jobs of more than this gateway's share of an engine begin anywhere, too:
+/// its own walk can't level them.
 pub struct WalkStart {
     from_far_end: bool,
     first: usize,
--- a/src/candidates/walk.rs
+++ b/src/candidates/walk.rs
@@ -19,7 +19,7 @@
 const MIN_DEPTH: f64 = 2.0;
 /// Engines further along the order that a job tries while it waits out its slack.
 const DEPTH_OVER_SLACK: f64 = 6.0;
-/// A table group's share of the traffic is drawn towards none as if so many other jobs had been seen.
+/// Jobs of other groups that are presumed in a table group's share of the traffic.
 const PRIOR_JOBS_OF_OTHER_GROUPS: f64 = 20.0;
 
 /// How willingly an engine is chosen; the number of a tier is its position in the lists of [`Candidates`].
--- a/src/concurrency/engine_limit.rs
+++ b/src/concurrency/engine_limit.rs
@@ -24,7 +24,8 @@
     pub limit: f64,
     /// This gateway's equal share of the engine; 1 where the limit is for all gateways.
     pub equal_share: f64,
-    /// The limit is on the utilization that all gateways cause, by load reports: an equal share would be less than a job.
+    /// The limit is on the utilization that all gateways cause, according to load reports: an equal share would be
+    /// less than a job.
     pub covers_all_gateways: bool,
     /// It rejected a job for lack of capacity: nothing is sent there until then.
     pub overloaded_until: Timestamp,
--- a/src/concurrency/mod.rs
+++ b/src/concurrency/mod.rs
@@ -34,7 +34,7 @@
 /// What this gateway can know of the load that other gateways cause.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadVisibility {
-    /// Gateways are so many that limits are for all of them together.
+    /// The gateways are too many for each to have its own limit of an engine: limits cover all of them.
     pub fleet_is_large: bool,
     /// Reports can't be had for each job's pair: gateways decide on their own figures.
     pub lacks_load_reports: bool,
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -95,9 +95,9 @@
     pub health_check: HealthCheckState,
     /// When an answer or progress last came.
     pub last_heard_at: Timestamp,
-    /// Typical work sent of late, for the slow-start budget.
+    /// Typical work sent recently, for the slow-start budget.
     pub slow_start_work: SlidingWindow,
-    /// Work sent of late (ms on one thread).
+    /// Work sent recently (ms on one thread).
     pub recent_work: DecayingAverage,
     /// Table groups that a bulk load of another gateway is known to lock, and until when that is believed.
     pub locked_tables_until: BTreeMap<u64, Timestamp>,
--- a/src/feedback.rs
+++ b/src/feedback.rs
@@ -3,7 +3,7 @@
 use crate::engine::Engine;
 use crate::interface::{DispatchResult, DispatchStatus, EngineId, JobId, LoadReport, ProgressUpdate};
 use crate::job::{InFlightDispatch, PossibleRun};
-use crate::slowdown::{self, ElapsedTime, JobStage, MIN_TELLING_FRACTION, SlowdownScope};
+use crate::slowdown::{self, ElapsedTime, JobStage, MIN_COMPLETED_FRACTION, SlowdownScope};
 use crate::state::ControllerState;
 use crate::time::{TimeDelta, Timestamp};
 use crate::utilization::{Demand, own_utilization};
@@ -58,7 +58,7 @@
 /// Notes the time of the whole job, projected from the fraction that is done.
 fn observe_projected_time(state: &mut ControllerState, id: JobId) {
     let Some(dispatch) = state.jobs[&id].in_flight() else { return };
-    if dispatch.completed_fraction <= MIN_TELLING_FRACTION || dispatch.waited_for_bulk_load {
+    if dispatch.completed_fraction <= MIN_COMPLETED_FRACTION || dispatch.waited_for_bulk_load {
         return;
     }
     let time = ElapsedTime {
--- a/src/health.rs
+++ b/src/health.rs
@@ -7,7 +7,7 @@
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// A report may be so old where it stands for all gateways' load; an engine is checked no more often.
+/// The age from which a report of all gateways' load is refreshed; engines are checked at most this often.
 pub const MAX_CHECK_AGE: TimeDelta = TimeDelta(500_000);
 
 /// The most health checks that are saved up for later jobs.
@@ -27,7 +27,7 @@
 const VARIATION_MEMORY: f64 = 32.0;
 /// The fewest differences that the variation may rest on.
 const MIN_VARIATION_COUNT: u32 = 4;
-/// A check within so many mean variations of the least says nothing of load.
+/// A check shows load only if it takes longer than the least time by this multiple of the mean variation.
 const MIN_VARIATIONS_ABOVE_LEAST: f64 = 4.0;
 /// How fast the least time of a location rises from check to check.
 const LEAST_TIME_RISE: f64 = 1.0005;
@@ -67,7 +67,7 @@
         self.tokens -= 1.0;
     }
 
-    /// Whether one more check can be paid for besides so many.
+    /// Whether one more check can be paid for besides `count` others.
     pub fn has_token_besides(&self, count: usize) -> bool {
         self.tokens >= 1.0 + count as f64
     }
--- a/src/job_class.rs
+++ b/src/job_class.rs
@@ -26,7 +26,7 @@
 
 /// Time taken over unloaded time of a class's jobs, and what is usual for it without load.
 ///
-/// Estimates are wrong by class, as the lowest slowdown of late shows.
+/// Estimates are wrong by class, as the lowest recent slowdown shows.
 #[derive(Clone, Copy, Default)]
 pub struct ClassSlowdown {
     recent: DecayingAverage,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Lets both baselines follow the slowdown of late, where enough is known of it.
+    /// Lets both baselines follow the recent slowdown, where enough is known of it.
     pub fn update_baselines(&mut self, now: Timestamp) {
         let min_weight = MIN_JOBS_FOR_BASELINE * self.typical_work_ms() / self.settings.threads;
         let costs_are_estimates = self.actual_cost.weight() == 0.0;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// How much longer jobs take without load because some of them spill, as often as of late.
+    /// How much longer jobs take without load because some of them spill, as often as recently.
     pub fn spill_factor(&self) -> f64 {
         let (in_memory, spilled) = (self.in_memory.recent.weight(), self.spilled.recent.weight());
         let baseline = self.in_memory.baseline.unwrap_or(1.0);
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Forgets engines that are gone and that no open job concerns, and table groups and keys that were not met of late.
+/// Forgets engines that are gone and that no open job concerns, and table groups and keys that are not in use any more.
 fn evict_unused(state: &mut ControllerState) {
     let now = state.now;
     let used: BTreeSet<EngineId> = state.jobs.values().flat_map(PendingJob::engines).collect();
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -8,7 +8,7 @@
 
 const FIRST_EJECTION: TimeDelta = TimeDelta(500_000);
 const MAX_EJECTION: TimeDelta = TimeDelta(8_000_000);
-/// An engine that is ejected again within so many durations is ejected for twice as long.
+/// An engine that is ejected again within this multiple of its last ejection is ejected for twice as long.
 const RECURRENCE_WINDOW: f64 = 4.0;
 /// One lost connection is no reason to lose an engine; two in a row are.
 const FAILURES_TO_EJECT: u32 = 2;
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -92,7 +92,7 @@
         self.engines.values().map(|engine| engine.in_flight.threads).sum()
     }
 
-    /// Gateways are so many that limits are for all of them together.
+    /// Whether the gateways are too many for each to have its own limit of an engine: limits cover all of them.
     pub fn fleet_is_large(&self) -> bool {
         self.running.first().is_some_and(|id| self.engines[id].limit.covers_all_gateways)
     }
@@ -108,8 +108,8 @@
         self.orders.entry(table_group).or_insert_with(sorted).clone()
     }
 
-    /// Drops the engines that are gone, were not heard of for so long and that no open job concerns; returns
-    /// them.
+    /// Drops the engines that are gone, were not heard of within the retention period and that no open job
+    /// concerns; returns them.
     pub fn evict_unused(
         &mut self,
         now: Timestamp,
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -6,7 +6,7 @@
 use crate::settings::{ClassSettings, ControllerSettings, DeduplicationScope, Effect};
 use crate::time::{TimeDelta, Timestamp};
 
-/// Jobs submitted and retries sent of late, for the retry budget.
+/// Jobs recently submitted and retries recently sent, for the retry budget.
 #[derive(Default)]
 pub struct RetryBudget {
     jobs: SlidingWindow,
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,4 +1,12 @@
-//! Decides whether a dispatch is allowed at all: the seven rules, asked before every dispatch.
+//! Decides whether a dispatch is allowed at all: the seven rules, checked before every dispatch.
+//!
+//! 1. A job gets one final answer in time; nothing is sent for a job that has it.
+//! 2. Nothing that may have run is run again unless it may be repeated there and then.
+//! 3. Nothing is sent to a draining engine.
+//! 4. No more is sent to a warming engine than slow start allows, by all gateways together.
+//! 5. Jobs of one key run one by one in the order of arrival, where their class is ordered by key.
+//! 6. A job runs only in the locations and on the machine types that its class is confined to.
+//! 7. Retries keep to the retry budget.
 
 use crate::interface::{EngineId, JobId, LifecycleState};
 use crate::settings::Effect;
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -154,7 +154,7 @@
 fn processor_share(engines: [&Engine; 2], now: Timestamp, fleet_is_large: bool) -> f64 {
     let reported = |engine: &Engine| engine.reported.processor;
     if fleet_is_large {
-        // Where own jobs are few, those in flight now are weaker evidence than those sent of late.
+        // Where own jobs are few, those in flight now are weaker evidence than those sent recently.
         share_of_first(engines, now, reported, |engine| engine.recent_work.sum() / engine.cores)
     } else {
         share_of_first(engines, now, reported, |engine| engine.in_flight.threads / engine.cores)
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -16,7 +16,7 @@
 const SHARED_BUDGET_FRACTION: f64 = 0.6;
 /// The part of the budget that is used in one slot: a window meets two.
 const SLOT_BUDGET_FRACTION: f64 = 0.4;
-/// Every so many slots one is for heavy jobs: many gateways have light jobs at hand, few a heavy one in time.
+/// One slot in this many is for heavy jobs: most gateways have light jobs at hand, few a heavy one just then.
 const HEAVY_SLOT_INTERVAL: i64 = 3;
 /// Light jobs that a slot's holder is to have room for.
 const LIGHT_JOBS_PER_HOLDER: f64 = 2.0;
--- a/src/slowdown.rs
+++ b/src/slowdown.rs
@@ -6,10 +6,11 @@
 use crate::state::ControllerState;
 
 /// The time of the whole job is not projected from a smaller completed fraction.
-pub const MIN_TELLING_FRACTION: f64 = 0.02;
+pub const MIN_COMPLETED_FRACTION: f64 = 0.02;
 
 /// Weight of the slowdown of a job that still runs.
 const RUNNING_JOB_WEIGHT: f64 = 0.25;
+
 /// Whether an elapsed time is final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobStage {
--- a/src/stuck_jobs.rs
+++ b/src/stuck_jobs.rs
@@ -5,16 +5,16 @@
 use crate::interface::{EngineId, JobId};
 use crate::job::{InFlightDispatch, PendingJob};
 use crate::settings::Effect;
-use crate::slowdown::{self, ElapsedTime, JobStage, MIN_TELLING_FRACTION, SlowdownScope};
+use crate::slowdown::{self, ElapsedTime, JobStage, MIN_COMPLETED_FRACTION, SlowdownScope};
 use crate::state::ControllerState;
 use crate::time::TimeDelta;
 use crate::{completion, rules};
 
-/// Progress intervals without news after which a dispatch or an engine counts as silent.
+/// Progress intervals without an update after which a dispatch or an engine counts as silent.
 const SILENT_INTERVALS: f64 = 2.0;
 /// How much longer an engine may be silent before it is ejected.
 const SILENCE_MARGIN: TimeDelta = TimeDelta(500_000);
-/// A dispatch is cancelled only if it needs so many times as long as a fresh one.
+/// A dispatch is cancelled only if its remaining time exceeds this multiple of a fresh dispatch's time.
 const MIN_GAIN: f64 = 2.0;
 /// The least part of its work that a job is believed to have left.
 const MIN_REMAINING_FRACTION: f64 = 0.05;
@@ -77,7 +77,7 @@
 
 fn overdue_time(state: &ControllerState, id: JobId, job: &PendingJob) -> Option<ElapsedTime> {
     let has_no_progress = |dispatch: &&InFlightDispatch| {
-        !dispatch.waited_for_bulk_load && dispatch.completed_fraction <= MIN_TELLING_FRACTION
+        !dispatch.waited_for_bulk_load && dispatch.completed_fraction <= MIN_COMPLETED_FRACTION
     };
     let dispatch = job.active_dispatch().filter(has_no_progress)?;
     let elapsed_ms = dispatch.age(state.now).as_millis_f64();
--- a/src/time.rs
+++ b/src/time.rs
@@ -16,14 +16,14 @@
 pub struct TimeDelta(pub i64);
 
 impl Timestamp {
-    /// The point in time that lies so many milliseconds after zero, rounded to a microsecond.
+    /// The point in time `ms` milliseconds after zero, rounded to a microsecond.
     pub fn from_millis_f64(ms: f64) -> Timestamp {
         Timestamp((ms * MICROS_PER_MILLI).round() as i64)
     }
 }
 
 impl TimeDelta {
-    /// A length of so many milliseconds, rounded to a microsecond.
+    /// A length of `ms` milliseconds, rounded to a microsecond.
     pub fn from_millis_f64(ms: f64) -> TimeDelta {
         TimeDelta((ms * MICROS_PER_MILLI).round() as i64)
     }
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -11,7 +11,7 @@
 /// How far back the rate of arrivals counts.
 const ARRIVAL_TIME_CONSTANT: TimeDelta = TimeDelta(5_000_000);
 
-/// The jobs accepted of late and the work sent of late.
+/// The jobs that were recently admitted and the work that was recently sent.
 ///
 /// Threads, memory and value are weighed by how long the jobs run, so that they are those of a job in flight.
 #[derive(Default)]
@@ -86,12 +86,12 @@
         slowdown * self.arrivals.sum_at(now, ARRIVAL_TIME_CONSTANT) / (seen * time_constant)
     }
 
-    /// Whether jobs of this table group came of late.
+    /// Whether jobs of this table group came recently.
     pub fn knows_table_group(&self, group: u64) -> bool {
         self.table_groups.contains_key(&group)
     }
 
-    /// Drops the table groups that were not met for so long.
+    /// Drops the table groups without a job within the retention period.
     pub fn evict_unused(&mut self, now: Timestamp, retention: TimeDelta) {
         self.table_groups.retain(|_, group| now - group.updated_at() < retention);
     }
