--- a/src/pool.rs
+++ b/src/pool.rs
@@ -30,7 +30,7 @@
 }
 
 impl EnginePool {
-    /// Takes over what the endpoint list says of one engine; says whether the engine is new or has restarted.
+    /// Takes over what the endpoint list says of one engine; returns whether the engine is new or has restarted.
     pub fn update_endpoint(
         &mut self,
         settings: &ControllerSettings,
@@ -48,7 +48,7 @@
         let id = endpoint.engine;
         let previous = self.engines.remove(&id).unwrap_or_default();
         let mut engine = Engine::new(settings, endpoint, previous, now);
-        let reports_can_be_had = settings.permissions.health_checks && settings.reports.tell_total_load;
+        let reports_can_be_had = settings.permissions.health_checks && settings.reports.include_total_load;
         engine.limit.covers_all_gateways =
             reports_can_be_had && equal_share_is_below_job(&engine, settings.gateway_count);
         engine.limit.equal_share =
@@ -92,7 +92,7 @@
         self.engines.values().map(|engine| engine.in_flight.threads).sum()
     }
 
-    /// Gateways are so many that limits are for all of them together.
+    /// Whether the gateways are too many for each to have its own limit of an engine: limits cover all of them.
     pub fn fleet_is_large(&self) -> bool {
         self.running.first().is_some_and(|id| self.engines[id].limit.covers_all_gateways)
     }
@@ -108,8 +108,8 @@
         self.orders.entry(table_group).or_insert_with(sorted).clone()
     }
 
-    /// Drops the engines that are gone, were not heard of for so long and that no open job concerns; returns
-    /// them.
+    /// Drops the engines that are gone, were not heard of within the retention period and that no open job
+    /// concerns; returns them.
     pub fn evict_unused(
         &mut self,
         now: Timestamp,
