--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: which jobs wait at the gateway for capacity, and which estimates of clients are believed.
 
 use crate::harness::ControllerHarness;
-use crate::jobs::lookup;
+use crate::jobs::{LOOKUP, lookup};
 use expect_test::expect;
 use pebblevane::interface::JobId;
 
@@ -28,8 +28,8 @@
 fn an_absurd_cost_estimate_is_rejected_and_not_learned_from() {
     let mut harness = ControllerHarness::builder()
         .engines(2)
-        .setting("Classes.0.GiveUp", 4000.0)
-        .setting("Classes.0.AimStretch", 10.0)
+        .client_timeout_ms(LOOKUP, 4000.0)
+        .objective_stretch(LOOKUP, 10.0)
         .build();
     let unbelievable = lookup(1).cost_ms(9e10);
     let day_long = lookup(1).cost_ms(5e7).client_timeout_ms(DAY_MS);
@@ -64,7 +64,7 @@
 /// A job that claims more memory than any running engine has does not fill its engine for the others.
 #[test]
 fn a_memory_estimate_beyond_any_engine_is_disregarded() {
-    let mut harness = ControllerHarness::builder().engines(1).setting("Extra.RamOfKindMb.0", 1000.0).build();
+    let mut harness = ControllerHarness::builder().engines(1).engine_memory_mb(1000.0).build();
     harness.submit(lookup(1).memory_mb(1e9));
     harness.submit(lookup(1));
     harness.expect_trace(&expect![[r"
--- a/tests/decisions/builder.rs
+++ b/tests/decisions/builder.rs
@@ -48,8 +48,7 @@
     pub fn engines(self, count: u32) -> Self {
         HarnessBuilder { engines: count, ..self }
     }
-    /// A numeric setting by its path.
-    pub fn setting(mut self, path: &str, value: f64) -> Self {
+    fn setting(mut self, path: &str, value: f64) -> Self {
         self.settings.0.insert(path.to_string(), Value::Number(value));
         self
     }
@@ -77,6 +76,14 @@
     pub fn health_check_price(self, price: f64) -> Self {
         self.setting("Deductions.Probe", price)
     }
+    /// Engines' reports don't tell their load.
+    pub fn without_load_in_reports(self) -> Self {
+        self.setting("Report.Names.0", 0.0)
+    }
+    /// How much memory an engine has.
+    pub fn engine_memory_mb(self, memory: f64) -> Self {
+        self.setting("Extra.RamOfKindMb.0", memory)
+    }
     /// Jobs are dispatched with a memory grant.
     pub fn memory_grants(self) -> Self {
         self.flag("Extra.GrantsCount", true)
@@ -88,6 +95,14 @@
     pub fn latency_objective_ms(self, class: usize, objective: f64) -> Self {
         self.setting(&format!("Classes.{class}.Aim"), objective)
     }
+    /// How long the settings say that clients of the class wait.
+    pub fn client_timeout_ms(self, class: usize, timeout: f64) -> Self {
+        self.setting(&format!("Classes.{class}.GiveUp"), timeout)
+    }
+    /// How much the latency objective of the class grows with a job's estimated work.
+    pub fn objective_stretch(self, class: usize, stretch: f64) -> Self {
+        self.setting(&format!("Classes.{class}.AimStretch"), stretch)
+    }
     /// How much of its value a job of the class keeps when it misses its latency objective.
     pub fn late_value_ratio(self, class: usize, ratio: f64) -> Self {
         self.setting(&format!("Classes.{class}.LateValue"), ratio)
--- a/tests/decisions/memory_grants.rs
+++ b/tests/decisions/memory_grants.rs
@@ -10,7 +10,7 @@
     let mut harness = ControllerHarness::builder()
         .engines(2)
         .memory_grants()
-        .setting("Extra.RamOfKindMb.0", 16_000.0)
+        .engine_memory_mb(16_000.0)
         .progress_interval_ms(50.0)
         .build();
     for _ in 0..3 {
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -191,7 +191,7 @@
                 .gateway_ordinal(ordinal);
             let mut harness = match case {
                 "no probes" => fleet.health_checks(false).build(),
-                _ => fleet.health_checks(true).setting("Report.Names.0", 0.0).build(),
+                _ => fleet.health_checks(true).without_load_in_reports().build(),
             };
             harness.advance(3000.0 + f64::from(ordinal % 7));
             harness.update_endpoints(vec![running_since(0, 2900.0)]);
