--- a/crates/soak/src/bus.rs
+++ b/crates/soak/src/bus.rs
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-const HEARTBEAT: Duration = Duration::from_millis(1000);
+const HEARTBEAT: Duration = Duration::from_secs(1);
 /// The port of a bus that went down is free after this time at the latest.
 const PORT_FREE: Duration = Duration::from_secs(2);
 /// A new event is looked for this often.
@@ -179,7 +179,10 @@
         let mut line = String::new();
         stream.read_line(&mut line).await?;
         let mut offset: usize = line.trim().strip_prefix("from ").and_then(|n| n.parse().ok()).unwrap_or(0);
-        let (opened, mut beaten) = (Instant::now(), Instant::now() - HEARTBEAT);
+        let (opened, mut beaten) = (
+            Instant::now(),
+            Instant::now().checked_sub(HEARTBEAT).expect("the machine runs for longer than a heartbeat"),
+        );
         loop {
             if testbed.bus.is_silent(opened) {
                 tokio::time::sleep(LOOK).await;
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -184,14 +184,15 @@
     fn processes(&mut self) {
         for (run, (at, status, clean)) in self.runs.ended.clone() {
             let (told, killed) = (self.runs.stopping.contains_key(&run), self.runs.killed.contains_key(&run));
-            match () {
-                _ if killed || clean => {}
-                _ if told && status.contains("signal: 9") => {
-                    self.found(Rule::DidNotStop, at, None, true, format!("{run:?} had to be killed"));
-                }
+            if killed || clean {
+                continue;
+            }
+            if told && status.contains("signal: 9") {
+                self.found(Rule::DidNotStop, at, None, true, format!("{run:?} had to be killed"));
+            } else if told && status.contains("signal: 15") {
                 // Told before it listened to signals.
-                _ if told && status.contains("signal: 15") => {}
-                _ => self.found(Rule::Crash, at, None, false, format!("{run:?} ended: {status}")),
+            } else {
+                self.found(Rule::Crash, at, None, false, format!("{run:?} ended: {status}"));
             }
         }
         for (run, started) in self.runs.started.clone() {
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -2,6 +2,7 @@
 
 use crate::bus::{Change, Lifecycle};
 use crate::client::Client;
+use crate::engine::Engine;
 use crate::gateway::{FAULT_BREAK, FAULT_THREAD, Phase, SYSCALL_FAULT_KINDS};
 use crate::schedule::{Fault, ScheduledFault};
 use crate::testbed::Testbed;
@@ -40,7 +41,7 @@
         Fault::SlowAccepts { engines, for_ms } => {
             each(testbed, &engines, |engine| engine.accept_late(ms(for_ms)));
         }
-        Fault::ResetConnections { engines } => each(testbed, &engines, |engine| engine.reset()),
+        Fault::ResetConnections { engines } => each(testbed, &engines, Engine::reset),
         Fault::SpoilAnswers { engines, share, for_ms } => {
             each(testbed, &engines, |engine| engine.spoil(share, ms(for_ms)));
         }
@@ -65,15 +66,15 @@
         }
         Fault::StepClocks { gateways, by_s, engines_too } => {
             let offset = Duration::from_secs(by_s.unsigned_abs());
-            gateways
-                .iter()
-                .for_each(|gateway| testbed.gateways[*gateway].step_clock(testbed, offset, by_s < 0));
+            for gateway in &gateways {
+                testbed.gateways[*gateway].step_clock(testbed, offset, by_s < 0);
+            }
             if engines_too {
                 testbed.stamp_offset_us.store(by_s * 1_000_000, SeqCst);
             }
         }
         Fault::FailCalls { gateways, share, for_ms } => {
-            fail_calls(testbed, &gateways, share, ms(for_ms)).await
+            fail_calls(testbed, &gateways, share, ms(for_ms)).await;
         }
         Fault::ClientsLeave { gateways } | Fault::BadClients { gateways, for_ms: 0 } => {
             rush(testbed, &gateways, ms(100)).await;
@@ -95,7 +96,7 @@
     }
 }
 
-fn each(testbed: &Testbed, engines: &[usize], what: impl Fn(&crate::engine::Engine)) {
+fn each(testbed: &Testbed, engines: &[usize], what: impl Fn(&Engine)) {
     engines.iter().filter_map(|engine| testbed.engine(*engine)).for_each(|engine| what(&engine));
 }
 
@@ -147,7 +148,9 @@
 
 async fn restart_engines(testbed: &Arc<Testbed>, engines: &[usize], down: Duration) {
     let engines: Vec<_> = engines.iter().filter_map(|engine| testbed.engine(*engine)).collect();
-    engines.iter().for_each(|engine| engine.die(testbed));
+    for engine in &engines {
+        engine.die(testbed);
+    }
     tokio::time::sleep(down).await;
     let mut changes = vec![];
     for engine in engines {
@@ -201,11 +204,13 @@
     let mut shares = [share; SYSCALL_FAULT_KINDS];
     // A broken connection ends all that is out on it, and threads fail together.
     (shares[FAULT_BREAK], shares[FAULT_THREAD]) = (share / 20.0, share / 2.0);
-    gateways.iter().for_each(|gateway| testbed.gateways[*gateway].fail_calls(testbed, shares));
+    for gateway in gateways {
+        testbed.gateways[*gateway].fail_calls(testbed, shares);
+    }
     tokio::time::sleep(time).await;
-    gateways
-        .iter()
-        .for_each(|gateway| testbed.gateways[*gateway].fail_calls(testbed, [0.0; SYSCALL_FAULT_KINDS]));
+    for gateway in gateways {
+        testbed.gateways[*gateway].fail_calls(testbed, [0.0; SYSCALL_FAULT_KINDS]);
+    }
 }
 
 /// Clients that send much and go, one after another at each gateway.
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -139,7 +139,9 @@
             Ok(Ok(broken)) if broken.is_empty() => passed += 1,
             Ok(Ok(broken)) => {
                 failed += 1;
-                broken.into_iter().for_each(|rule| *rules.entry(rule).or_insert(0u32) += 1);
+                for rule in broken {
+                    *rules.entry(rule).or_insert(0u32) += 1;
+                }
             }
             Ok(Err(e)) => {
                 failed += 1;
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -96,5 +96,9 @@
         }
     }
     lines.sort();
-    lines.iter().map(|(at, what)| format!("    {} {what}\n", seconds(*at))).collect()
+    let mut text = String::new();
+    for (at, what) in lines {
+        let _ = writeln!(text, "    {} {what}", seconds(at));
+    }
+    text
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -206,7 +206,7 @@
             budget_window: Duration::from_millis(chance.random_range(10..=40) * 100),
             spare_attempts: f64::from(chance.random_range(2..=6)),
             extra_ratio: f64::from(chance.random_range(5..=30)) / 100.0,
-            drain_grace: Duration::from_millis(1000),
+            drain_grace: Duration::from_secs(1),
             fall_multiple: 2.0,
             overload_for: Duration::from_millis([500, 1000, 2000][chance.random_range(0..3)]),
             start_capacity: f64::from(chance.random_range(15..=50)) / 100.0,
@@ -246,8 +246,8 @@
     }
 
     fn draw_fault(&self, chance: &mut ChaCha8Rng) -> Fault {
-        let engines = self.some(chance, self.engines, 0.1, 0.45);
-        let gateways = self.some(chance, self.gateways, 0.1, 0.6);
+        let engines = Schedule::some(chance, self.engines, 0.1, 0.45);
+        let gateways = Schedule::some(chance, self.gateways, 0.1, 0.6);
         let for_ms = chance.random_range(3..=30) * 100;
         match chance.random_range(0..22) {
             0 => Fault::DrainEngines { engines },
@@ -280,7 +280,7 @@
         }
     }
 
-    fn some(&self, chance: &mut ChaCha8Rng, of: usize, least: f64, most: f64) -> Vec<usize> {
+    fn some(chance: &mut ChaCha8Rng, of: usize, least: f64, most: f64) -> Vec<usize> {
         let mut all: Vec<usize> = (0..of).collect();
         all.shuffle(chance);
         let share = chance.random_range(least..most);
--- a/crates/soak/src/testbed.rs
+++ b/crates/soak/src/testbed.rs
@@ -90,7 +90,9 @@
     /// Ends all that listens: the play is over.
     pub fn close(&self) {
         let engines = locked(&self.engines).clone();
-        engines.iter().for_each(|engine| engine.die(self));
+        for engine in &engines {
+            engine.die(self);
+        }
         self.bus.stop();
     }
 
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -18,6 +18,7 @@
 use expect_test::expect;
 use history::{At, Dispatch, DispatchEnd, Event, GatewayRun, Records, Request, RequestEnd};
 use schedule::{Fault, Group, Schedule, Semantics};
+use std::fmt::Write as _;
 
 const GATEWAY: GatewayRun = GatewayRun { gateway: 0, run: 1 };
 const MS: At = 1000;
@@ -48,11 +49,13 @@
     Dispatch { id, class: class_name, from, engine, engine_run: 0, at: at_ms * MS, limit_ms: 10, end }
 }
 
+#[expect(clippy::unnecessary_wraps, reason = "the form in which a request records its end")]
 fn done(class: usize, engine: usize, at_ms: At) -> Option<(At, RequestEnd)> {
     let rows = rows(&format!("{class:016x}"), engine, 0).concat();
     Some((at_ms * MS, RequestEnd::Done { rows }))
 }
 
+#[expect(clippy::unnecessary_wraps, reason = "the form in which a request records its end")]
 fn at(ms: At, end: RequestEnd) -> Option<(At, RequestEnd)> {
     Some((ms * MS, end))
 }
@@ -78,6 +81,15 @@
     Play { requests: vec![request], dispatches, ..Play::default() }
 }
 
+/// A line for each play: its name and the rules that it breaks.
+fn describe(plays: impl IntoIterator<Item = (&'static str, Play)>) -> String {
+    let mut text = String::new();
+    for (what, play) in plays {
+        writeln!(text, "{what}: {}", rules(play)).unwrap();
+    }
+    text
+}
+
 #[test]
 fn each_broken_rule_is_detected() {
     use DispatchEnd::{Disconnected, Done, Fault, Shed};
@@ -152,8 +164,8 @@
             }),
         ),
     ];
-    let trace: String = plays.into_iter().map(|(what, play)| format!("{what}: {}\n", rules(play))).collect();
-    expect![[r#"
+    let trace = describe(plays);
+    expect![[r"
         in order: 
         no answer: Lost
         late answer: Lost
@@ -177,7 +189,7 @@
         two out: TwoOut
         out of place, not known: 
         out of place: Placement
-    "#]]
+    "]]
     .assert_eq(&trace);
 }
 
@@ -196,8 +208,12 @@
     keyed.rules.dedup_window = std::time::Duration::from_millis(200);
     let late = vec![dispatch(POST, 0, 1010, Some((1100, DispatchEnd::Fault))), dispatch(POST, 2, 1500, None)];
     let end = done(POST, 2, 1600);
-    trace +=
-        &format!("keyed late: {}\n", rules(Play { schedule: Some(keyed), ..play(request(POST, end), late) }));
+    writeln!(
+        trace,
+        "keyed late: {}",
+        rules(Play { schedule: Some(keyed), ..play(request(POST, end), late) })
+    )
+    .unwrap();
     // Ten jobs, each sent twice at the same time, where two and a tenth of the jobs are allowed.
     let mut budget = schedule();
     (budget.rules.spare_attempts, budget.rules.extra_ratio) = (2.0, 0.1);
@@ -212,7 +228,7 @@
             all.dispatches.push(Dispatch { id: id.clone(), ..one });
         }
     }
-    trace += &format!("budget: {}\n", rules(all).split(' ').next().unwrap());
+    writeln!(trace, "budget: {}", rules(all).split(' ').next().unwrap()).unwrap();
     // A cold engine, told to its gateway, that gets far more than it bears; and a drained one.
     for drained in [false, true] {
         let mut cold = Play::default();
@@ -229,7 +245,7 @@
             let one = dispatch(LOOKUP, 0, when, Some((when + 10, DispatchEnd::Stopped)));
             cold.dispatches.push(Dispatch { id, engine_run: 1, ..one });
         }
-        trace += &format!("{}: {}\n", if drained { "drained" } else { "cold" }, rules(cold));
+        writeln!(trace, "{}: {}", if drained { "drained" } else { "cold" }, rules(cold)).unwrap();
     }
     let ended = |status: &str, clean| Event::GatewayEnded { run: GATEWAY, status: status.to_string(), clean };
     let started = || (0, Event::GatewayStarted { run: GATEWAY });
@@ -249,16 +265,17 @@
             ],
         ),
     ] {
-        trace += &format!("{what}: {}\n", rules(Play { events, ..Play::default() }));
+        writeln!(trace, "{what}: {}", rules(Play { events, ..Play::default() })).unwrap();
     }
     // A flood of idle connections lets new ones be shut unread.
     let mut flooded = schedule();
     let fault = Fault::IdleFlood { gateways: vec![0], connections: 100, for_ms: 500 };
     flooded.faults.push(schedule::ScheduledFault { at_ms: 900, fault });
     let shut = request(LOOKUP, at(1040, RequestEnd::Closed { reset: false }));
-    trace += &format!("shut in a flood: {}\n", rules(Play { schedule: Some(flooded), ..play(shut, vec![]) }));
+    writeln!(trace, "shut in a flood: {}", rules(Play { schedule: Some(flooded), ..play(shut, vec![]) }))
+        .unwrap();
     assert_eq!(schedule().classes[LOAD].semantics, Semantics::RunOnce);
-    expect![[r#"
+    expect![[r"
         keyed late: KeyedOutsideWindow
         budget: Budget
         cold: ColdEngine
@@ -269,6 +286,6 @@
         never ready: FailedStart
         complains: Complaint
         shut in a flood: 
-    "#]]
+    "]]
     .assert_eq(&trace);
 }
