--- a/crates/server/tests/server/cancellation.rs
+++ b/crates/server/tests/server/cancellation.rs
@@ -12,6 +12,7 @@
 #[test]
 fn dispatches_of_clients_that_cancelled_or_left_are_cancelled() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
+
     client.submit(1, "lookup", 9000);
     let mut trace = vec![engines.next_line().field(0).to_string()];
     client.cancel(1);
@@ -25,6 +26,7 @@
     client.submit(3, "lookup", 9000);
     engines.next_line().reply("HIT", "-", "");
     trace.push(client.next_answer());
+
     expect![[r"
         REQ
         STOP 0000000000000001
@@ -38,6 +40,7 @@
 fn a_job_cancelled_before_it_was_read_is_never_dispatched() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
     let (mut leaver, mut other) = (program.connect(), program.connect());
+
     for client in [&mut client, &mut leaver, &mut other] {
         client.request_health(99);
         assert_eq!(client.next_answer(), "99: well true");
@@ -66,6 +69,7 @@
     let config = ProgramConfig::new(&engines, &bus.address).dial_timeout_ms(9000.0);
     let program = Program::start_with(config);
     let (mut client, mut other) = (program.connect(), program.connect());
+
     client.submit(1, "load", 9000);
     assert_eq!(engines.next_line().field(0), "REQ");
     for message in 2..32 {
@@ -76,6 +80,7 @@
     std::thread::sleep(Duration::from_millis(60));
     other.submit(40, "load", 9000);
     let order: Vec<String> = (0..2).map(|_| engines.next_line().field(0).to_string()).collect();
+
     assert_eq!(order, ["STOP", "REQ"]);
 }
 
@@ -115,5 +120,6 @@
     while let Some(seen) = engines.next_line_if_soon() {
         sent += u32::from(seen.field(0) == "REQ");
     }
+
     expect!["0 of 24 sent"].assert_eq(&format!("{sent} of {JOBS} sent"));
 }
--- a/crates/server/tests/server/client_connections.rs
+++ b/crates/server/tests/server/client_connections.rs
@@ -11,6 +11,7 @@
 #[test]
 fn a_connection_with_malformed_input_is_closed_alone() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
+
     client.submit(1, "lookup", 9000);
     let seen = engines.next_line();
     let mut trace = String::new();
@@ -28,6 +29,7 @@
     }
     seen.reply("HIT", "-", "still here");
     trace += &client.next_answer();
+
     expect![[r"
         text: closed
         huge body: closed
@@ -43,6 +45,7 @@
 fn a_client_that_reads_nothing_delays_nobody_else() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
     let mut slow = program.connect();
+
     let rows = "x".repeat(5_900);
     // Its answers accumulate until nothing more is read from it, or it is disconnected.
     'full: for round in 0..64 {
@@ -63,6 +66,7 @@
         own = engines.next_line();
     }
     own.reply("HIT", "-", "quick");
+
     expect![[r"1: done quick\tb\tc\n"]].assert_eq(&client.next_answer());
 }
 
@@ -96,6 +100,7 @@
 #[test]
 fn an_idle_connection_is_closed_without_a_reset() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+
     client.submit(1, "lookup", 20_000);
     engines.next_line().reply("HIT", "-", "taken");
     client.read_to_end().unwrap();
@@ -111,6 +116,7 @@
 fn answers_already_given_are_delivered_before_a_malformed_connection_closes() {
     let SingleEngine { engines, bus: _bus, program, client: _client } = SingleEngine::start();
     let mut slow = program.connect_with_small_buffers();
+
     let rows = "x".repeat(5_900);
     leave_answers_unread(&engines, &program, &mut slow, &rows);
     slow.send_raw(b"GET / HTTP/1.1\r\n\r\n");
--- a/crates/server/tests/server/configuration_reload.rs
+++ b/crates/server/tests/server/configuration_reload.rs
@@ -13,6 +13,7 @@
 fn an_invalid_configuration_is_refused_with_the_name_of_its_field() {
     let engines = EngineStandIns::start(1);
     let good = ProgramConfig::new(&engines, "127.0.0.1:1");
+
     let changes: [(&str, Json); 11] = [
         ("/seed", json!("xyz")),
         ("/seed", Json::Null),
@@ -32,6 +33,7 @@
         let output = Program::command(&config).command.output().unwrap();
         write!(trace, "{} {}", output.status, String::from_utf8_lossy(&output.stderr)).unwrap();
     }
+
     expect![[r#"
         exit status: 1 pebblevane: configuration: field seed is "xyz", a hexadecimal number is wanted
         exit status: 1 pebblevane: configuration: field seed is missing, a string is wanted
@@ -56,6 +58,7 @@
     let config = ProgramConfig::new(&engines, &bus.address).known_endpoints(&[draining]);
     let program = Program::start_with(config);
     let mut client = program.connect();
+
     let good = std::fs::read_to_string(&program.config_file).unwrap();
     let mut trace = format!("old: {}\n", bus.next_subscription());
     client.submit(1, "lookup", 9000);
@@ -69,6 +72,7 @@
     new_bus.send_update(2, &[endpoint("e0", &engines.addresses[0], IN_SERVICE)]);
     engines.next_line().reply("HIT", "-", "still here");
     trace += &client.next_answer();
+
     expect![[r"
         old: from 1
         new: from 1
@@ -82,12 +86,14 @@
     let (engines, bus, mut new_bus) =
         (EngineStandIns::start(1), EventBusStandIn::start(), EventBusStandIn::start());
     let program = Program::start(&engines, &bus);
+
     let good = std::fs::read_to_string(&program.config_file).unwrap();
     let new = good.replace(&bus.address, &new_bus.address);
     std::fs::write(&program.config_file, &new[..new.len() / 2]).unwrap();
     program.signal("HUP");
     program.wait_for_log("keeping the previous one");
     std::fs::write(&program.config_file, &new).unwrap();
+
     assert_eq!(new_bus.next_subscription(), "from 1");
 }
 
@@ -101,6 +107,7 @@
         EventBusStandIn::start(),
     );
     let program = Program::start(&engines, &bus);
+
     assert_eq!(bus.next_subscription(), "from 1");
     let good = std::fs::read_to_string(&program.config_file).unwrap();
     for address in [&hangs.address, &last.address] {
--- a/crates/server/tests/server/connection_pool.rs
+++ b/crates/server/tests/server/connection_pool.rs
@@ -49,6 +49,7 @@
 #[test]
 fn a_dispatch_is_checked_again_before_its_first_byte() {
     let pool = start_pool();
+
     let rules = RetrySemantics::RunOnce;
     let mut trace = String::new();
     for what in ["wanted", "left", "late"] {
@@ -88,6 +89,7 @@
         }
         writeln!(trace, "{what}: {heard}, {:?} read", String::from_utf8_lossy(&word[..read])).unwrap();
     }
+
     expect![[r#"
         wanted: out, "REQ" read
         left: Lost { status: Unreachable, engine_reachable: true }, "" read
@@ -126,5 +128,6 @@
     let second = engine.send(request("0000000000000003"));
     assert!(ended(second.cancel()), "the pool does nothing else");
     REFUSES_THREADS.store(false, SeqCst);
+
     assert!(ended(first.cancel()));
 }
--- a/crates/server/tests/server/deadlines.rs
+++ b/crates/server/tests/server/deadlines.rs
@@ -10,6 +10,7 @@
 fn time_spent_unread_counts_against_the_clients_timeout() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
     let mut other = program.connect();
+
     for client in [&mut client, &mut other] {
         client.request_health(1);
         assert_eq!(client.next_answer(), "1: well true");
@@ -31,6 +32,7 @@
     let answers = [client.next_answer(), fresh.next_answer()].join("; ");
     engines.expect_silence();
     let trace = format!("{} {} {told} what is left; {answers}", seen.field(0), seen.field(1));
+
     expect!["REQ 0000000000000003 within what is left; 2: Busy w=1000; 4: Busy w=1000"].assert_eq(&trace);
 }
 
@@ -39,6 +41,7 @@
 fn idle_time_before_a_request_does_not_count_against_its_timeout() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
     let mut fresh = program.connect();
+
     client.request_health(1);
     let mut trace = vec![client.next_answer()];
     std::thread::sleep(Duration::from_millis(900));
@@ -49,5 +52,6 @@
         }
         trace.push(client.next_answer());
     }
+
     expect!["1: well true|2: done |3: done "].assert_eq(&trace.join("|"));
 }
--- a/crates/server/tests/server/dispatch_outcomes.rs
+++ b/crates/server/tests/server/dispatch_outcomes.rs
@@ -48,6 +48,7 @@
     let cases = ends.iter().flat_map(|what| [(what, "lookup"), (what, "load")]);
     let runs: Vec<_> = cases.map(|(what, class)| std::thread::spawn(run(what, class))).collect();
     let trace: String = runs.into_iter().map(|run| run.join().unwrap()).collect();
+
     expect![[r"
         full lookup: sent again, 1: Busy w=1000
         full load: sent again, 1: Busy w=1000
@@ -72,6 +73,7 @@
     engines.add_unreachable();
     let program = Program::start(&engines, &bus);
     let mut client = program.connect();
+
     for message in 1..=8 {
         client.submit(message, "load", 9000);
         engines.next_line().reply("HIT", "-", "");
@@ -83,6 +85,7 @@
 #[test]
 fn a_silent_dispatch_ends_with_its_deadline_and_its_connection_is_not_reused() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+
     client.submit(1, "load", 9000);
     let other = engines.next_line();
     client.submit(2, "load", 1500);
@@ -100,6 +103,7 @@
     trace.push(client.next_answer());
     other.reply("HIT", "-", "in time");
     trace.push(client.next_answer());
+
     expect![[r"
         2: Failed why=cancelled
         beside: false false
@@ -112,6 +116,7 @@
 #[test]
 fn connection_resets_do_not_eject_an_engine_that_accepts_new_ones() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+
     for message in 1..=12 {
         client.submit(message, "lookup", 9000);
         engines.next_line().close_connection();
@@ -123,6 +128,7 @@
         engines.next_line().close_connection();
     }
     engines.next_line().reply("HIT", "-", "");
+
     assert_eq!(client.next_answer(), "20: done ");
 }
 
@@ -130,12 +136,14 @@
 #[test]
 fn a_retry_uses_another_connection() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+
     client.submit(1, "lookup", 9000);
     let first = engines.next_line();
     first.reply("FAULT", "-", "");
     let second = engines.next_line();
     first.reply("HIT", "-", "late and wrong");
     second.reply("HIT", "-", "right");
+
     expect![[r"1: done right\tb\tc\n"]].assert_eq(&client.next_answer());
 }
 
@@ -150,6 +158,7 @@
     let mut program = Program::start_with(config);
     let mut client = program.connect();
     let unaccepting = UnacceptingEngine::start();
+
     client.submit(1, "load", 20_000);
     let first = engines.next_line();
     let endpoints = vec![
@@ -166,6 +175,7 @@
     program.wait_for_exit();
     let mut read = Vec::new();
     let _ = std::io::Read::read_to_end(&mut late, &mut read);
+
     expect!["1: Busy w=1000, read there: "]
         .assert_eq(&format!("{answer}, read there: {}", String::from_utf8_lossy(&read)));
 }
@@ -174,6 +184,7 @@
 #[test]
 fn a_rejection_by_the_engine_after_progress_does_not_prove_that_nothing_ran() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+
     let mut trace = String::new();
     let words = [("LATE", "advance,val=0.4"), ("SHED", "advance,val=0.4"), ("SHED", "disk,val=20")];
     for (message, (word, note)) in (1..).zip(words) {
@@ -189,6 +200,7 @@
     seen.reply("INFO", "tell=stall,val=1", "");
     seen.reply("LATE", "-", "");
     writeln!(trace, "LATE after stall: {}", client.next_answer()).unwrap();
+
     expect![[r"
         LATE after advance,val=0.4: 1: Failed why=cancelled
         SHED after advance,val=0.4: 2: Failed why=cancelled
--- a/crates/server/tests/server/engine_connections.rs
+++ b/crates/server/tests/server/engine_connections.rs
@@ -26,6 +26,7 @@
         .dial_timeout_ms(9000.0);
     let program = Program::start_with(config);
     let mut client = program.connect();
+
     (1..=10).for_each(|message| client.submit(message, "load", 8_000));
     let out: Vec<ReceivedLine> = (1..=8).map(|_| engines.next_line()).collect();
     out[0].reply("HIT", "-", "");
@@ -37,6 +38,7 @@
         seen.reply("HIT", "-", "");
         ends.push((seen.engine, client.next_answer().ends_with(": done ")));
     }
+
     assert_eq!(ends, [(0, true), (0, true), (1, true)]);
 }
 
@@ -46,6 +48,7 @@
 fn idle_connections_are_not_reused_after_one_of_their_age_was_stale() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
     let mut other = program.connect();
+
     let idle = || std::thread::sleep(Duration::from_millis(60));
     // On a busy machine the reset may come too late to be at once, and the next round shows it.
     let seen = (0..10).any(|round| {
@@ -75,6 +78,7 @@
         assert_eq!(other.next_answer(), format!("{}: done ", message + 5));
         again_used && !used.iter().any(|seen| seen.shares_connection_with(&fresh))
     });
+
     assert!(seen, "connections that have rested are used after one of them was stale");
 }
 
@@ -82,6 +86,7 @@
 #[test]
 fn connections_to_an_earlier_incarnation_of_an_engine_are_not_reused() {
     let SingleEngine { engines, mut bus, program: _program, mut client } = SingleEngine::start();
+
     client.submit(1, "load", 9000);
     let old = engines.next_line();
     let mut fresh = endpoint("e0", &engines.addresses[0], IN_SERVICE);
@@ -93,6 +98,7 @@
     client.submit(2, "lookup", 9000);
     engines.next_line().reply("HIT", "-", "from the new process");
     trace.push(client.next_answer());
+
     expect![[r"
         1: Failed why=cancelled
         2: done from the new process\tb\tc\n"]]
@@ -128,6 +134,7 @@
         new.reply("HIT", "-", "from the new process");
         trace.push(client.next_answer());
     }
+
     expect![[r"
         1: Failed why=cancelled
         REQ beside false
@@ -148,6 +155,7 @@
     engines.add("0.0.0.0:0");
     let port = engines.addresses[0].rsplit(':').next().unwrap().to_string();
     let endpoints = (1..=200).map(|i| endpoint(&format!("e{i}"), &format!("127.3.0.{i}:{port}"), IN_SERVICE));
+
     let endpoints: Vec<Json> = endpoints.collect();
     let config = ProgramConfig::new(&engines, &bus.address).limits(1.0, 24, 100).known_endpoints(&endpoints);
     let program = Program::start_with(config);
@@ -161,6 +169,7 @@
         done += usize::from(client.next_answer() == format!("{message}: done "));
     }
     let descriptors = program.descriptor_count();
+
     expect!["100 done, descriptors kept: true"]
         .assert_eq(&format!("{done} done, descriptors kept: {}", descriptors <= 100));
 }
@@ -170,6 +179,7 @@
 #[test]
 fn a_new_engine_replaces_an_old_one_at_its_address() {
     let SingleEngine { engines, mut bus, program: _program, mut client } = SingleEngine::start();
+
     bus.send_update(2, &[endpoint("e1", &engines.addresses[0], IN_SERVICE)]);
     bus.send_update(3, &[endpoint("e0", &engines.addresses[0], TERMINATING)]);
     bus.disconnect();
@@ -186,6 +196,7 @@
 #[test]
 fn a_non_idempotent_job_survives_an_idle_connection_closed_by_its_engine() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
+
     client.submit(1, "load", 20_000);
     let mut seen = engines.next_line();
     for message in 2..40 {
@@ -204,6 +215,7 @@
 #[test]
 fn an_idle_connection_with_unread_bytes_is_not_reused() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
+
     client.submit(1, "load", 20_000);
     let mut seen = engines.next_line();
     for message in 2..20 {
--- a/crates/server/tests/server/event_bus.rs
+++ b/crates/server/tests/server/event_bus.rs
@@ -22,6 +22,7 @@
     let first = endpoint("e0", &engines.addresses[0], IN_SERVICE);
     let program = Program::start_with(ProgramConfig::new(&engines, &unreachable).known_endpoints(&[first]));
     let mut client = program.connect();
+
     let mut message = 0;
     let mut goes_to = |engines: &EngineStandIns| {
         message += 1;
@@ -57,6 +58,7 @@
     bus.disconnect();
     bus.next_subscription();
     writeln!(trace, "a new list: engine {}", goes_to(&engines)).unwrap();
+
     expect![[r"
         at the start: engine 0
         from 1
@@ -77,6 +79,7 @@
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let _program =
         Program::start_with(ProgramConfig::new(&engines, &silent.local_addr().unwrap().to_string()));
+
     let first = silent.accept().unwrap();
     let second = silent.accept().unwrap();
     drop((first, second));
@@ -90,6 +93,7 @@
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let _program =
         Program::start_with(ProgramConfig::new(&engines, &silent.local_addr().unwrap().to_string()));
+
     let opened: Vec<_> = (0..3).map(|_| (silent.accept().unwrap(), Instant::now())).collect();
     let took = opened[2].1 - opened[0].1;
     // 3.0 s and two pauses of 75 and 150 ms at most; with 2.2 s for each it would be 4.4 s.
@@ -101,6 +105,7 @@
 #[test]
 fn an_event_bus_with_lower_offsets_reverts_nothing() {
     let SingleEngine { engines, mut bus, program, mut client } = SingleEngine::start();
+
     bus.send_update(2, &[endpoint("e1", "127.0.0.1:1", IN_SERVICE)]);
     bus.send_update(3, &[endpoint("e1", "127.0.0.1:1", TERMINATING)]);
     program.wait_for_log("endpoint list changed event=3 ");
@@ -118,6 +123,7 @@
     trace.push(
         program.wait_for_log("endpoint list changed event=4 ").split_once("changed ").unwrap().1.to_string(),
     );
+
     expect!["0|2: done |event=4 entries=1 running=0"].assert_eq(&trace.join("|"));
 }
 
@@ -125,6 +131,7 @@
 #[test]
 fn an_endpoint_list_of_more_than_a_megabyte_is_read() {
     let SingleEngine { engines, mut bus, program, mut client } = SingleEngine::start();
+
     let long = |i: usize| format!("engine-{i}-{}", "x".repeat(400));
     let mut entries: Vec<Json> = (0..3200).map(|i| endpoint(&long(i), "127.0.0.1:1", TERMINATING)).collect();
     entries.push(endpoint("e0", &engines.addresses[0], IN_SERVICE));
@@ -134,5 +141,6 @@
     program.wait_for_log("endpoint list changed event=2 entries=3201 running=1");
     client.submit(1, "lookup", 9000);
     engines.next_line().reply("HIT", "-", "");
+
     assert_eq!(client.next_answer(), "1: done ");
 }
--- a/crates/server/tests/server/limits.rs
+++ b/crates/server/tests/server/limits.rs
@@ -23,6 +23,7 @@
 fn connections_over_the_limit_wait_for_their_turn() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let program = Program::start_with(ProgramConfig::new(&engines, &bus.address).socket_limit(120));
+
     std::thread::scope(|scope| {
         let client = |message| {
             let program = &program;
@@ -56,6 +57,7 @@
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let program = Program::start_with_descriptor_limit(ProgramConfig::new(&engines, &bus.address), 24);
     let mut clients: Vec<Client> = (0..40).map(|_| program.connect()).collect();
+
     for client in &mut clients {
         client.request_health(1);
     }
@@ -71,6 +73,7 @@
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let program = Program::start_with(ProgramConfig::new(&engines, &bus.address).socket_limit(120));
     let mut patient = program.connect();
+
     patient.submit(1, "lookup", 20_000);
     let seen = engines.next_line();
     let mut idle = Vec::new();
@@ -91,6 +94,7 @@
     expect![[r"1: done patient\tb\tc\n"]].assert_eq(&patient.next_answer());
     // Silent connections are closed by themselves, too.
     let ends = idle.iter_mut().map(Client::next_answer);
+
     assert!(ends.into_iter().all(|end| end == "closed"));
 }
 
@@ -101,6 +105,7 @@
     let program = Program::start_with(ProgramConfig::new(&engines, &bus.address).limits(0.2, 32, 256));
     let mut client = program.connect();
     let mut clients: Vec<Client> = (0..20).map(|_| program.connect()).collect();
+
     for (n, client) in (0..).zip(&mut clients) {
         (1..=32).for_each(|message| client.submit(n * 32 + message, "lookup", 60_000));
     }
@@ -129,6 +134,7 @@
         message += 1;
     }
     engines.complete(message);
+
     assert_eq!(client.next_answer(), format!("{message}: done "));
 }
 
@@ -151,6 +157,7 @@
         .known_endpoints(&endpoints("e", IN_SERVICE));
     let program = Program::start_with(config);
     let mut client = program.connect();
+
     let mut observed = vec![few(program.thread_count())];
     for (message, name) in [(1, "e"), (2, "new")] {
         if name == "new" {
@@ -163,6 +170,7 @@
         engines.complete(message);
         observed.extend([client.next_answer(), few(program.thread_count())]);
     }
+
     expect!["few|1: done |few|2: done |few"].assert_eq(&observed.join("|"));
 }
 
@@ -171,6 +179,7 @@
 #[test]
 fn state_of_gone_engines_and_clients_is_evicted() {
     let SingleEngine { engines, mut bus, program, client: _idle } = SingleEngine::start();
+
     let figures = || [program.thread_count(), program.descriptor_count(), program.resident_kb() / 1024];
     let mut seen = Vec::new();
     for number in 2..600 {
@@ -193,6 +202,7 @@
     // Some that have just gone may still be there.
     let [first, .., last] = seen[..] else { panic!("no figures") };
     let most = [first[0] + 40, first[1] + 40, first[2] + 4];
+
     assert!(last.iter().zip(most).all(|(last, most)| *last <= most), "{seen:?}");
 }
 
@@ -203,6 +213,7 @@
     let (mut engines, mut bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let config = ProgramConfig::new(&engines, &bus.address).socket_limit(120);
     let program = Program::start_with_descriptor_limit(config, 120);
+
     assert_eq!(bus.next_subscription(), "from 1");
     let crowd: Vec<Client> = (0..200).map(|_| program.connect()).collect();
     bus.disconnect();
@@ -249,6 +260,7 @@
         answers.extend((0..30).map(|_| client.next_answer()));
     }
     let busy = answers.iter().filter(|answer| answer.contains(": Busy")).count();
+
     expect!["few threads, 300 of 300 turned away"]
         .assert_eq(&format!("{} threads, {busy} of {JOBS} turned away", few(most)));
 }
@@ -276,6 +288,7 @@
         assert_eq!(client.next_answer(), format!("{message}: done "));
         message += 1;
     }
+
     expect!["true, then few"].assert_eq(&format!(
         "{}, then {}",
         most >= BURST as usize,
--- a/crates/server/tests/server/requests.rs
+++ b/crates/server/tests/server/requests.rs
@@ -13,6 +13,7 @@
 #[test]
 fn a_job_is_dispatched_and_its_rows_are_returned() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+
     client.submit(7, "lookup", 5000);
     let seen = engines.next_line();
     let (head, limit) = seen.line.split_once("limit=").unwrap();
@@ -20,6 +21,7 @@
     assert!((2000..=5000).contains(&limit.parse().unwrap()), "{limit}");
     seen.reply("INFO", "tell=advance,val=0.5", "");
     seen.reply("HIT", "sheets=1,toil=12.5,room=64", "a");
+
     expect![[r"
         REQ 0000000000000007 cls=lookup,|urgency=3 29
         select * from sales_17.orders
@@ -30,6 +32,7 @@
 #[test]
 fn requests_may_arrive_a_byte_at_a_time_or_many_at_once() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+
     let request =
         |message| encode_request(message, "lookup", &[("i", &wire_id(message)), ("d", "9000")], SELECT);
     request(1).chunks(1).for_each(|byte| client.send_raw(byte));
@@ -48,6 +51,7 @@
     answers.sort();
     answers.dedup();
     trace.push(format!("{} answers", answers.len()));
+
     expect![[r"
         1: done one\tb\tc\n
         31 answers"]]
@@ -58,6 +62,7 @@
 #[test]
 fn an_unusable_request_is_answered_with_an_error_and_its_connection_stays_open() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+
     let name = wire_id(1);
     let mut trace = String::new();
     for (message, class, fields) in [
@@ -76,6 +81,7 @@
     client.submit(8, "lookup", 9000);
     engines.next_line().reply("HIT", "-", "");
     trace += &client.next_answer();
+
     expect![[r"
         1: Failed why=unknown reservation type nonsense
         2: Failed why=field d is missing or odd
@@ -97,6 +103,7 @@
     let config = ProgramConfig::new(&engines, &bus.address).dial_timeout_ms(9000.0);
     let program = Program::start_with(config);
     let mut client = program.connect();
+
     client.submit(1, "lookup", 9000);
     let seen = engines.next_line();
     let (mut thief, mut double) = (program.connect(), program.connect());
@@ -134,6 +141,7 @@
     let (engines, bus) = (EngineStandIns::start(6), EventBusStandIn::start());
     let program = Program::start(&engines, &bus);
     let mut client = program.connect();
+
     let mut engines_used: BTreeMap<usize, u32> = BTreeMap::new();
     for message in 0..12 {
         let statement = format!("select '{message}' -- crm_{message}.x\n from \"sales_17\".orders");
@@ -148,5 +156,6 @@
         client.next_answer();
         *engines_used.entry(seen.engine).or_default() += 1;
     }
+
     assert!(engines_used.len() <= 2, "a hashed pair has two engines: {engines_used:?}");
 }
--- a/crates/server/tests/server/results.rs
+++ b/crates/server/tests/server/results.rs
@@ -11,6 +11,7 @@
 #[test]
 fn result_pages_are_put_in_order_and_checked() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+
     client.submit(1, "lookup", 5000);
     let head = engines.next_line();
     head.reply("HIT", "sheets=4", "0");
@@ -44,8 +45,10 @@
 #[test]
 fn a_result_page_over_the_limit_is_not_passed_on() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+
     client.submit(1, "load", 5000);
     engines.next_line().reply("HIT", "sheets=1", &"x".repeat(6_001));
+
     expect!["1: Failed why=cancelled"].assert_eq(&client.next_answer());
 }
 
@@ -54,6 +57,7 @@
 #[test]
 fn a_malformed_engine_answer_closes_only_its_own_connection() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+
     client.submit(99, "load", 9000);
     let other = engines.next_line();
     let mut trace = String::new();
@@ -76,6 +80,7 @@
     }
     other.reply("HIT", "-", "other");
     trace += &client.next_answer();
+
     expect![[r"
         1: done stops\tb\tc\n
         2: done noise\tb\tc\n
@@ -91,6 +96,7 @@
 #[test]
 fn duplicate_and_unknown_engine_answers_are_dropped() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
+
     client.submit(1, "lookup", 9000);
     let seen = engines.next_line();
     seen.reply_as("ffffffffffffffff", "HIT", "-", "not asked for");
@@ -102,6 +108,7 @@
     client.submit(2, "lookup", 9000);
     engines.next_line().reply("HIT", "-", "second");
     trace.push(client.next_answer());
+
     expect![[r"
         1: done right\tb\tc\n
         2: done second\tb\tc\n"]]
--- a/crates/server/tests/server/shutdown.rs
+++ b/crates/server/tests/server/shutdown.rs
@@ -15,6 +15,7 @@
 #[test]
 fn a_graceful_shutdown_answers_every_accepted_request() {
     let SingleEngine { engines, bus: _bus, mut program, mut client } = SingleEngine::start();
+
     client.submit(1, "lookup", 9000);
     let first = engines.next_line();
     client.submit(2, "load", 9000);
@@ -38,6 +39,7 @@
     answers.sort();
     trace += &answers.join("\n");
     write!(trace, "\n{}", program.wait_for_exit()).unwrap();
+
     expect![[r"
         not well
         4: done late guest\tb\tc\n
@@ -55,6 +57,7 @@
 fn requests_that_arrive_at_the_end_of_a_shutdown_are_answered() {
     let SingleEngine { engines, bus: _bus, mut program, client: mut idle } = SingleEngine::start();
     let mut old = program.connect();
+
     for client in [&mut idle, &mut old] {
         client.request_health(1);
         assert_eq!(client.next_answer(), "1: well true");
@@ -76,6 +79,7 @@
     seen[1].reply("HIT", "-", "new");
     let mut trace = vec![old.next_answer(), old.next_answer(), new.next_answer(), new.next_answer()];
     trace.push(program.wait_for_exit().to_string());
+
     expect![[r"
         2: done old\tb\tc\n
         closed
@@ -90,6 +94,7 @@
 #[test]
 fn a_new_connection_may_send_its_first_request_during_a_shutdown() {
     let SingleEngine { engines, bus: _bus, mut program, client: mut idle } = SingleEngine::start();
+
     idle.request_health(1);
     assert_eq!(idle.next_answer(), "1: well true");
     program.signal("TERM");
@@ -108,6 +113,7 @@
     }];
     trace.push(fresh.next_answer());
     trace.push(program.wait_for_exit().to_string());
+
     expect![[r"
         2: done taken\tb\tc\n
         closed
@@ -120,6 +126,7 @@
 #[test]
 fn a_closed_connection_is_read_until_its_client_has_left() {
     let SingleEngine { engines: _engines, bus: _bus, mut program, mut client } = SingleEngine::start();
+
     client.request_health(1);
     program.signal("TERM");
     client.read_to_end().unwrap();
@@ -128,6 +135,7 @@
     client.submit(3, "lookup", 9000);
     assert!(program.is_running());
     client.disconnect();
+
     assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
 }
 
@@ -135,6 +143,7 @@
 #[test]
 fn a_shutdown_waits_for_a_client_that_reads_slowly() {
     let SingleEngine { engines, bus: _bus, mut program, client: mut idle } = SingleEngine::start();
+
     idle.request_health(1);
     assert_eq!(idle.next_answer(), "1: well true");
     let mut slow = program.connect_with_small_buffers();
@@ -149,6 +158,7 @@
         assert!(answer.ends_with(&complete), "{}", &answer[..answer.len().min(80)]);
     }
     slow.read_to_end().unwrap();
+
     assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
 }
 
@@ -160,6 +170,7 @@
         (EngineStandIns::start(1), EventBusStandIn::start(), EventBusStandIn::start());
     let mut program = Program::start(&engines, &bus);
     let mut client = program.connect();
+
     assert_eq!(bus.next_subscription(), "from 1");
     client.submit(1, "lookup", 20_000);
     let seen = engines.next_line();
@@ -175,6 +186,7 @@
     assert_eq!(client.next_answer(), "1: done still here\\tb\\tc\\n");
     client.read_to_end().unwrap();
     client.disconnect();
+
     assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
 }
 
@@ -186,6 +198,7 @@
     let config = ProgramConfig::new(&engines, &bus.address).timer_tick_ms(1.0).client_timeout_ms(800.0);
     let mut program = Program::start_with(config);
     let mut client = program.connect();
+
     program.signal("TERM");
     program.wait_for_log("graceful shutdown started");
     let stopping = Instant::now();
@@ -206,6 +219,7 @@
     .assert_eq(&answers.join("\n"));
     client.read_to_end().unwrap();
     client.disconnect();
+
     assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
 }
 
@@ -215,6 +229,7 @@
 fn a_signal_before_the_program_listens_shuts_it_down_gracefully() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let config = ProgramConfig::new(&engines, &bus.address).listen("127.0.0.1:0");
+
     let text = config.text();
     let PreparedCommand { mut command, config_file: file } = Program::command(&config);
     std::fs::remove_file(&file).unwrap();
@@ -241,6 +256,7 @@
     .filter(|what| log.contains(what))
     .collect();
     let errors = String::from_utf8(output.stderr).unwrap();
+
     expect!["exit status: 0: listening for clients, graceful shutdown started open_jobs=0, graceful shutdown finished open_jobs=0 "].assert_eq(&format!(
         "{}: {} {errors}",
         output.status,
--- a/crates/server/tests/server/start_clock.rs
+++ b/crates/server/tests/server/start_clock.rs
@@ -37,6 +37,7 @@
             writeln!(trace, "step {step:>5} {what:<5} of 1, 2, 8, 20 s: {ages:?}").unwrap();
         }
     }
+
     expect![[r"
         step     0 both  of 1, 2, 8, 20 s: [1.0, 2.0, 8.0, 0.0]
         step     0 own   of 1, 2, 8, 20 s: [1.0, 2.0, 8.0, 0.0]
@@ -61,11 +62,13 @@
 #[test]
 fn start_times_are_taken_as_stamped_before_a_complete_list() {
     let ages = [-3600, -1, 0, 20, 3600].map(|ago| age(&[], 0, ago, None));
+
     expect!["[0.0, 0.0, 0.0, 20.0, 3600.0]"].assert_eq(&format!("{ages:?}"));
 }
 
 #[test]
 fn a_start_clock_retains_only_the_last_steps() {
     let steps: Vec<i64> = (0..40).map(|step| step * 7).collect();
+
     expect!["1.0"].assert_eq(&format!("{:.1}", age(&steps, 39 * 7, 1, Some(499))));
 }
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -10,6 +10,7 @@
 #[test]
 fn queued_jobs_are_released_one_by_one_as_capacity_returns() {
     let mut harness = ControllerHarness::builder().engines(2).build();
+
     (0..36).for_each(|group| assert_eq!(harness.submit(lookup(u64::from(group))), JobId(group)));
     let mut sent = vec![harness.dispatches.len()];
     for job in 0..3 {
@@ -19,6 +20,7 @@
     }
     harness.advance(2000.0);
     let rejected = harness.rejections.len();
+
     expect!["sent [32, 33, 34, 35], throttled 1"].assert_eq(&format!("sent {sent:?}, throttled {rejected}"));
 }
 
@@ -31,6 +33,7 @@
         .client_timeout_ms(LOOKUP, 4000.0)
         .objective_stretch(LOOKUP, 10.0)
         .build();
+
     let unbelievable = lookup(1).cost_ms(9e10);
     let day_long = lookup(1).cost_ms(5e7).client_timeout_ms(DAY_MS);
     let without_cost = lookup(1).without_cost();
@@ -43,6 +46,7 @@
     harness.replace_endpoints(vec![]);
     harness.submit(lookup(1).cost_ms(3000.0).client_timeout_ms(DAY_MS));
     harness.advance(5000.0);
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running]:
             0     take 0: send 0 to 0
@@ -65,8 +69,10 @@
 #[test]
 fn a_memory_estimate_beyond_any_engine_is_disregarded() {
     let mut harness = ControllerHarness::builder().engines(1).engine_memory_mb(1000.0).build();
+
     harness.submit(lookup(1).memory_mb(1e9));
     harness.submit(lookup(1));
+
     harness.expect_trace(&expect![[r"
         0     list [0 Running]:
         0     take 0: send 0 to 0
--- a/tests/decisions/bulk_loads.rs
+++ b/tests/decisions/bulk_loads.rs
@@ -8,6 +8,7 @@
 #[test]
 fn readers_avoid_engines_whose_tables_a_bulk_load_locks() {
     let mut harness = ControllerHarness::builder().engines(3).build();
+
     let first = harness.submit(bulk_load(11));
     for _ in 0..4 {
         let job = harness.submit(lookup(11));
@@ -17,6 +18,7 @@
     harness.progress(attempt(other, 0), ProgressUpdate::WaitingForBulkLoad);
     harness.submit(lookup(12));
     harness.complete(first, 2000.0);
+
     harness.expect_trace(&expect![[r"
         0     list [0 Running, 1 Running, 2 Running]:
         0     take 0: send 0 to 2
@@ -48,6 +50,7 @@
         harness.submit(bulk_load(11));
         loads_at[harness.dispatches[0].engine as usize] += 1;
     }
+
     expect!["[3, 4, 6, 6, 6, 10, 5, 0]"].assert_eq(&format!("{loads_at:?}"));
 }
 
@@ -56,6 +59,7 @@
 #[test]
 fn a_reader_is_not_moved_to_another_engine_whose_tables_are_locked() {
     let mut harness = ControllerHarness::builder().engines(2).progress_interval_ms(1000.0).build();
+
     let first = harness.submit(lookup(11));
     harness.progress(attempt(first, 0), ProgressUpdate::WaitingForBulkLoad);
     harness.finish(attempt(first, 0), DispatchStatus::Cancelled, 1.0);
@@ -65,6 +69,7 @@
     harness.finish(attempt(first, 1), DispatchStatus::Completed, 100.0);
     let second = harness.submit(lookup(11));
     harness.complete(second, 50.0);
+
     harness.expect_trace(&expect![[r"
         0     list [0 Running, 1 Running]:
         0     take 0: send 0 to 0
@@ -82,12 +87,14 @@
 #[test]
 fn bulk_loads_leave_one_engine_of_the_group_to_readers() {
     let mut harness = ControllerHarness::builder().engines(4).build();
+
     for _ in 0..5 {
         harness.submit(bulk_load(11));
     }
     for _ in 0..4 {
         harness.submit(lookup(11));
     }
+
     harness.expect_trace(&expect![[r"
         0     list [0 Running, 1 Running, 2 Running, 3 Running]:
         0     take 0: send 0 to 2
--- a/tests/decisions/cancellation.rs
+++ b/tests/decisions/cancellation.rs
@@ -9,6 +9,7 @@
 #[test]
 fn a_dispatch_with_slow_progress_is_cancelled_and_retried() {
     let mut harness = ControllerHarness::builder().engines(3).progress_interval_ms(200.0).build();
+
     let usual = harness.submit(lookup(11));
     harness.advance(100.0);
     harness.complete(usual, 100.0);
@@ -16,6 +17,7 @@
     harness.advance(200.0);
     harness.progress(attempt(stuck, 0), ProgressUpdate::CompletedFraction(0.05));
     harness.finish(attempt(stuck, 0), DispatchStatus::Cancelled, 200.0);
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running, 2 Running]:
             0     take 0: send 0 to 2
@@ -46,6 +48,7 @@
         let rejected = jobs.iter().filter(|job| harness.rejections.contains(job)).count();
         writeln!(lines, "{completed} done: {rejected} of {} given up", jobs.len()).unwrap();
     }
+
     expect![[r"
         0 done: 6 of 6 given up
         0.9 done: 0 of 6 given up
--- a/tests/decisions/concurrency_limit.rs
+++ b/tests/decisions/concurrency_limit.rs
@@ -17,6 +17,7 @@
         .latency_objective_ms(LOOKUP, 30_000.0)
         .reported_utilization(0.2, 20)
         .build();
+
     let mut in_flight: Vec<(f64, JobId)> = Vec::new();
     let mut seen = Vec::new();
     let mut known = 0;
@@ -38,6 +39,7 @@
             seen.push(format!("{} sent, {} out", harness.dispatches.len(), in_flight.len()));
         }
     }
+
     expect!["50 sent, 1 out, 67 sent, 3 out, 300 sent, 1 out"].assert_eq(&seen.join(", "));
 }
 
@@ -52,6 +54,7 @@
         .latency_objective_ms(LOOKUP, 30_000.0)
         .reported_utilization(0.2, 12)
         .build();
+
     let mut in_flight: Vec<(f64, JobId)> = Vec::new();
     let mut known = 0;
     for job in 0..600 {
@@ -67,6 +70,7 @@
             harness.complete(job, now - sent);
         }
     }
+
     expect!["7 out"].assert_eq(&format!("{} out", in_flight.len()));
 }
 
@@ -81,6 +85,7 @@
         .latency_objective_ms(BULK_LOAD, 30_000.0)
         .reported_utilization(0.2, 12)
         .build();
+
     let large = bulk_load(11).client_timeout_ms(60_000.0).cost_ms(8000.0);
     let stuck: Vec<JobId> = (0..2).map(|_| harness.submit(large)).collect();
     let mut at_once = Vec::new();
@@ -92,6 +97,7 @@
         harness.complete(id, 100.0);
     }
     let at_once: Vec<usize> = at_once.chunks(40).map(|sent| sent.iter().sum()).collect();
+
     expect!["2 stuck, [39, 39, 39, 39]"].assert_eq(&format!("{} stuck, {at_once:?}", stuck.len()));
 }
 
@@ -105,6 +111,7 @@
         .health_check_price(1.0)
         .reported_utilization(0.2, 40)
         .build();
+
     let mut seen = Vec::new();
     for job in 0..160 {
         harness.submit(lookup(job));
@@ -113,6 +120,7 @@
             seen.push(harness.dispatches.len());
         }
     }
+
     expect!["[8, 11, 11, 11]"].assert_eq(&format!("{seen:?}"));
 }
 
@@ -157,6 +165,7 @@
         let at_once: Vec<usize> = at_once.chunks(100).map(|sent| sent.iter().sum()).collect();
         writeln!(lines, "{slow} times as long: {at_once:?} of 100 at once").unwrap();
     }
+
     expect![[r"
         1 times as long: [96, 97, 98, 97] of 100 at once
         4 times as long: [96, 97, 46, 35] of 100 at once
--- a/tests/decisions/endpoint_list.rs
+++ b/tests/decisions/endpoint_list.rs
@@ -8,11 +8,13 @@
 #[test]
 fn draining_and_gone_engines_get_no_dispatch() {
     let mut harness = ControllerHarness::builder().engines(3).build();
+
     harness.update_endpoints(vec![draining(0)]);
     harness.replace_endpoints(vec![running(1)]);
     for group in 0..4 {
         harness.submit(lookup(group));
     }
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running, 2 Running]:
             0     list [0 Draining]:
@@ -27,6 +29,7 @@
 #[test]
 fn jobs_wait_for_an_engine_and_are_retried_after_a_stale_endpoint_list() {
     let mut harness = ControllerHarness::builder().build();
+
     harness.submit(lookup(11));
     harness.replace_endpoints(vec![running(0)]);
     harness.finish(attempt(JobId(0), 0), DispatchStatus::Unreachable, 250.0);
@@ -35,6 +38,7 @@
     harness.replace_endpoints(vec![]);
     harness.submit(lookup(12));
     harness.advance(1500.0);
+
     harness.expect_trace(&expect![[r"
             0     list []:
             0     take 0:
--- a/tests/decisions/engine_selection.rs
+++ b/tests/decisions/engine_selection.rs
@@ -8,6 +8,7 @@
 #[test]
 fn jobs_of_a_table_group_go_to_its_pair_of_engines() {
     let mut harness = ControllerHarness::builder().engines(6).build();
+
     for round in 0..4 {
         for group in [11, 12] {
             let job = harness.submit(lookup(group));
@@ -15,6 +16,7 @@
             harness.complete(job, 50.0 + f64::from(round));
         }
     }
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
             0     take 0: send 0 to 5
@@ -39,6 +41,7 @@
 #[test]
 fn the_faster_engine_of_a_pair_is_learned() {
     let mut harness = ControllerHarness::builder().engines(2).build();
+
     let mut counts = [0; 2];
     for _ in 0..300 {
         let job = harness.submit(lookup(11));
@@ -47,6 +50,7 @@
         harness.advance(20.0);
         harness.complete(job, if slow { 900.0 } else { 100.0 });
     }
+
     expect!["[299, 1]"].assert_eq(&format!("{counts:?}"));
 }
 
@@ -74,6 +78,7 @@
         }
         writeln!(lines, "{cost} ms: {jobs_at:?}").unwrap();
     }
+
     expect![[r"
         50 ms: [0, 16, 0, 0, 0, 0, 0, 24]
         3000 ms: [2, 3, 1, 11, 4, 12, 1, 6]
--- a/tests/decisions/final_answer.rs
+++ b/tests/decisions/final_answer.rs
@@ -8,12 +8,14 @@
 #[test]
 fn a_job_is_answered_once_before_its_client_times_out() {
     let mut harness = ControllerHarness::builder().engines(2).build();
+
     let read = harness.submit(lookup(11));
     let post = harness.submit(non_idempotent(12));
     harness.advance(4000.0);
     harness.finish(attempt(read, 0), DispatchStatus::Cancelled, 4000.0);
     harness.complete(post, 4000.0);
     harness.complete(post, 4000.0);
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running]:
             0     take 0: send 0 to 0
--- a/tests/decisions/health_checks.rs
+++ b/tests/decisions/health_checks.rs
@@ -12,12 +12,14 @@
         .large_fleet()
         .load_reports(LoadReports::JobsInFlight(vec![2.0, 40.0, 40.0, 1.0, 40.0]))
         .build();
+
     harness.advance(1000.0);
     harness.submit(lookup(11));
     harness.advance(10.0);
     harness.set_load_reports(LoadReports::JobsInFlight(vec![40.0, 40.0, 40.0, 1.0, 40.0]));
     harness.submit(lookup(15));
     harness.advance(400.0);
+
     harness.expect_trace(&expect![[r"
         0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running]:
         1000  take 0: probe 1, probe 3
@@ -55,6 +57,7 @@
         writeln!(lines, "price {price}: {at_once} at once of {sent}, on {used} engines, {checks} probes")
             .unwrap();
     }
+
     expect![[r"
         price 0.1: 45 at once of 60, on 12 engines, 15 probes
         price 1: 59 at once of 60, on 12 engines, 1 probes
@@ -89,6 +92,7 @@
         }
         sent.push(by_time);
     }
+
     expect!["[[9, 8, 9, 7], [9, 0, 0, 0]]"].assert_eq(&format!("{sent:?}"));
 }
 
@@ -104,6 +108,7 @@
         .latency_objective_ms(LOOKUP, 300.0)
         .reported_utilization(0.02, 40)
         .build();
+
     let mut random = 0x2545_f491_4f6c_dd1d_u64;
     let mut answered = 0;
     for job in 0..200 {
@@ -124,5 +129,6 @@
         harness.advance(50.0);
     }
     let rejected = harness.rejections.len();
+
     expect!["200 done, 0 throttled"].assert_eq(&format!("{answered} done, {rejected} throttled"));
 }
--- a/tests/decisions/idempotency.rs
+++ b/tests/decisions/idempotency.rs
@@ -8,12 +8,14 @@
 #[test]
 fn a_job_that_may_have_run_is_neither_retried_nor_rejected_when_not_idempotent() {
     let mut harness = ControllerHarness::builder().engines(4).build();
+
     let lost = harness.submit(non_idempotent(11));
     let refused = harness.submit(non_idempotent(12));
     harness.advance(10.0);
     harness.finish(attempt(lost, 0), DispatchStatus::ConnectionLost, 10.0);
     harness.finish(attempt(refused, 0), DispatchStatus::Unreachable, 10.0);
     harness.advance(5000.0);
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running, 2 Running, 3 Running]:
             0     take 0: send 0 to 3
@@ -27,12 +29,14 @@
 #[test]
 fn a_keyed_job_is_retried_only_within_its_group_and_deduplication_window() {
     let mut harness = ControllerHarness::builder().engines(6).build();
+
     let job = harness.submit(keyed(11));
     harness.advance(10.0);
     harness.finish(attempt(job, 0), DispatchStatus::ConnectionLost, 10.0);
     let late = harness.submit(keyed(12));
     harness.advance(2100.0);
     harness.finish(attempt(late, 0), DispatchStatus::TimedOut, 2100.0);
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
             0     take 0: send 0 to 5
@@ -46,12 +50,14 @@
 #[test]
 fn a_keyed_job_that_may_have_run_is_not_retried_after_its_deduplication_window() {
     let mut harness = ControllerHarness::builder().engines(6).latency_objective_ms(KEYED, 10_000.0).build();
+
     for lost_after_ms in [1900.0, 2000.0] {
         let job = harness.submit(keyed(11).client_timeout_ms(9000.0));
         harness.advance(lost_after_ms);
         harness.finish(attempt(job, 0), DispatchStatus::ConnectionLost, lost_after_ms);
         harness.advance(100.0);
     }
+
     harness.expect_trace(&expect![[r"
         0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
         0     take 0: send 0 to 5
--- a/tests/decisions/key_order.rs
+++ b/tests/decisions/key_order.rs
@@ -8,6 +8,7 @@
 #[test]
 fn jobs_of_a_key_run_one_at_a_time_and_pause_after_an_unknown_outcome() {
     let mut harness = ControllerHarness::builder().engines(4).key_quiet_ms(300.0).build();
+
     let first = harness.submit(ordered(11, 5));
     let second = harness.submit(ordered(11, 5));
     harness.submit(ordered(11, 5));
@@ -19,6 +20,7 @@
     harness.advance(50.0);
     harness.finish(attempt(second, 1), DispatchStatus::Completed, 50.0);
     harness.advance(1000.0);
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running, 2 Running, 3 Running]:
             0     take 0: send 0 to 3
@@ -36,6 +38,7 @@
 #[test]
 fn a_long_job_is_rejected_when_the_jobs_queued_behind_it_would_be_late() {
     let mut harness = ControllerHarness::builder().engines(4).build();
+
     let first = harness.submit(ordered(11, 5));
     harness.submit(ordered(11, 5).cost_ms(700.0));
     let short: Vec<JobId> = (0..3).map(|_| harness.submit(ordered(11, 5).cost_ms(200.0))).collect();
@@ -49,6 +52,7 @@
         harness.advance(10.0);
     }
     harness.complete(alone, 900.0);
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running, 2 Running, 3 Running]:
             0     take 0: send 0 to 3
@@ -72,6 +76,7 @@
 #[test]
 fn jobs_queued_behind_their_key_do_not_count_as_waiting_for_capacity() {
     let mut harness = ControllerHarness::builder().engines(2).latency_objective_ms(ORDERED, 60_000.0).build();
+
     harness.submit(ordered(11, 5).client_timeout_ms(60_000.0).cost_ms(30_000.0));
     harness.set_billed_work_ms(100.0);
     harness.submit(ordered(11, 5).client_timeout_ms(60_000.0));
@@ -86,5 +91,6 @@
         assert!(harness.submit(lookup(group).client_timeout_ms(60_000.0)) > JobId(0));
     }
     let sent = harness.dispatches.len() - before;
+
     expect!["sent 31"].assert_eq(&format!("sent {sent}"));
 }
--- a/tests/decisions/memory_grants.rs
+++ b/tests/decisions/memory_grants.rs
@@ -13,12 +13,14 @@
         .engine_memory_mb(16_000.0)
         .progress_interval_ms(50.0)
         .build();
+
     for _ in 0..3 {
         let job = harness.submit(lookup(11));
         harness.advance(50.0);
         harness.progress(attempt(job, 0), ProgressUpdate::SpillingToDisk(200.0));
         harness.complete(job, 100.0);
     }
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running]:
             0     take 0: send 0 to 0 with 800 MB
--- a/tests/decisions/outlier_ejection.rs
+++ b/tests/decisions/outlier_ejection.rs
@@ -8,6 +8,7 @@
 #[test]
 fn an_engine_is_ejected_after_two_lost_connections_but_not_after_one() {
     let mut harness = ControllerHarness::builder().engines(2).build();
+
     for status in [
         DispatchStatus::ConnectionLost,
         DispatchStatus::ConnectionLost,
@@ -19,6 +20,7 @@
     }
     harness.advance(600.0);
     harness.submit(lookup(11));
+
     harness.expect_trace(&expect![[r"
         0     list [0 Running, 1 Running]:
         0     take 0: send 0 to 0
@@ -37,12 +39,14 @@
 #[test]
 fn lost_connections_do_not_eject_an_engine_that_accepts_new_ones() {
     let mut harness = ControllerHarness::builder().engines(2).engines_reachable().build();
+
     for _ in 0..3 {
         let job = harness.submit(lookup(11));
         harness.finish(attempt(job, 0), DispatchStatus::ConnectionLost, 5.0);
         harness.finish(attempt(job, 1), DispatchStatus::Completed, 5.0);
     }
     harness.submit(lookup(11));
+
     harness.expect_trace(&expect![[r"
         0     list [0 Running, 1 Running]:
         0     take 0: send 0 to 0
@@ -69,6 +73,7 @@
         .late_value_ratio(LOOKUP, 1.0)
         .reported_utilization(0.2, 12)
         .build();
+
     harness.advance(1000.0);
     let stuck = harness.submit(lookup(11));
     harness.advance(4050.0);
@@ -86,5 +91,6 @@
     }
     let there: Vec<usize> =
         there.chunks(20).map(|sent| sent.iter().filter(|there| **there).count()).collect();
+
     expect!["[0, 0, 0, 0]"].assert_eq(&format!("{there:?}"));
 }
--- a/tests/decisions/placement.rs
+++ b/tests/decisions/placement.rs
@@ -7,11 +7,13 @@
 #[test]
 fn a_confined_job_waits_or_is_rejected_but_never_runs_elsewhere() {
     let mut harness = ControllerHarness::builder().engines(4).build();
+
     harness.update_endpoints(vec![gone(1), draining(3)]);
     harness.submit(confined(11));
     harness.advance(2000.0);
     harness.submit(confined(11));
     harness.update_endpoints(vec![running(5)]);
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running, 2 Running, 3 Running]:
             0     list [1 Gone, 3 Draining]:
--- a/tests/decisions/retry_budget.rs
+++ b/tests/decisions/retry_budget.rs
@@ -12,10 +12,12 @@
         .engines(6)
         .retry_budget(&RetryBudget { window_ms: 10_000.0, spare_attempts: 1.0, extra_ratio: 0.25 })
         .build();
+
     for group in 0..5 {
         let job = harness.submit(lookup(group));
         harness.finish(attempt(job, 0), DispatchStatus::Failed, 1.0);
     }
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
             0     take 0: send 0 to 0
@@ -35,6 +37,7 @@
 fn the_retry_budget_holds_at_both_ends_of_its_window() {
     let budget = RetryBudget { window_ms: 1000.0, spare_attempts: 1.0, extra_ratio: 0.0 };
     let mut harness = ControllerHarness::builder().engines(6).retry_budget(&budget).build();
+
     let first = harness.submit(lookup(1));
     harness.finish(attempt(first, 0), DispatchStatus::Failed, 1.0);
     harness.advance(900.0);
@@ -42,6 +45,7 @@
     harness.advance(100.0);
     harness.finish(attempt(second, 0), DispatchStatus::Failed, 1.0);
     harness.advance(100.0);
+
     harness.expect_trace(&expect![[r"
             0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
             0     take 0: send 0 to 0
@@ -57,6 +61,7 @@
 fn a_retry_at_the_start_of_the_window_still_counts_at_its_end() {
     let budget = RetryBudget { window_ms: 1000.0, spare_attempts: 2.0, extra_ratio: 0.0 };
     let mut harness = ControllerHarness::builder().engines(6).retry_budget(&budget).build();
+
     let first = harness.submit(lookup(1));
     harness.finish(attempt(first, 0), DispatchStatus::Failed, 1.0);
     harness.advance(1000.0);
@@ -65,6 +70,7 @@
         harness.finish(attempt(job, 0), DispatchStatus::Failed, 1.0);
     }
     harness.advance(100.0);
+
     harness.expect_trace(&expect![[r"
         0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
         0     take 0: send 0 to 0
--- a/tests/decisions/shutdown.rs
+++ b/tests/decisions/shutdown.rs
@@ -8,6 +8,7 @@
 #[test]
 fn a_graceful_shutdown_answers_every_job() {
     let mut harness = ControllerHarness::builder().engines(1).build();
+
     harness.submit(lookup(11));
     harness.submit(non_idempotent(12));
     harness.begin_shutdown(300.0);
@@ -15,6 +16,7 @@
     harness.advance(250.0);
     harness.submit(lookup(14));
     harness.advance(50.0);
+
     harness.expect_trace(&expect![[r"
         0     list [0 Running]:
         0     take 0: send 0 to 0
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -12,12 +12,14 @@
     let mut harness = ControllerHarness::builder()
         .slow_start(&SlowStart { start_capacity: 0.3, warm_up_ms: 10000.0, overload_window_ms: 500.0 })
         .build();
+
     harness.jump_to(1000.0);
     harness.update_endpoints(vec![running_since(0, 1000.0)]);
     for _ in 0..12 {
         harness.submit(lookup(11));
     }
     harness.advance(600.0);
+
     harness.expect_trace(&expect![[r"
             0     list []:
             1000  list [0 Running]:
@@ -70,6 +72,7 @@
         let most = sent.iter().map(|from| share(*from)).fold(0.0, f64::max);
         writeln!(lines, "{gateways} gateways: {} jobs, at most {most:.2} of the budget", sent.len()).unwrap();
     }
+
     expect![[r"
         1 gateways: 16 jobs, at most 0.20 of the budget
         5 gateways: 80 jobs, at most 0.61 of the budget
@@ -135,6 +138,7 @@
         assert!(worst <= 0.0, "{gateways} gateways: {worst} jobs past the bound");
         writeln!(lines, "{gateways} gateways: {fullest:.2} of the budget at most, {used:.2} used").unwrap();
     }
+
     expect![[r"
         20 gateways: 0.51 of the budget at most, 0.25 used
         30 gateways: 0.51 of the budget at most, 0.28 used
@@ -170,6 +174,7 @@
             sent[usize::from(heavy)] += harness.dispatches.len() - before;
         }
     }
+
     expect!["60 small, 8 heavy"].assert_eq(&format!("{} small, {} heavy", sent[0], sent[1]));
 }
 
@@ -218,6 +223,7 @@
         )
         .unwrap();
     }
+
     expect![[r"
         no probes: 108 jobs, 12 in a window, budget 16 at the start
         no load in reports: 108 jobs, 12 in a window, budget 16 at the start
@@ -260,6 +266,7 @@
         )
         .unwrap();
     }
+
     expect![[r"
         jam false, 100 ms: 5 to the cold engine, 95 to others
         jam true, 100 ms: 14 to the cold engine, 13 to others
@@ -280,6 +287,7 @@
         .health_check_price(1.0)
         .reported_utilization(0.2, 9)
         .build();
+
     for group in 0..60 {
         harness.submit(lookup(group));
         harness.advance(100.0);
@@ -292,6 +300,7 @@
     let sent = |warming| {
         harness.dispatches.iter().filter(|sent| sent.at_ms >= 6000.0 && (sent.engine == 8) == warming).count()
     };
+
     expect!["[0, 5]"].assert_eq(&format!("{:?}", [sent(false), sent(true)]));
 }
 
@@ -316,5 +325,6 @@
         }
         sent.push(harness.dispatches.len());
     }
+
     expect!["[15, 0]"].assert_eq(&format!("{sent:?}"));
 }
--- a/tests/decisions/state_eviction.rs
+++ b/tests/decisions/state_eviction.rs
@@ -10,6 +10,7 @@
 #[test]
 fn state_of_gone_engines_and_finished_jobs_is_evicted() {
     let mut harness = ControllerHarness::builder().engines(2).key_quiet_ms(300.0).build();
+
     let (mut trace, mut open) = (String::new(), vec![]);
     for round in 0..6 {
         let departing = (0..10).map(|i| gone(10 * round + i));
@@ -30,6 +31,7 @@
         writeln!(trace, "{retained} kept with {} jobs out, then {}", open.len(), harness.retained_entries())
             .unwrap();
     }
+
     expect![[r"
         11 kept with 1 jobs out, then 11
         13 kept with 1 jobs out, then 11
