--- a/crates/server/src/client/event_loop/mod.rs
+++ b/crates/server/src/client/event_loop/mod.rs
@@ -189,7 +189,7 @@
         }
         if self.last_counters_line.elapsed() >= COUNTERS_INTERVAL {
             self.last_counters_line = Instant::now();
-            tracing::info!("counts: {}", counters::line());
+            tracing::info!("counters: {}", counters::line());
         }
     }
 
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -36,14 +36,14 @@
 impl ControllerThread {
     /// A thread's state without any job or engine.
     pub(super) fn new(
-        settings: Settings,
+        settings: &Settings,
         seed: u64,
         handle: Arc<ControllerHandle>,
         registry: Arc<EngineRegistry>,
     ) -> ControllerThread {
-        let location_names = LocationNames::read(&settings);
+        let location_names = LocationNames::read(settings);
         ControllerThread {
-            controller: AdmissionController::new(clock::now(), seed, &settings),
+            controller: AdmissionController::new(clock::now(), seed, settings),
             handle,
             next_timer: None,
             jobs: BTreeMap::new(),
--- a/crates/server/src/decision/start.rs
+++ b/crates/server/src/decision/start.rs
@@ -34,7 +34,7 @@
         let (ready, started) = bounded(1);
         let thread_handle = handle.clone();
         threads::spawn_required("controller", CONTROLLER_STACK_BYTES, move || {
-            let mut thread = ControllerThread::new(settings, seed, thread_handle, registry);
+            let mut thread = ControllerThread::new(&settings, seed, thread_handle, registry);
             thread.load_initial_endpoints(initial_events);
             let _ = ready.send(());
             thread.run(&event_queue, &urgent_queue);
--- a/crates/server/src/telemetry/counters.rs
+++ b/crates/server/src/telemetry/counters.rs
@@ -11,31 +11,31 @@
 }
 
 /// Jobs handed to the admission controller.
-pub static JOBS_ADMITTED: Counter = Counter::new("taken");
+pub static JOBS_ADMITTED: Counter = Counter::new("jobs_admitted");
 /// Jobs answered with their complete result.
-pub static JOBS_COMPLETED: Counter = Counter::new("done");
+pub static JOBS_COMPLETED: Counter = Counter::new("jobs_completed");
 /// Jobs that the admission controller rejected.
-pub static JOBS_REJECTED: Counter = Counter::new("throttled");
+pub static JOBS_REJECTED: Counter = Counter::new("jobs_rejected");
 /// Jobs that the admission controller cancelled for good.
-pub static JOBS_CANCELLED: Counter = Counter::new("cancelled");
+pub static JOBS_CANCELLED: Counter = Counter::new("jobs_cancelled");
 /// Jobs whose client cancelled them, or disconnected, before their answer.
-pub static JOBS_ABANDONED: Counter = Counter::new("left");
+pub static JOBS_ABANDONED: Counter = Counter::new("jobs_abandoned");
 /// Jobs rejected because one of the program's own limits was reached.
-pub static LOCAL_LIMIT_REJECTIONS: Counter = Counter::new("at_limit");
+pub static LOCAL_LIMIT_REJECTIONS: Counter = Counter::new("local_limit_rejections");
 /// Requests that could be decoded but not used.
-pub static INVALID_REQUESTS: Counter = Counter::new("unusable");
+pub static INVALID_REQUESTS: Counter = Counter::new("invalid_requests");
 /// Idle connections, of clients and to engines, that were closed to make room for others.
-pub static CONNECTIONS_EVICTED: Counter = Counter::new("made_room");
+pub static CONNECTIONS_EVICTED: Counter = Counter::new("connections_evicted");
 /// Clients whose connection was cut because they did not read their answers.
-pub static SLOW_CLIENTS_CUT_OFF: Counter = Counter::new("cut_clients");
+pub static SLOW_CLIENTS_CUT_OFF: Counter = Counter::new("slow_clients_cut_off");
 /// Engine messages that belong to no open dispatch.
-pub static UNEXPECTED_ENGINE_MESSAGES: Counter = Counter::new("stray_words");
+pub static UNEXPECTED_ENGINE_MESSAGES: Counter = Counter::new("unexpected_engine_messages");
 /// Connections to engines that were lost.
-pub static ENGINE_CONNECTIONS_LOST: Counter = Counter::new("lost_connections");
+pub static ENGINE_CONNECTIONS_LOST: Counter = Counter::new("engine_connections_lost");
 /// Lines and endpoints of the event bus that could not be decoded.
-pub static MALFORMED_EVENTS: Counter = Counter::new("odd_events");
+pub static MALFORMED_EVENTS: Counter = Counter::new("malformed_events");
 /// Answers written after the client's timeout.
-pub static LATE_RESPONSES: Counter = Counter::new("late_answers");
+pub static LATE_RESPONSES: Counter = Counter::new("late_responses");
 
 /// All counters, in the order of the log line.
 static ALL: [&Counter; 13] = [
