--- a/crates/server/src/decision/handle.rs
+++ b/crates/server/src/decision/handle.rs
@@ -6,11 +6,12 @@
 use crate::decision::event::ControllerEvent;
 use crate::discovery::EndpointListener;
 use crate::job::{AdmittedJob, JobReporter};
+use crate::lifecycle::sync::lock;
 use crossbeam_channel::Sender;
 use pebblevane::interface::{DispatchResult, EngineId, Job, JobId, ProgressUpdate};
 use pebblevane::time::{TimeDelta, Timestamp};
+use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
-use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// After which time clients may retry that meet one of the program's own limits.
 pub const RETRY_AFTER: TimeDelta = TimeDelta(1_000_000);
@@ -47,7 +48,7 @@
     #[must_use]
     pub fn submit(&self, job: Job, arrived: Timestamp, admitted: AdmittedJob) -> bool {
         let responder = admitted.responder.clone();
-        let mut next_job = locked(&self.next_job);
+        let mut next_job = lock(&self.next_job);
         let id = JobId(*next_job);
         responder.register(id);
         self.open_jobs.fetch_add(1, SeqCst);
@@ -63,7 +64,7 @@
 
     /// The client of a job has disconnected. The job's token has been cancelled already.
     pub fn client_disconnected(&self, id: JobId) {
-        locked(&self.disconnected).push(id);
+        lock(&self.disconnected).push(id);
         // Where too many events wait, the thread is awake and looks before it takes the next of them.
         let _ = self.events.try_send(ControllerEvent::ClientsDisconnected);
     }
@@ -81,7 +82,7 @@
     /// Takes the jobs whose clients have disconnected since this was last called.
     #[must_use]
     pub(super) fn take_disconnected(&self) -> Vec<JobId> {
-        std::mem::take(&mut *locked(&self.disconnected))
+        std::mem::take(&mut *lock(&self.disconnected))
     }
 
     fn send(&self, event: ControllerEvent) {
@@ -109,8 +110,3 @@
         let _ = self.urgent_events.send(ControllerEvent::EndpointListUnavailable);
     }
 }
-
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // A panic ends the program, so that no thread sees a poisoned state.
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -2,9 +2,10 @@
 //! independent of the admission controller's state.
 
 use crate::config::retry_semantics::RetrySemantics;
+use crate::lifecycle::sync::lock;
 use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::time::{TimeDelta, Timestamp};
-use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::sync::Mutex;
 
 /// How far a dispatch's deadline may lie behind the end of its client's wait (150 ms).
 const DEADLINE_SLACK: TimeDelta = TimeDelta(150_000);
@@ -41,16 +42,11 @@
         DispatchLedger { id: id.into(), semantics, deadline, entries: Mutex::default() }
     }
 
-    fn entries(&self) -> MutexGuard<'_, Entries> {
-        // A panic ends the program, so that nobody sees what a panic left behind.
-        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
     /// Records a dispatch that is about to be sent with this deadline. Returns whether it may be: one that would violate
     /// an invariant is counted as a violation instead.
     #[must_use]
     pub fn try_record_send(&self, now: Timestamp, deadline: Timestamp) -> bool {
-        let mut entries = self.entries();
+        let mut entries = lock(&self.entries);
         let first_run = entries.first_run;
         let violation = match self.semantics {
             _ if entries.in_flight > 0 => Some(Invariant::SingleDispatchInFlight),
@@ -70,13 +66,13 @@
 
     /// Takes a recorded dispatch back of which no byte was sent.
     pub fn record_unsent(&self) {
-        let mut entries = self.entries();
+        let mut entries = lock(&self.entries);
         entries.in_flight = entries.in_flight.saturating_sub(1);
     }
 
     /// Records the end of a dispatch that was sent at this time.
     pub fn record_end(&self, sent: Timestamp, execution: Execution) {
-        let mut entries = self.entries();
+        let mut entries = lock(&self.entries);
         entries.in_flight = entries.in_flight.saturating_sub(1);
         if execution == Execution::MayHaveRun {
             entries.first_run.get_or_insert(sent);
@@ -86,7 +82,7 @@
     /// Checks that the job may be answered as rejected, which tells the client that a retry is harmless. A violation is
     /// counted; the answer is not held up.
     pub fn check_rejection(&self) {
-        let entries = self.entries();
+        let entries = lock(&self.entries);
         let may_have_run = entries.in_flight > 0 || entries.first_run.is_some();
         let harmless = match self.semantics {
             RetrySemantics::Restartable => true,
--- a/crates/server/src/engine/endpoint_updates.rs
+++ b/crates/server/src/engine/endpoint_updates.rs
@@ -1,11 +1,12 @@
 //! What the endpoint list has said of engines and their pools have not applied yet.
 
 use crate::engine::ids::PoolId;
+use crate::lifecycle::sync::lock;
 use pebblevane::time::Timestamp;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 
 /// An engine that the list has added.
 pub(crate) struct AddedEndpoint {
@@ -53,7 +54,6 @@
 
     /// The updates that wait to be applied, locked.
     pub(crate) fn pending(&self) -> MutexGuard<'_, BTreeMap<PoolId, EndpointUpdate>> {
-        // A panic ends the program, so that nobody sees what a panic left behind.
-        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.pending)
     }
 }
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -1,6 +1,7 @@
-//! Startup, clock, threads and graceful shutdown of the process.
+//! Startup, clock, locking, threads and graceful shutdown of the process.
 
 pub mod clock;
 pub mod shutdown;
 pub mod startup;
+pub mod sync;
 pub mod threads;
--- a/crates/server/src/lifecycle/threads.rs
+++ b/crates/server/src/lifecycle/threads.rs
@@ -4,8 +4,9 @@
 //! aborts the process.
 
 use super::startup::retry_transient_errors;
+use super::sync::lock;
 use std::io;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 
 /// The stack size of threads with shallow calls and small buffers, in bytes.
 pub const STACK_BYTES: usize = 64 * 1024;
@@ -35,7 +36,7 @@
     retry_transient_errors(|| {
         let body = body.clone();
         let run = move || {
-            let body = body.lock().unwrap_or_else(PoisonError::into_inner).take();
+            let body = lock(&body).take();
             if let Some(body) = body {
                 body();
             }
--- a/crates/server/src/limits/budget.rs
+++ b/crates/server/src/limits/budget.rs
@@ -1,6 +1,7 @@
 //! A budget of one resource, such as bytes, threads or descriptors, and the permits that hold parts of it.
 
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use crate::lifecycle::sync::lock;
+use std::sync::{Arc, Mutex};
 
 /// An amount of one resource, of which [`Permit`]s hold parts.
 pub struct ResourceBudget {
@@ -27,11 +28,6 @@
         let mut permit = Permit { budget: self.clone(), amount: 0 };
         permit.grow_to(amount).then_some(permit)
     }
-
-    fn in_use(&self) -> MutexGuard<'_, usize> {
-        // A panic ends the process, so a poisoned lock is never observed.
-        self.in_use.lock().unwrap_or_else(PoisonError::into_inner)
-    }
 }
 
 impl Permit {
@@ -41,7 +37,7 @@
     pub fn grow_to(&mut self, amount: usize) -> bool {
         let additional = amount.saturating_sub(self.amount);
         let budget = self.budget.clone();
-        let mut in_use = budget.in_use();
+        let mut in_use = lock(&budget.in_use);
         let granted = in_use.checked_add(additional).is_some_and(|total| total <= budget.capacity);
         if granted {
             *in_use += additional;
@@ -53,7 +49,7 @@
     /// Returns what is held beyond `amount`.
     pub fn shrink_to(&mut self, amount: usize) {
         let excess = self.amount.saturating_sub(amount);
-        *self.budget.in_use() -= excess;
+        *lock(&self.budget.in_use) -= excess;
         self.amount -= excess;
     }
 }
--- a/crates/server/src/session/client_job_ids.rs
+++ b/crates/server/src/session/client_job_ids.rs
@@ -1,6 +1,6 @@
 //! The clients' own ids of open jobs. Engines know jobs by these ids, so no two open jobs may share one.
 
-use super::lock;
+use crate::lifecycle::sync::lock;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
 
--- a/crates/server/src/session/client_session.rs
+++ b/crates/server/src/session/client_session.rs
@@ -3,9 +3,9 @@
 //! Locks are taken in the order `read_position`, `requests`, `output`.
 
 use super::cancellation::CancellationToken;
-use super::lock;
 use super::write_buffer::WriteBuffer;
 use crate::codec::client::{self as codec, Reply, RequestId};
+use crate::lifecycle::sync::lock;
 use crate::limits::Permit;
 use pebblevane::interface::JobId;
 use std::collections::HashMap;
--- a/crates/server/src/session/responder.rs
+++ b/crates/server/src/session/responder.rs
@@ -3,9 +3,9 @@
 use super::cancellation::{CancellationToken, ClientLiveness};
 use super::client_job_ids::ClientJobId;
 use super::client_session::ClientSession;
-use super::lock;
 use crate::codec::client::{Reply, RequestId};
 use crate::lifecycle::clock;
+use crate::lifecycle::sync::lock;
 use crate::telemetry::counters;
 use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::interface::JobId;
