--- a/crates/server/src/client/context.rs
+++ b/crates/server/src/client/context.rs
@@ -1,4 +1,4 @@
-//! What all client connections share.
+//! The state and limits that all client connections share.
 
 use crate::config::retry_semantics::RetrySemantics;
 use crate::decision::ControllerHandle;
@@ -7,7 +7,7 @@
 use crate::session::client_job_ids::ClientJobIds;
 use std::sync::Arc;
 
-/// What all client connections share.
+/// The state and limits that all client connections share.
 pub struct ClientContext {
     pub(super) controller: Arc<ControllerHandle>,
     pub(super) shutdown: Arc<ShutdownState>,
@@ -17,7 +17,7 @@
     pub(super) client_job_ids: Arc<ClientJobIds>,
     /// Descriptors of client connections.
     pub(super) descriptors: Arc<ResourceBudget>,
-    /// Bytes of statements, results, incomplete messages and answers that were not read yet.
+    /// Bytes of statements, results, incomplete messages and answers that clients have not read yet.
     pub(super) buffer_bytes: Arc<ResourceBudget>,
     /// Open jobs.
     pub(super) open_jobs: Arc<ResourceBudget>,
@@ -29,16 +29,24 @@
     pub retry_semantics: RetrySemantics,
 }
 
+/// The parts of the program that client connections use, and the settings and limits that apply to them.
+pub struct ClientContextConfig<'a> {
+    /// Decides about the jobs of the clients.
+    pub controller: Arc<ControllerHandle>,
+    /// Whether the process is shutting down.
+    pub shutdown: Arc<ShutdownState>,
+    /// The names of the job classes, in the order of the settings.
+    pub class_names: Vec<String>,
+    /// Whether the jobs of each class may be retried, in the same order.
+    pub retry_semantics: Vec<RetrySemantics>,
+    /// The limits of connections, buffers and open jobs.
+    pub quotas: &'a ResourceQuotas,
+}
+
 impl ClientContext {
-    /// Budgets within `quotas` for clients of this controller. `class_names` and `retry_semantics` are those of the
-    /// job classes, in the order of the settings.
-    pub fn new(
-        controller: Arc<ControllerHandle>,
-        shutdown: Arc<ShutdownState>,
-        class_names: Vec<String>,
-        retry_semantics: Vec<RetrySemantics>,
-        quotas: &ResourceQuotas,
-    ) -> ClientContext {
+    /// A context without connections, with budgets of the size that the quotas allow.
+    pub fn new(config: ClientContextConfig) -> ClientContext {
+        let ClientContextConfig { controller, shutdown, class_names, retry_semantics, quotas } = config;
         let names = class_names.iter().map(|name| name.as_str().into());
         let classes = names.zip(retry_semantics);
         let classes = classes.map(|(name, retry_semantics)| JobClass { name, retry_semantics }).collect();
--- a/crates/server/src/server/startup.rs
+++ b/crates/server/src/server/startup.rs
@@ -4,7 +4,7 @@
 //! that all connections are closed.
 
 use super::ServerError;
-use crate::client::context::ClientContext;
+use crate::client::context::{ClientContext, ClientContextConfig};
 use crate::client::event_loop::ClientEventLoop;
 use crate::codec::event_bus::Event;
 use crate::config::Config;
@@ -41,13 +41,13 @@
         let initial_events = std::mem::take(&mut config.initial_events);
         let controller = start_controller(config, initial_events, engines)?;
         let shutdown = Arc::new(ShutdownState::default());
-        let context = ClientContext::new(
-            controller.clone(),
-            shutdown.clone(),
-            config.class_names(),
-            config.retry_semantics(),
-            &quotas,
-        );
+        let context = ClientContext::new(ClientContextConfig {
+            controller: controller.clone(),
+            shutdown: shutdown.clone(),
+            class_names: config.class_names(),
+            retry_semantics: config.retry_semantics(),
+            quotas: &quotas,
+        });
         let listener = listen(config.listen)?;
         let address = listener.local_addr().map_err(ServerError::cannot("listen"))?;
         let clients_closed = start_clients(context, listener)?;
