--- a/crates/server/src/client/close_reason.rs
+++ b/crates/server/src/client/close_reason.rs
@@ -7,41 +7,41 @@
 #[derive(Debug, Error)]
 pub enum CloseReason {
     /// The client has closed the connection, or its side of it.
-    #[error("the client closed it")]
+    #[error("closed by the client")]
     ClosedByClient,
     /// Reading from the connection failed.
     #[error(transparent)]
     ReadFailed(#[from] std::io::Error),
-    /// The client goes on sending after it was shown the end of the connection.
-    #[error("the client goes on behind the end")]
+    /// The client kept sending after this side of the connection was shut down.
+    #[error("the client sent too much during the graceful close")]
     LingerBytesExceeded,
-    /// The client does not end its side after it was shown the end of the connection.
-    #[error("the client does not end it")]
+    /// The client did not shut down its side after this side was shut down.
+    #[error("the client did not close its side in time")]
     LingerTimeout,
     /// The received bytes are not of the client protocol.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// The budget of bytes is used up.
-    #[error("no bytes are left for an unfinished message")]
+    /// The budget of buffer bytes is used up.
+    #[error("no buffer memory left for an incomplete message")]
     OutOfBufferBytes,
-    /// No message came, or not all of one, for too long.
-    #[error("idle, or a message that does not come to its end")]
+    /// No message, or only a part of one, was received within the time limit.
+    #[error("idle, or a message was not completed in time")]
     Idle,
-    /// New connections wait for a descriptor.
-    #[error("it makes room")]
+    /// Its descriptor is needed for a new connection.
+    #[error("evicted for a new connection")]
     Evicted,
     /// The process shuts down.
-    #[error("the program stops")]
+    #[error("shutting down")]
     ShuttingDown,
 }
 
 /// How reading from a connection failed, which decides how it ends.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The client has left or gets no more time: the connection is aborted.
+    /// The client has disconnected or exceeded a time limit: the connection is aborted.
     #[error(transparent)]
     Abort(CloseReason),
-    /// The connection is closed gracefully, so that the answers given before still reach the client.
+    /// The connection is closed gracefully, so that answers already given still reach the client.
     #[error(transparent)]
     Close(CloseReason),
 }
--- a/crates/server/src/codec/client.rs
+++ b/crates/server/src/codec/client.rs
@@ -97,22 +97,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
     /// A value that exceeds its limit, or has a type that the protocol does not use.
-    #[error("a value that is too long or of no known sort")]
+    #[error("a value is too long or of an unsupported type")]
     UnsupportedValue,
     /// The outermost value is no list of three or four entries.
-    #[error("no request and no notification")]
+    #[error("neither a request nor a notification")]
     NotAMessage,
     /// The message has too many bytes or values.
-    #[error("a message that is too long")]
+    #[error("message too long")]
     MessageTooLong,
     /// Lists and maps are nested too deeply.
-    #[error("a message that nests too deep")]
+    #[error("message nested too deeply")]
     NestedTooDeep,
     /// The message is complete but neither a request nor a notification.
-    #[error("a message of another protocol")]
+    #[error("unknown message type")]
     UnknownMessageType,
     /// The id of a request equals that of an open request of the same connection.
-    #[error("a message id that is open already")]
+    #[error("duplicate request id")]
     DuplicateRequestId,
 }
 
--- a/crates/server/src/engine/connection_error.rs
+++ b/crates/server/src/engine/connection_error.rs
@@ -10,8 +10,8 @@
     /// The engine refused it or did not answer in time.
     #[error("{0}")]
     Dial(#[source] io::Error),
-    /// It was made, but can't be set up for reading.
-    #[error("it can't be read: {0}")]
+    /// It was made, but its options could not be set or it could not be added to the socket poller.
+    #[error("cannot set up the connection: {0}")]
     Setup(#[source] io::Error),
 }
 
@@ -19,36 +19,36 @@
 #[derive(Debug, Error)]
 pub(crate) enum ConnectionLostReason {
     /// The engine closed its side.
-    #[error("the engine closed it")]
+    #[error("closed by the engine")]
     ClosedByEngine,
     /// Reading failed.
     #[error("{0}")]
     Read(#[source] io::Error),
-    /// The engine sent what is no message.
+    /// The engine sent bytes that are not a message.
     #[error("{0}")]
     Protocol(#[from] EngineProtocolError),
-    /// The rest of a message did not come in time.
+    /// The rest of a message was not received in time.
     #[error("an answer stopped in the middle")]
     MessageStalled,
-    /// The system could not watch it for input.
-    #[error("{0}")]
+    /// The system refused to poll it.
+    #[error("cannot poll the connection: {0}")]
     Register(#[source] io::Error),
-    /// The engine has started anew since it was made.
-    #[error("the engine started anew")]
+    /// The engine has restarted since the connection was made.
+    #[error("the engine has restarted")]
     EngineRestarted,
-    /// Input or its end was found while nothing was in flight on it.
-    #[error("its end or what nobody asked for came while it rested")]
+    /// Input, or the end of the stream, was found while no request was in flight.
+    #[error("unexpected input or end of stream on an idle connection")]
     UnexpectedInput,
     /// Nothing of a request could be written.
-    #[error("it takes nothing: {0}")]
+    #[error("cannot write: {0}")]
     WriteRefused(#[source] io::Error),
-    /// A part of what was to be written could not be.
-    #[error("it takes no more: {0}")]
+    /// Only a part of a message could be written.
+    #[error("incomplete write: {0}")]
     WriteIncomplete(#[source] io::Error),
     /// The only request on it was cancelled while the engine was silent.
-    #[error("what was out there was given up")]
+    #[error("its request was cancelled while the engine was silent")]
     CancelledWhileSilent,
-    /// Progress updates are due on it and nothing comes.
-    #[error("it fell silent while the engine speaks on others")]
+    /// Progress updates are due, and nothing is received.
+    #[error("nothing received while other connections to the engine are active")]
     Silent,
 }
--- a/crates/server/src/engine/socket_poller.rs
+++ b/crates/server/src/engine/socket_poller.rs
@@ -154,7 +154,7 @@
     /// Where too many new connections wait for the thread, or it can't be woken.
     pub(crate) fn add(&self, read_half: ReadHalf) -> io::Result<()> {
         let added = self.new_connections.try_send(read_half);
-        added.map_err(|_| io::Error::other("too many wait to be read"))?;
+        added.map_err(|_| io::Error::other("too many new connections"))?;
         self.waker.wake()
     }
 }
--- a/crates/server/src/server/startup.rs
+++ b/crates/server/src/server/startup.rs
@@ -80,7 +80,7 @@
     engines: Arc<EngineRegistry>,
 ) -> Result<Arc<ControllerHandle>, ServerError> {
     ControllerHandle::start(config.settings.clone(), config.seed, initial_events, engines)
-        .map_err(ServerError::cannot("start the module's thread"))
+        .map_err(ServerError::cannot("start the controller's thread"))
 }
 
 fn listen(address: SocketAddr) -> Result<TcpListener, ServerError> {
