--- a/crates/server/src/engine/command.rs
+++ b/crates/server/src/engine/command.rs
@@ -1,4 +1,4 @@
-//! What the `engines` thread is told: commands for one engine's pool, and that the endpoint list has changed.
+//! The messages to the `engines` thread: commands for the pool of one engine, and wakeups after endpoint updates.
 
 use crate::engine::connection::DialedConnection;
 use crate::engine::connection_error::ConnectError;
@@ -22,24 +22,24 @@
     Wakeup,
 }
 
-/// What an engine's pool is to do.
+/// A command for the pool of one engine.
 pub(crate) enum PoolCommand {
     /// Send a dispatch.
     Send {
-        /// Its number at this engine.
+        /// The number of the dispatch at this engine.
         id: RequestId,
         /// The dispatch itself.
         request: EngineRequest,
         /// Whether it may still be sent.
         gate: Arc<SendGate>,
-        /// Where its events go.
+        /// Receives the events of the dispatch.
         events: Sender<DispatchEvent>,
     },
     /// Send a health check.
     CheckHealth {
-        /// Its number at this engine.
+        /// The number of the health check at this engine.
         id: RequestId,
-        /// Takes the result.
+        /// Receives the result.
         callback: HealthCheckCallback,
     },
     /// Fetch a further page of a dispatch's result.
@@ -56,13 +56,13 @@
         /// Dropped once the cancellation is written.
         done: Option<Sender<()>>,
     },
-    /// A connection was made, or could not be.
+    /// An attempt to connect has finished.
     Dialed(Result<DialedConnection, ConnectError>),
-    /// Something came on a connection.
+    /// A message was received on a connection, or the connection has ended.
     ConnectionEvent {
         /// The connection.
         connection: ConnectionId,
-        /// What came.
+        /// The message, or why the connection has ended.
         event: ConnectionEvent,
     },
 }
--- a/crates/server/src/engine/connection.rs
+++ b/crates/server/src/engine/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an engine: what is in flight on it, and whether it may be used again.
+//! One connection to an engine: the requests in flight on it, and whether it may be reused.
 
 use crate::engine::ids::RequestId;
 use crate::limits::Permit;
@@ -10,36 +10,37 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::{Duration, Instant};
 
-/// Ids retired on one connection, after which it takes no new request.
+/// A connection with this many retired ids takes no new requests.
 const MAX_RETIRED_IDS: usize = 64;
 
-/// A connection that an engine has accepted and that nobody reads yet.
+/// A connection that an engine has accepted and that is not yet added to the socket poller.
 pub(crate) struct DialedConnection {
     /// The connection.
     pub(crate) stream: TcpStream,
-    /// For its descriptor.
+    /// Covers its descriptor.
     pub(crate) permit: Permit,
 }
 
 /// One connection to an engine.
 pub(crate) struct EngineConnection {
     stream: Arc<TcpStream>,
-    /// The first part of a message has been read; set by the socket poller.
+    /// Set by the socket poller while only the first part of a message has been read.
     has_partial_message: Arc<AtomicBool>,
-    /// What is in flight on it, by the id on the wire.
+    /// The requests in flight, by their ids on the wire.
     pub(crate) requests: HashMap<Box<str>, RequestId>,
-    /// Ids that did not end well here: a late answer may still come under them.
+    /// Ids of requests that ended without their final answer. A late answer may still arrive under them, so they are
+    /// not used again on this connection.
     retired_ids: HashSet<Box<str>>,
-    /// When it was made, last became busy, or a request on it last ended.
+    /// When it was made, last changed from idle to busy, or last finished a request.
     pub(crate) last_change: Instant,
-    /// How long it had been idle before the present requests; none on its first use.
+    /// How long it had been idle before the requests now in flight; `None` on its first use.
     pub(crate) idle_before_use: Option<Duration>,
     was_used: bool,
-    /// When something last came from it.
+    /// When a message was last received on it.
     pub(crate) last_received: Instant,
     /// When it was made, on the program's clock.
     pub(crate) opened_at: Timestamp,
-    /// For its descriptor.
+    /// Covers its descriptor.
     _permit: Permit,
 }
 
@@ -70,26 +71,27 @@
         self.requests.is_empty()
     }
 
-    /// Whether no late answer could be taken for that of a new request with this id.
+    /// Whether a new request may use this id: no late answer of an earlier request could be mistaken for its answer.
     pub(crate) fn accepts_id(&self, id: &str) -> bool {
         self.retired_ids.len() < MAX_RETIRED_IDS
             && !self.retired_ids.contains(id)
             && !self.requests.contains_key(id)
     }
 
-    /// Whether it changed recently enough to be used: within `reuse_limit`, or `idle_timeout` if it was never used.
+    /// Whether its last change is recent enough for reuse: within `reuse_limit`, or `idle_timeout` if it was never
+    /// used.
     pub(crate) fn is_fresh(&self, reuse_limit: Duration, idle_timeout: Duration) -> bool {
         let limit = if self.was_used { reuse_limit } else { idle_timeout };
         self.last_change.elapsed() < limit
     }
 
-    /// Whether something has come, read or not, that is not a whole message: a part of one, more input, or its end.
+    /// Whether there is input that no request explains: a partial message, unread bytes, or the end of the stream.
     pub(crate) fn has_unexpected_input(&self) -> bool {
         let no_input = |e: io::Error| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted);
         self.has_partial_message.load(SeqCst) || !self.stream.peek(&mut [0]).is_err_and(no_input)
     }
 
-    /// How long the engine could have spoken on it and has not.
+    /// The time without a message from the engine, counted from the last change of the connection at the earliest.
     pub(crate) fn silent_for(&self) -> Duration {
         self.last_received.max(self.last_change).elapsed()
     }
@@ -115,7 +117,7 @@
         self.retired_ids.insert(wire_id);
     }
 
-    /// Writes as much as fits at once.
+    /// Writes as much as the socket buffer has space for.
     pub(crate) fn write_some(&self, bytes: &[u8]) -> io::Result<usize> {
         loop {
             match (&*self.stream).write(bytes) {
@@ -125,14 +127,14 @@
         }
     }
 
-    /// Writes everything, or fails where the connection does not take it at once.
+    /// Writes everything, or fails if the socket buffer has no space for all of it.
     pub(crate) fn write_all(&self, bytes: &[u8]) -> io::Result<()> {
         (&*self.stream).write_all(bytes)
     }
 
     /// Ends both directions.
     pub(crate) fn shut_down(&self) {
-        // One that has ended already can't be shut down, and need not be.
+        // This fails if the connection has ended already, and has no effect then.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
--- a/crates/server/src/engine/connection_error.rs
+++ b/crates/server/src/engine/connection_error.rs
@@ -10,7 +10,7 @@
     /// The engine refused it or did not answer in time.
     #[error("{0}")]
     Dial(#[source] io::Error),
-    /// It was made, but its options could not be set or it could not be added to the socket poller.
+    /// It was made, but its socket options could not be set, or the socket poller did not accept it.
     #[error("cannot set up the connection: {0}")]
     Setup(#[source] io::Error),
 }
--- a/crates/server/src/engine/dialer.rs
+++ b/crates/server/src/engine/dialer.rs
@@ -13,30 +13,30 @@
 
 /// The engine to connect to.
 pub(crate) struct DialTarget<'a> {
-    /// The pool that is told the result.
+    /// The pool that receives the result.
     pub(crate) pool: PoolId,
-    /// The engine's name, for the thread's.
+    /// The engine's name, which becomes part of the thread's name.
     pub(crate) name: &'a str,
     /// Where the engine listens.
     pub(crate) address: SocketAddr,
 }
 
-/// Starts the threads that connect, and tells the pools how that came out.
+/// Starts a thread for each new connection, and sends the result to the pool.
 pub(crate) struct Dialer {
     /// Starts a thread.
     pub(crate) spawn_thread: SpawnThread,
-    /// Longest time to wait for an engine to accept.
+    /// How long to wait for an engine to accept.
     pub(crate) timeout: Duration,
-    /// Where results go.
+    /// Receives the results.
     pub(crate) messages: Sender<RegistryMessage>,
 }
 
 impl Dialer {
     /// Starts to connect; the pool gets a [`PoolCommand::Dialed`] within the timeout. The thread is not joined: it
-    /// ends by itself after that command, which says all that is to be known of it.
+    /// ends after sending that command.
     ///
     /// # Errors
-    /// What the system says where it refuses the thread; the permit is given back then.
+    /// The system's error if it refuses the thread. The permit is released then.
     pub(crate) fn dial(&self, target: &DialTarget, permit: Permit) -> io::Result<()> {
         let (pool, address, timeout) = (target.pool, target.address, self.timeout);
         let messages = self.messages.clone();
--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -1,5 +1,5 @@
-//! A job's record of its dispatches, as the connections to engines saw them. It is checked before each first byte and is
-//! independent of the admission controller's state.
+//! A job's record of the dispatches that were sent for it. It is kept by the connections to engines and checked before
+//! the first byte of each dispatch, independently of the admission controller, whose faults it thereby detects.
 
 use crate::config::retry_semantics::RetrySemantics;
 use crate::lifecycle::sync::lock;
@@ -7,7 +7,7 @@
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::Mutex;
 
-/// How far a dispatch's deadline may lie behind the end of its client's wait (150 ms).
+/// How much later than the client's timeout a dispatch's deadline may be.
 const DEADLINE_SLACK: TimeDelta = TimeDelta(150_000);
 
 /// Whether an engine may have run a dispatch that was sent to it.
@@ -42,8 +42,8 @@
         DispatchLedger { id: id.into(), semantics, deadline, entries: Mutex::default() }
     }
 
-    /// Records a dispatch that is about to be sent with this deadline. Returns whether it may be: one that would violate
-    /// an invariant is counted as a violation instead.
+    /// Records a dispatch that is about to be sent with this deadline. Returns whether it may be: one that would
+    /// violate an invariant is counted as a violation instead.
     #[must_use]
     pub fn try_record_send(&self, now: Timestamp, deadline: Timestamp) -> bool {
         let mut entries = lock(&self.entries);
@@ -64,7 +64,7 @@
         violation.is_none()
     }
 
-    /// Takes a recorded dispatch back of which no byte was sent.
+    /// Removes a recorded dispatch of which no byte was sent.
     pub fn record_unsent(&self) {
         let mut entries = lock(&self.entries);
         entries.in_flight = entries.in_flight.saturating_sub(1);
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Checks that the job may be answered as rejected, which tells the client that a retry is harmless. A violation is
-    /// counted; the answer is not held up.
+    /// Checks that the job may be answered as rejected, since clients retry rejected jobs. A violation is counted, but
+    /// the answer is sent all the same.
     pub fn check_rejection(&self) {
         let entries = lock(&self.entries);
         let may_have_run = entries.in_flight > 0 || entries.first_run.is_some();
--- a/crates/server/src/engine/endpoint_updates.rs
+++ b/crates/server/src/engine/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! What the endpoint list has said of engines and their pools have not applied yet.
+//! Changes of the endpoint list that the engines' pools have not applied yet.
 
 use crate::engine::ids::PoolId;
 use crate::lifecycle::sync::lock;
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// An engine that the list has added.
+/// An engine that was added to the endpoint list.
 pub(crate) struct AddedEndpoint {
     /// The engine's name, for the log.
     pub(crate) name: String,
@@ -18,25 +18,25 @@
     pub(crate) accepts_dispatches: Arc<AtomicBool>,
 }
 
-/// The changes of one engine since its pool last looked.
+/// The changes of one engine since its pool last applied them.
 #[derive(Default)]
 pub(crate) struct EndpointUpdate {
     /// The engine is new.
     pub(crate) added: Option<AddedEndpoint>,
-    /// The engine has started anew at this time: connections from before are dead.
+    /// The engine has restarted at this time: connections that were made before are closed.
     pub(crate) restarted_at: Option<Timestamp>,
-    /// Dispatches may not be sent any more.
+    /// No dispatches may be sent any more.
     pub(crate) draining: bool,
     /// The engine is not on the list any more.
     pub(crate) removed: bool,
 }
 
-/// The pending updates of all engines, one entry an engine, so that none is ever lost and recording one never waits for
-/// room. It does wait while the `engines` thread applies earlier ones.
+/// The pending updates of all engines. There is one entry for each engine, so that recording an update needs no bounded
+/// queue: no update is lost, and recording one waits only while the `engines` thread applies earlier ones.
 #[derive(Default)]
 pub(crate) struct EndpointUpdates {
     pending: Mutex<BTreeMap<PoolId, EndpointUpdate>>,
-    /// Whether something was recorded since the last look.
+    /// Whether a change was recorded since the last call of [`EndpointUpdates::take_changed`].
     changed: AtomicBool,
 }
 
@@ -47,12 +47,12 @@
         self.changed.store(true, SeqCst);
     }
 
-    /// Whether something was recorded since this was last asked.
+    /// Whether a change was recorded since the last call.
     pub(crate) fn take_changed(&self) -> bool {
         self.changed.swap(false, SeqCst)
     }
 
-    /// The updates that wait to be applied, locked.
+    /// Locks the updates that are still to be applied.
     pub(crate) fn pending(&self) -> MutexGuard<'_, BTreeMap<PoolId, EndpointUpdate>> {
         lock(&self.pending)
     }
--- a/crates/server/src/engine/handle.rs
+++ b/crates/server/src/engine/handle.rs
@@ -1,5 +1,5 @@
-//! Handles on engines and dispatches: sending to an engine, cancelling, and what a job hears of its dispatch. The
-//! engine's pool does the rest, in the `engines` thread.
+//! Handles on engines and dispatches, by which other threads send to an engine, cancel, and receive the events of a
+//! dispatch. The engine's pool carries this out in the `engines` thread.
 
 pub use crate::engine::request::{DispatchEvent, EngineRequest, HealthCheckCallback, HealthCheckResult};
 
@@ -14,26 +14,26 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 
-/// Events that may wait for one job. A channel takes memory for all that it may hold once it has gone round, so that
-/// it is no larger than bursts.
+/// Events that may be queued for one job. A bounded channel occupies memory for its full capacity after some use, so
+/// this is no larger than a burst requires.
 const EVENTS_CAPACITY: usize = 32;
 
 /// The handle on one engine.
 pub struct EngineHandle {
     registry: Arc<EngineRegistry>,
     pool: PoolId,
-    /// Shared with the pool, which looks at it before each first byte.
+    /// Shared with the pool, which checks it before the first byte of each dispatch.
     accepts_dispatches: Arc<AtomicBool>,
     next_request: AtomicU64,
 }
 
-/// A job's handle on its dispatch. Dropping it cancels the dispatch, or ends what the engine holds of its result.
+/// A job's handle on its dispatch. Dropping it cancels the dispatch, or releases the result that the engine retains.
 #[must_use = "dropping the handle cancels the dispatch"]
 pub struct DispatchHandle {
     id: RequestId,
     engine: Arc<EngineHandle>,
     gate: Arc<SendGate>,
-    /// What the job hears of the dispatch.
+    /// The events of the dispatch.
     pub events: Receiver<DispatchEvent>,
 }
 
@@ -53,14 +53,14 @@
         })
     }
 
-    /// Sets whether dispatches may be sent. Where they may not, those that wait for a connection are lost at once.
+    /// Sets whether dispatches may be sent. If not, those that wait for a connection fail at once.
     pub fn set_accepts_dispatches(&self, accepts: bool) {
         if self.accepts_dispatches.swap(accepts, SeqCst) && !accepts {
             self.registry.update_endpoint(self.pool, |update| update.draining = true);
         }
     }
 
-    /// Hands a dispatch over, which is sent as soon as there is a connection; waits while too many commands do.
+    /// Queues a dispatch, which is sent as soon as there is a connection. Blocks while the command queue is full.
     pub fn send(self: &Arc<Self>, request: EngineRequest) -> DispatchHandle {
         let (event_sender, events) = bounded(EVENTS_CAPACITY);
         let (id, gate) = (self.next_request_id(), Arc::new(SendGate::default()));
@@ -69,20 +69,20 @@
         DispatchHandle { id, engine: self.clone(), gate, events }
     }
 
-    /// Sends a health check and calls back with its result. Returns false, and never calls back, where too many
-    /// commands wait.
+    /// Queues a health check; the callback receives its result. Returns false, and never calls back, if the command
+    /// queue is full.
     #[must_use]
     pub fn check_health(&self, callback: HealthCheckCallback) -> bool {
         let id = self.next_request_id();
         self.registry.try_send_command(self.pool, PoolCommand::CheckHealth { id, callback })
     }
 
-    /// Closes the connections that were made before this time, at which the engine has started anew.
+    /// Closes the connections that were made before the engine restarted at this time.
     pub fn engine_restarted(&self, at: Timestamp) {
         self.registry.update_endpoint(self.pool, |update| update.restarted_at = Some(at));
     }
 
-    /// Sends nothing more; what is in flight still ends by itself.
+    /// Sends no further dispatches. Those in flight may still finish.
     pub fn engine_removed(&self) {
         self.accepts_dispatches.store(false, SeqCst);
         self.registry.update_endpoint(self.pool, |update| {
@@ -108,7 +108,7 @@
         self.gate.withhold()
     }
 
-    /// Withholds a dispatch that waits for a connection, and changes nothing otherwise. Returns whether it did wait.
+    /// Withholds the dispatch if it is still waiting for a connection. Returns whether it was.
     #[must_use]
     pub fn withhold_if_queued(&self) -> bool {
         self.gate.withhold_if_queued()
@@ -119,8 +119,8 @@
         self.gate.may_have_been_sent()
     }
 
-    /// Cancels the dispatch. The receiver is disconnected once that is written: the job's next dispatch must not
-    /// overtake it.
+    /// Cancels the dispatch. The receiver is disconnected once the cancellation has been written: the job's next
+    /// dispatch must not overtake it.
     #[must_use = "the job's next dispatch has to wait for it"]
     pub fn cancel(&self) -> Receiver<()> {
         let (done, cancelled) = bounded(0);
--- a/crates/server/src/engine/ids.rs
+++ b/crates/server/src/engine/ids.rs
@@ -1,6 +1,6 @@
-//! Numbers that tell engines, requests and connections apart inside this program.
+//! Identifiers of engines' pools, requests and connections within this process.
 
-/// An engine's pool. A pool's number is never used again.
+/// An engine's pool. Numbers are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PoolId(pub(crate) u64);
 
--- a/crates/server/src/engine/pool/connecting.rs
+++ b/crates/server/src/engine/pool/connecting.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 impl EnginePool {
-    /// Starts to make a connection for each waiting request, as far as limits allow it.
+    /// Starts to make a connection for each waiting request, within the limits.
     pub(super) fn dial_for_waiting(&mut self, context: &PoolContext) {
         let allowed = context.settings.max_connections_per_engine.saturating_sub(self.connections.len());
         while self.dials_in_progress < self.waiting.len().min(allowed) && self.start_dial(context) {}
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Starts to make one more connection. Returns whether it could.
+    /// Starts to make one more connection. Returns false if no descriptor or thread is available.
     pub(super) fn start_dial(&mut self, context: &PoolContext) -> bool {
         let Some(permit) = context.descriptors.acquire(1) else { return false };
         let target = DialTarget { pool: self.id, name: &self.name, address: self.address };
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A connection was made, or could not be.
+    /// Handles the end of an attempt to connect.
     pub(super) fn dialed(&mut self, dialed: Result<DialedConnection, ConnectError>, context: &PoolContext) {
         self.dials_in_progress -= 1;
         let engine_reachable = dialed.is_ok();
--- a/crates/server/src/engine/pool/connection_choice.rs
+++ b/crates/server/src/engine/pool/connection_choice.rs
@@ -12,7 +12,7 @@
 }
 
 impl EnginePool {
-    /// Finds connections for what waits, in turn, or opens more.
+    /// Sends waiting requests in their order, as long as connections are available, and starts to make more if needed.
     pub(crate) fn assign_waiting(&mut self, context: &PoolContext) {
         if self.waiting.is_empty() {
             return;
@@ -30,14 +30,14 @@
         self.dial_for_waiting(context);
     }
 
-    /// Connections are shared where the engine's share of them is used up.
+    /// Connections are shared once the engine's quota of them is used up.
     fn sharing(&self, context: &PoolContext) -> Sharing {
         let is_full =
             self.connections.len() + self.dials_in_progress >= context.settings.max_connections_per_engine;
         if is_full { Sharing::Allowed } else { Sharing::Forbidden }
     }
 
-    /// Where no connection can be made, what waits shares those that are there.
+    /// Sends waiting requests on connections in use, since no further one can be made.
     pub(super) fn share_connections(&mut self, context: &PoolContext) {
         while let Some(&id) = self.waiting.front() {
             let Some(request) = self.in_flight.get(&id) else { return };
@@ -48,8 +48,8 @@
         }
     }
 
-    /// A connection on which no late answer can be taken for that of this id: the one with the least in flight, among
-    /// those the one that has proved to work most recently.
+    /// The connection with the fewest requests in flight, and of several the one on which a message was received most
+    /// recently. Those on which a late answer could be mistaken for the answer to this id are left out.
     pub(super) fn choose_connection(
         &self,
         wire_id: &str,
@@ -57,14 +57,14 @@
         context: &PoolContext,
     ) -> Option<ConnectionId> {
         let usable = self.connections.iter().filter(|(_, connection)| {
-            connection.accepts_id(wire_id) && self.has_room(connection, sharing, context)
+            connection.accepts_id(wire_id) && self.has_capacity(connection, sharing, context)
         });
         let best = usable
             .min_by_key(|(_, connection)| (connection.requests.len(), connection.last_received.elapsed()));
         best.map(|(id, _)| *id)
     }
 
-    fn has_room(&self, connection: &EngineConnection, sharing: Sharing, context: &PoolContext) -> bool {
+    fn has_capacity(&self, connection: &EngineConnection, sharing: Sharing, context: &PoolContext) -> bool {
         let idle_timeout = context.settings.idle_timeout;
         match connection.requests.len() {
             0 => connection.is_fresh(self.reuse_limit.get(idle_timeout), idle_timeout),
--- a/crates/server/src/engine/pool/fault_log.rs
+++ b/crates/server/src/engine/pool/fault_log.rs
@@ -1,21 +1,21 @@
-//! Logging of what goes wrong with an engine's connections, at a bounded rate.
+//! Rate-limited logging of faults of an engine's connections.
 
 use std::fmt::Display;
 use std::time::{Duration, Instant};
 
-/// Least time between two log lines on one engine's connections.
+/// The minimum time between two log lines about one engine's connections.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What was logged of one engine's connections, and how much was not.
+/// The rate limiter of one engine's connections.
 #[derive(Default)]
 pub(super) struct FaultLog {
     last_logged: Option<Instant>,
-    /// Faults since then.
+    /// Faults since then that were not logged.
     suppressed: u32,
 }
 
 impl FaultLog {
-    /// Logs a fault unless one was logged just before, with a count of those left out.
+    /// Logs a fault with the number of those suppressed before it, unless one was logged within the interval.
     pub(super) fn report(&mut self, engine: &str, fault: &str, in_flight: usize, reason: &dyn Display) {
         if self.last_logged.is_some_and(|logged| logged.elapsed() < LOG_INTERVAL) {
             self.suppressed += 1;
--- a/crates/server/src/engine/pool/in_flight.rs
+++ b/crates/server/src/engine/pool/in_flight.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A request waits this part of the connect timeout for a connection of its own, then shares one.
+/// A request waits this fraction of the connect timeout for a connection of its own, then shares one.
 const EXCLUSIVE_WAIT_DIVISOR: u32 = 8;
-/// Connections that may fail a request before a byte of it was sent.
+/// A request fails after this many connections ended before a byte of it was sent.
 const MAX_FAILED_CONNECTIONS: u32 = 4;
 
 /// A dispatch or health check of this engine.
@@ -17,9 +17,9 @@
     pub(super) kind: RequestKind,
     /// Its id on the wire.
     pub(super) wire_id: Box<str>,
-    /// The connection that it was written to; none while it waits for one.
+    /// The connection that it was written to; `None` while it waits for one.
     pub(super) connection: Option<ConnectionId>,
-    /// The first page of the result has come; only further pages are due.
+    /// The first page of the result was received; only further pages are due.
     pub(super) has_first_page: bool,
     /// It has waited long enough to share a connection.
     pub(super) may_share: bool,
@@ -27,11 +27,11 @@
     failed_connections: u32,
     /// When it was last written to a connection, or began to wait.
     pub(super) sent_at: Instant,
-    /// When it times out here, if it does: see [`InFlightRequest::deadline`].
+    /// When it times out in the pool, if it does: see [`InFlightRequest::deadline`].
     pub(super) due: Instant,
 }
 
-/// What a request is, and who gets its result.
+/// The kind of a request, and where its result goes.
 pub(super) enum RequestKind {
     Dispatch {
         request: EngineRequest,
@@ -62,21 +62,21 @@
         }
     }
 
-    /// When it times out here. Waiting for a connection has an end, and so has a health check; the timeout of a
-    /// dispatch that was sent is its job's.
+    /// When it times out in the pool: while it waits for a connection, or if it is a health check. The timeout of a
+    /// dispatch that was sent is enforced by its job.
     pub(super) fn deadline(&self) -> Option<Instant> {
         let is_health_check = matches!(self.kind, RequestKind::HealthCheck(_));
         (self.connection.is_none() || is_health_check).then_some(self.due)
     }
 
-    /// Records that it is written to this connection next.
+    /// Records that it is about to be written to this connection.
     pub(super) fn begin_on(&mut self, connection: ConnectionId, connect_timeout: Duration) {
         self.sent_at = Instant::now();
         self.connection = Some(connection);
         self.due = self.sent_at + connect_timeout;
     }
 
-    /// Records that its connection ended before a byte of it was sent. Returns whether it may try another one.
+    /// Records that its connection ended before a byte of it was sent. Returns whether it may be sent on another one.
     pub(super) fn record_failed_connection(&mut self) -> bool {
         self.connection = None;
         self.failed_connections += 1;
--- a/crates/server/src/engine/pool/mod.rs
+++ b/crates/server/src/engine/pool/mod.rs
@@ -1,10 +1,11 @@
-//! The pool of connections to one engine: what is in flight on each, what waits for one, and how many are being made.
+//! The pool of connections to one engine: the requests in flight on each, those waiting for one, and the connections
+//! being made.
 //!
-//! A pool never waits. A dispatch has a connection to itself as long as the descriptors allow it, since whatever spoils
-//! a connection ends everything that is in flight on it. This module routes commands; each concern has its own:
+//! No function of a pool blocks. A dispatch has a connection to itself as long as the descriptors allow it, since the
+//! loss of a connection ends every request in flight on it. This module routes commands; each concern has its own:
 //!
 //! - `connection_choice`: which connection a waiting request gets;
-//! - `connecting`: making more connections;
+//! - `connecting`: making connections;
 //! - `sending`: the last check before the first byte, and writing;
 //! - `results`: messages, cancelled requests and lost connections;
 //! - `timeouts`: requests that wait too long, idle and silent connections.
@@ -41,7 +42,7 @@
 
 /// What all pools share.
 pub(crate) struct PoolContext {
-    /// What the settings say of connections.
+    /// The settings of connections.
     pub(crate) settings: ConnectionSettings,
     /// The connections that all pools together may have.
     pub(crate) descriptors: Arc<ResourceBudget>,
@@ -51,7 +52,7 @@
     pub(crate) now: fn() -> Timestamp,
     /// Makes connections.
     pub(crate) dialer: Dialer,
-    /// Where the events of connections go.
+    /// Receives the events of connections.
     pub(crate) messages: Sender<RegistryMessage>,
 }
 
@@ -62,17 +63,17 @@
     address: SocketAddr,
     /// Whether dispatches may be sent; shared with the engine's handle.
     accepts_dispatches: Arc<AtomicBool>,
-    /// What is in flight or waits for a connection.
+    /// Requests that are in flight or wait for a connection.
     in_flight: HashMap<RequestId, InFlightRequest>,
-    /// What waits for a connection, in turn.
+    /// Requests that wait for a connection, in the order in which they get one.
     waiting: VecDeque<RequestId>,
     connections: BTreeMap<ConnectionId, EngineConnection>,
     last_connection: ConnectionId,
     dials_in_progress: usize,
-    /// Dispatches that ended with their connection. Their jobs are told once it shows whether the engine accepts a new
-    /// connection.
+    /// Dispatches that ended with their connection. They are reported once it is known whether the engine accepts a
+    /// new connection.
     lost_dispatches: Vec<Sender<DispatchEvent>>,
-    /// The engine is not on the endpoint list any more.
+    /// The engine is no longer on the endpoint list.
     removed: bool,
     reuse_limit: ReuseLimit,
     fault_log: FaultLog,
@@ -103,12 +104,12 @@
         !self.connections.is_empty()
     }
 
-    /// Whether nothing can come of the pool any more.
+    /// Whether the pool can be removed: its engine is, and no request or report is outstanding.
     pub(crate) fn is_finished(&self) -> bool {
         self.removed && self.in_flight.is_empty() && self.lost_dispatches.is_empty()
     }
 
-    /// Whether something waits here for a descriptor, and none is left.
+    /// Whether a request waits for a connection that can't be made because no descriptor is left.
     pub(crate) fn lacks_descriptor(&self, context: &PoolContext) -> bool {
         !self.waiting.is_empty()
             && self.dials_in_progress == 0
@@ -116,7 +117,7 @@
             && context.descriptors.acquire(1).is_none()
     }
 
-    /// Since when the connection has been idle that has been so longest.
+    /// Since when the longest idle connection has been idle; `None` if no connection is.
     pub(crate) fn longest_idle_since(&self) -> Option<Instant> {
         self.longest_idle().map(|(since, _)| since)
     }
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Applies what the endpoint list says of the engine.
+    /// Applies a change of the engine's entry in the endpoint list.
     pub(crate) fn apply_update(&mut self, update: &EndpointUpdate, context: &PoolContext) {
         if let Some(restarted_at) = update.restarted_at {
             self.close_opened_before(restarted_at, context);
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Carries out a command. What it ends may leave a connection to what waits.
+    /// Carries out a command, then assigns the connections that it freed to waiting requests.
     pub(crate) fn handle_command(&mut self, command: PoolCommand, context: &PoolContext) {
         match command {
             PoolCommand::Send { id, request, gate, events } => {
--- a/crates/server/src/engine/pool/results.rs
+++ b/crates/server/src/engine/pool/results.rs
@@ -12,20 +12,20 @@
 use pebblevane::time::TimeDelta;
 use std::time::{Duration, Instant};
 
-/// A connection that ends this soon after it became busy, without having said anything, was stale. Most answers take
-/// longer.
+/// A connection that ends within this time of becoming busy, without any message, is considered to have been stale
+/// before. Most answers take longer.
 const STALE_WITHIN: Duration = Duration::from_millis(20);
 
 /// Whether the id of a request that has ended may be used again on its connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum IdUse {
     Reusable,
-    /// A late answer may still come under it.
+    /// A late answer may still arrive under it.
     Retired,
 }
 
 impl EnginePool {
-    /// A message has come on a connection.
+    /// Handles a message that was received on a connection.
     pub(super) fn message_received(
         &mut self,
         connection: ConnectionId,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes a request off its connection, or out of the queue.
+    /// Removes a request from its connection, or from the queue.
     pub(super) fn remove_request(&mut self, id: RequestId, id_use: IdUse) -> Option<InFlightRequest> {
         let request = self.in_flight.remove(&id)?;
         match request.connection.and_then(|connection| self.connections.get_mut(&connection)) {
@@ -64,8 +64,8 @@
         Some(request)
     }
 
-    /// Cancels a dispatch that its job no longer wants. On a connection that has been silent for a while nobody may be
-    /// reading, and only its end cancels for certain what is in flight there.
+    /// Cancels a dispatch, or releases its result if the first page was received. If the engine has been silent on the
+    /// connection for a while it may not read a cancellation, so the connection is closed instead.
     pub(super) fn cancel(&mut self, id: RequestId, context: &PoolContext) {
         let Some(request) = self.in_flight.get(&id) else { return };
         let Some(connection) = request.connection else {
@@ -86,24 +86,24 @@
         self.remove_request(id, IdUse::Retired);
     }
 
-    /// Ends everything that waits for a connection.
+    /// Fails all requests that wait for a connection.
     pub(super) fn fail_waiting(&mut self) {
         for id in std::mem::take(&mut self.waiting) {
             self.fail_request(id);
         }
     }
 
-    /// Ends a request with its connection, or without it ever having had one.
+    /// Ends a request whose connection was lost, or that got none.
     pub(super) fn fail_request(&mut self, id: RequestId) {
         let Some(request) = self.remove_request(id, IdUse::Retired) else { return };
         let had_connection = request.connection.is_some();
         match request.kind {
             RequestKind::Dispatch { events, .. } if had_connection => self.lost_dispatches.push(events),
             RequestKind::Dispatch { events, gate, .. } => {
-                // That a dispatch was withheld here says nothing against its engine.
+                // A dispatch that was withheld by this program is not the engine's fault.
                 let engine_reachable = gate.is_withheld();
                 let lost = DispatchEvent::Lost { status: DispatchStatus::Unreachable, engine_reachable };
-                // A job that is over hears nothing.
+                // This fails if the job has already finished.
                 let _ = events.try_send(lost);
             }
             RequestKind::HealthCheck(callback) => {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Closes a connection and ends what is in flight on it.
+    /// Closes a connection and fails the requests in flight on it.
     pub(super) fn connection_lost(
         &mut self,
         id: ConnectionId,
@@ -138,7 +138,7 @@
         self.probe_after_loss(context);
     }
 
-    /// After a stale connection, others that are idle for as long may be stale, too.
+    /// Lowers the reuse limit after a stale connection, since others that have been idle for as long may be stale too.
     fn learn_from_stale(&mut self, connection: &EngineConnection) {
         let was_silent = connection.last_received <= connection.last_change;
         let ended_at_once = was_silent && connection.last_change.elapsed() < STALE_WITHIN;
@@ -147,7 +147,8 @@
         }
     }
 
-    /// A process that has died accepts no new connection: that tells its end from a connection's.
+    /// Connects to the engine after a loss, to distinguish the failure of a connection from that of the engine: an
+    /// engine that has crashed accepts no connections.
     fn probe_after_loss(&mut self, context: &PoolContext) {
         let needs_probe = !self.lost_dispatches.is_empty() && self.dials_in_progress == 0;
         if needs_probe && !self.start_dial(context) {
@@ -156,18 +157,18 @@
         }
     }
 
-    /// Tells the jobs whose dispatches ended with their connection whether the engine accepts a new one.
+    /// Reports the dispatches that ended with their connection, and whether the engine accepts a new one.
     pub(super) fn report_lost_dispatches(&mut self, engine_reachable: bool) {
         for events in std::mem::take(&mut self.lost_dispatches) {
             let lost = DispatchEvent::Lost { status: DispatchStatus::ConnectionLost, engine_reachable };
-            // A job that is over hears nothing.
+            // This fails if the job has already finished.
             let _ = events.try_send(lost);
         }
     }
 }
 
 impl InFlightRequest {
-    /// Passes on the result of a health check. Returns what becomes of its id, if it has ended.
+    /// Passes on the result of a health check. Returns whether its id may be used again, if the check has ended.
     fn health_check_message(&mut self, message: &EngineMessage, read_at: Instant) -> Option<IdUse> {
         let (status, load_report) = match message {
             EngineMessage::Healthy(report) => (DispatchStatus::Completed, *report),
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Passes on a message about a dispatch. Returns what becomes of its id, if it has ended.
+    /// Passes on a message about a dispatch. Returns whether its id may be used again, if the dispatch has ended.
     fn dispatch_message(&mut self, message: EngineMessage) -> Option<IdUse> {
         let RequestKind::Dispatch { events, .. } = &self.kind else { return None };
         let ended = match &message {
@@ -206,7 +207,7 @@
             EngineMessage::Progress(Some(_)) | EngineMessage::FurtherPage { .. } => None,
             _ => Some(IdUse::Retired),
         };
-        // A job that can't keep up with a flood of updates misses some; its own timeout ends it.
+        // If the engine floods the channel the job misses messages, and its own timeout ends the dispatch.
         if events.try_send(DispatchEvent::Message(message)).is_err() {
             counters::UNEXPECTED_ENGINE_MESSAGES.increment();
         }
--- a/crates/server/src/engine/pool/sending.rs
+++ b/crates/server/src/engine/pool/sending.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::Ordering::SeqCst;
 
 impl EnginePool {
-    /// Writes a request to this connection, after the last check whether it still may be sent.
+    /// Writes a request to this connection, if it may still be sent.
     pub(super) fn send_on(&mut self, id: RequestId, connection_id: ConnectionId, context: &PoolContext) {
         if self.is_stale(connection_id) {
             self.connection_lost(connection_id, &ConnectionLostReason::UnexpectedInput, context);
@@ -33,15 +33,16 @@
         }
     }
 
-    /// Whether the connection is idle and its end, or input that nobody asked for, has come and was not read yet. What
-    /// is written then is lost, and whether it ran can't be known; a part of a message would spoil the answer.
+    /// Whether the connection is idle, and has ended or received unexpected input. A request written to a connection
+    /// that has ended is lost, and whether it ran can't be known; the rest of a partial message would corrupt the
+    /// answer.
     fn is_stale(&self, id: ConnectionId) -> bool {
         let is_stale =
             |connection: &EngineConnection| connection.is_idle() && connection.has_unexpected_input();
         self.connections.get(&id).is_some_and(is_stale)
     }
 
-    /// The bytes of a request; none if it may not be sent any more.
+    /// The bytes of a request; `None` if it may no longer be sent.
     fn encode_if_permitted(
         &self,
         id: RequestId,
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Claims a dispatch for sending. Returns false, and withholds it, if it may not be sent any more: its client has
-    /// left, it is too late, the engine drains, the job has withheld it, or the job's record forbids it.
+    /// Claims a dispatch for sending. Returns false, and withholds it, if it may not be sent any more: its client no
+    /// longer waits, its `begin_by` has passed, the engine is draining, or the job or the job's ledger forbids it.
     fn claim_dispatch(&self, request: &EngineRequest, gate: &SendGate, now: Timestamp) -> bool {
         let is_over = !request.liveness.is_waiting() || now >= request.begin_by;
         if is_over || !self.accepts_dispatches.load(SeqCst) || !gate.try_begin_send() {
@@ -84,7 +85,8 @@
         is_permitted
     }
 
-    /// Records the request as in flight and writes as much of it as fits. Returns the number of bytes written.
+    /// Records the request as in flight and writes as much of it as the socket buffer has space for. Returns the number
+    /// of bytes written.
     fn begin_request(
         &mut self,
         id: RequestId,
@@ -99,7 +101,7 @@
         connection.write_some(bytes)
     }
 
-    /// Nothing of a request was sent: it may be on another connection, unless that happens again and again.
+    /// Queues a request of which nothing was sent for another connection, or fails it after too many attempts.
     fn retry_unsent(
         &mut self,
         id: RequestId,
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Asks for a further page of a dispatch's result.
+    /// Requests a further page of a dispatch's result.
     pub(super) fn fetch_page(&mut self, id: RequestId, page_number: u32, context: &PoolContext) {
         self.write_for(id, |wire_id| encode_fetch(wire_id, page_number), context);
     }
--- a/crates/server/src/engine/pool/timeouts.rs
+++ b/crates/server/src/engine/pool/timeouts.rs
@@ -10,7 +10,7 @@
 use pebblevane::interface::DispatchStatus;
 use std::time::{Duration, Instant};
 
-/// A connection is silent after so many intervals of progress updates without one.
+/// A connection counts as silent after this many progress intervals without a message.
 const SILENT_AFTER_INTERVALS: f64 = 2.5;
 
 impl EnginePool {
@@ -31,7 +31,7 @@
     fn handle_timeout(&mut self, id: RequestId, now: Instant, context: &PoolContext) {
         let Some(request) = self.in_flight.get_mut(&id) else { return };
         if request.connection.is_none() && !request.may_share {
-            // A connection of its own takes long: one that is there will do.
+            // Connecting takes long, so the request shares a connection that exists.
             request.may_share = true;
             request.due = now + context.settings.connect_timeout;
             return self.share_connection(id, context);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Closes connections that have been idle too long, and those that have fallen silent.
+    /// Closes connections that have been idle for too long, and silent ones.
     pub(crate) fn sweep(&mut self, context: &PoolContext) {
         self.close_idle(context.settings.idle_timeout);
         self.close_silent(context);
@@ -71,13 +71,13 @@
         });
     }
 
-    /// A connection on which progress updates are due and nothing comes, while its engine speaks on others, is of no
-    /// use. Where all are silent it is the engine, which is for the admission controller to judge.
+    /// Closes the connections on which progress updates are due and nothing is received, while the engine sends on
+    /// others. If all are silent the engine itself may have failed, which the admission controller decides.
     fn close_silent(&mut self, context: &PoolContext) {
         let Some(interval) = context.settings.progress_interval else { return };
-        let speaks =
+        let is_engine_active =
             self.connections.values().any(|connection| connection.last_received.elapsed() < interval);
-        if !speaks {
+        if !is_engine_active {
             return;
         }
         let limit = interval.mul_f64(SILENT_AFTER_INTERVALS);
--- a/crates/server/src/engine/registry.rs
+++ b/crates/server/src/engine/registry.rs
@@ -1,5 +1,5 @@
-//! The way to the `engines` thread, which owns the pools of all engines. A thread an engine would cost little in one
-//! program, but hundreds of gateways that know many engines run a machine out of thread numbers.
+//! The handle on the `engines` thread, which owns the pools of all engines. With a thread for each engine, hundreds of
+//! gateways on one machine would exhaust its thread ids.
 
 use crate::config::connection_settings::ConnectionSettings;
 use crate::engine::command::{PoolCommand, RegistryMessage};
@@ -17,8 +17,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 
-/// Messages that may wait for the `engines` thread. A channel takes memory for all that it may hold once it has gone
-/// round, so that it is no larger than bursts.
+/// Messages that may be queued for the `engines` thread. A bounded channel occupies memory for its full capacity after
+/// some use, so this is no larger than a burst requires.
 const MESSAGES_CAPACITY: usize = 2048;
 
 /// The handle on the `engines` thread.
@@ -35,7 +35,7 @@
     /// starts the threads that connect.
     ///
     /// # Errors
-    /// What the system says where it refuses a thread or what polling needs.
+    /// The system's error if it refuses a thread or a poller.
     pub fn start(
         settings: ConnectionSettings,
         descriptors: Arc<ResourceBudget>,
@@ -57,22 +57,22 @@
         PoolId(self.next_pool.fetch_add(1, SeqCst))
     }
 
-    /// Hands a command over; waits while too many do.
+    /// Queues a command. Blocks while the queue is full.
     pub(crate) fn send_command(&self, pool: PoolId, command: PoolCommand) {
         // The `engines` thread ends only with the program.
         let _ = self.messages.send(RegistryMessage::Command { pool, command });
     }
 
-    /// Hands a command over unless too many wait. Returns whether it did.
+    /// Queues a command unless the queue is full. Returns whether it was queued.
     #[must_use]
     pub(crate) fn try_send_command(&self, pool: PoolId, command: PoolCommand) -> bool {
         self.messages.try_send(RegistryMessage::Command { pool, command }).is_ok()
     }
 
-    /// Records a change of the endpoint list. It takes effect before any command that is handed over later.
+    /// Records a change of the endpoint list. It takes effect before any command that is queued later.
     pub(crate) fn update_endpoint(&self, pool: PoolId, change: impl FnOnce(&mut EndpointUpdate)) {
         self.updates.record(pool, change);
-        // Where too many messages wait, the thread is awake and looks before the next of them.
+        // If the queue is full the thread is awake, and applies updates before it handles the next message.
         let _ = self.messages.try_send(RegistryMessage::Wakeup);
     }
 }
--- a/crates/server/src/engine/registry_loop.rs
+++ b/crates/server/src/engine/registry_loop.rs
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Interval of looking for idle and silent connections.
+/// How often idle and silent connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the thread owns.
+/// The state of the `engines` thread.
 pub(crate) struct RegistryLoop {
     pools: BTreeMap<PoolId, EnginePool>,
     deadlines: Deadlines,
@@ -61,8 +61,8 @@
         }
     }
 
-    /// When there is something to do, whether or not a message comes. Without connections there is nothing to sweep,
-    /// and an idle program sleeps.
+    /// The time of the next timeout or sweep. Without connections there is nothing to sweep, so that an idle program
+    /// sleeps until a message arrives.
     fn next_wakeup(&self) -> Option<Instant> {
         let has_connections = self.pools.values().any(EnginePool::has_connections);
         let sweep = has_connections.then_some(self.next_sweep);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Lets a pool do something, then notes its next deadline, or drops it once it is finished.
+    /// Runs an action on a pool, then updates the pool's next deadline, or removes the pool if it has finished.
     fn with_pool(&mut self, id: PoolId, action: impl FnOnce(&mut EnginePool, &PoolContext)) {
         let Some(pool) = self.pools.get_mut(&id) else { return };
         action(pool, &self.context);
@@ -131,8 +131,7 @@
         }
     }
 
-    /// Where descriptors are used up by connections that are idle at other engines, closes the one that has been idle
-    /// longest, for this pool's sake.
+    /// Closes the longest idle connection to another engine, so that this pool can use its descriptor.
     fn reclaim_descriptor(&mut self, id: PoolId) {
         let others = self.pools.iter().filter(|(other, _)| **other != id);
         let idle = others.filter_map(|(other, pool)| Some((pool.longest_idle_since()?, *other)));
@@ -147,12 +146,12 @@
     }
 }
 
-/// Answers a command for an engine that has been removed: it is never carried out.
+/// Reports that a command can't be carried out because its engine has been removed.
 fn refuse_command(command: PoolCommand) {
     match command {
         PoolCommand::Send { events, .. } => {
             let lost = DispatchEvent::Lost { status: DispatchStatus::Unreachable, engine_reachable: false };
-            // A job that is over hears nothing.
+            // This fails if the job has already finished.
             let _ = events.try_send(lost);
         }
         PoolCommand::CheckHealth { callback, .. } => {
--- a/crates/server/src/engine/request.rs
+++ b/crates/server/src/engine/request.rs
@@ -1,4 +1,4 @@
-//! What the rest of the program hands to an engine's pool, and what it gets back.
+//! Dispatches and health checks as other parts of the program hand them to an engine's pool, and their results.
 
 use crate::codec::engine::EngineMessage;
 use crate::engine::dispatch_ledger::DispatchLedger;
@@ -7,7 +7,7 @@
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::Arc;
 
-/// A dispatch as the engine is to read it, and what decides at the last moment whether it may be sent.
+/// A dispatch: what is sent to the engine, and what is checked just before its first byte.
 pub struct EngineRequest {
     /// The client's id of the job, which is also its id on the wire.
     pub id: Box<str>,
@@ -15,19 +15,19 @@
     pub class: Arc<str>,
     /// When the dispatch times out.
     pub deadline: Timestamp,
-    /// Its first byte is sent before this or never.
+    /// The dispatch is withheld if its first byte was not sent before this time.
     pub begin_by: Timestamp,
     /// Whether the client still waits for the job.
     pub liveness: Arc<dyn ClientLiveness>,
     /// The job's record of earlier dispatches.
     pub ledger: Arc<DispatchLedger>,
-    /// Priority, for engines that heed it.
+    /// The priority, for engines that schedule by it.
     pub priority: Option<u8>,
     /// The statement to run.
     pub statement: Arc<[u8]>,
 }
 
-/// What a job hears of its dispatch.
+/// An event of a dispatch, for its job.
 #[derive(Debug)]
 pub enum DispatchEvent {
     /// A message of the engine.
@@ -36,7 +36,8 @@
     Lost {
         /// `ConnectionLost` or `Unreachable`.
         status: DispatchStatus,
-        /// The engine is not at fault: it has accepted a new connection since, or the dispatch was withheld here.
+        /// Not the engine's fault: it has accepted a new connection since, or the dispatch was withheld by this
+        /// program.
         engine_reachable: bool,
     },
 }
--- a/crates/server/src/engine/send_gate.rs
+++ b/crates/server/src/engine/send_gate.rs
@@ -1,8 +1,8 @@
-//! The state that a dispatch's owner and its engine's pool share: whether the dispatch may still be sent.
+//! The state that a dispatch's job and its engine's pool share: whether the dispatch may still be sent.
 
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering::SeqCst};
 
-/// Where a dispatch is on its way to the engine.
+/// How far a dispatch has been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 enum SendState {
@@ -10,11 +10,11 @@
     Queued = 0,
     /// Its first byte is being written, or has been.
     Sent = 1,
-    /// It is never sent from now on.
+    /// It must not be sent, or sent again, from now on.
     Withheld = 2,
 }
 
-/// The last check before a dispatch's first byte: it is either sent or withheld, whoever is first.
+/// Decides atomically whether a dispatch is sent or withheld; the first of both sides to change the state wins.
 #[derive(Default)]
 pub(crate) struct SendGate {
     /// A [`SendState`].
@@ -40,7 +40,7 @@
         self.state.swap(SendState::Withheld as u8, SeqCst) != SendState::Sent as u8
     }
 
-    /// Puts a dispatch back into the queue of which nothing was sent, unless it has been withheld meanwhile.
+    /// Returns a dispatch of which nothing was sent to the queue, unless it has been withheld meanwhile.
     pub(crate) fn requeue_unsent(&self) {
         self.change(SendState::Sent, SendState::Queued);
         self.may_have_been_sent.store(false, SeqCst);
--- a/crates/server/src/engine/socket_poller.rs
+++ b/crates/server/src/engine/socket_poller.rs
@@ -1,5 +1,5 @@
-//! Reads all connections to engines in one thread. A thread for each would be woken every time that the program is
-//! stopped and continued, which happens many times a second on a fraction of a core.
+//! Reads all connections to engines in one thread. Where the scheduler throttles the process to a fraction of a core,
+//! it is stopped and continued many times a second, and each time a thread for each connection would be woken.
 
 use crate::codec::engine::{EngineMessage, parse_message};
 use crate::engine::connection_error::ConnectionLostReason;
@@ -16,18 +16,18 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::{Duration, Instant};
 
-/// New connections that may wait for the thread.
+/// New connections that may be queued for the thread.
 const NEW_CONNECTIONS_CAPACITY: usize = 256;
 /// Events that one wait returns at most.
 const EVENTS_CAPACITY: usize = 256;
 const WAKE_TOKEN: Token = Token(usize::MAX);
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Reads of one connection before others have their turn.
+/// Reads from one connection before others are served.
 const READS_PER_TURN: usize = 4;
 /// Memory that a connection without a partial message keeps for the next one.
 const RETAINED_BUFFER_BYTES: usize = 4096;
 
-/// What a pool is told of one of its connections.
+/// An event on a connection, for its pool.
 pub(crate) enum ConnectionEvent {
     /// A message of the engine.
     Message {
@@ -38,23 +38,23 @@
         /// When it was read.
         read_at: Instant,
     },
-    /// Nothing more will come.
+    /// The connection has ended; there are no further events.
     Ended(ConnectionLostReason),
 }
 
 /// The reading side of a connection.
 pub(crate) struct ReadHalf {
     stream: Arc<TcpStream>,
-    /// A message whose rest does not come for so long will not be completed.
+    /// The connection ends if a partial message is not continued within this time.
     stall_timeout: Duration,
     on_event: Box<dyn Fn(ConnectionEvent) + Send>,
-    /// What has been read and is not a whole message yet.
+    /// The bytes of an incomplete message.
     buffer: Vec<u8>,
     last_read: Instant,
     has_partial_message: Arc<AtomicBool>,
 }
 
-/// How a turn of reading ended.
+/// Why reading stopped.
 enum ReadTurn {
     /// There is nothing more to read.
     Drained,
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Shows whether the first part of a message has been read, and not the rest.
+    /// A flag that is set while only the first part of a message has been read.
     pub(crate) fn has_partial_message(&self) -> Arc<AtomicBool> {
         self.has_partial_message.clone()
     }
 
-    /// Reads what is there, and passes on the messages that are complete.
+    /// Reads what is available and passes on complete messages.
     fn read(&mut self, read_buffer: &mut [u8]) -> Result<ReadTurn, ConnectionLostReason> {
         for _ in 0..READS_PER_TURN {
             match (&*self.stream).read(read_buffer) {
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// The time until the connection has stalled; none without a partial message.
+    /// The time until the connection counts as stalled; `None` without a partial message.
     fn time_until_stalled(&self) -> Option<Duration> {
         (!self.buffer.is_empty()).then(|| self.stall_timeout.saturating_sub(self.last_read.elapsed()))
     }
@@ -138,7 +138,7 @@
     /// Starts the thread. It runs to the program's end and is not joined.
     ///
     /// # Errors
-    /// What the system says where it refuses the thread or what polling needs.
+    /// The system's error if it refuses the thread or a poller.
     pub(crate) fn start() -> io::Result<Arc<SocketPoller>> {
         let poll = retry_transient_errors(Poll::new)?;
         let (new_connections, added) = bounded(NEW_CONNECTIONS_CAPACITY);
@@ -151,7 +151,7 @@
     /// Reads this connection from now on.
     ///
     /// # Errors
-    /// Where too many new connections wait for the thread, or it can't be woken.
+    /// If too many new connections are queued, or the thread can't be woken.
     pub(crate) fn add(&self, read_half: ReadHalf) -> io::Result<()> {
         let added = self.new_connections.try_send(read_half);
         added.map_err(|_| io::Error::other("too many new connections"))?;
@@ -159,7 +159,7 @@
     }
 }
 
-/// What the thread owns.
+/// The state of the thread.
 struct PollLoop {
     poll: Poll,
     added: Receiver<ReadHalf>,
