--- a/crates/adapter-common/src/engine_ids.rs
+++ b/crates/adapter-common/src/engine_ids.rs
@@ -1,4 +1,4 @@
-//! The numbers by which the controller knows engines.
+//! The numbers by which the controller identifies engines.
 
 use pebblevane::interface::EngineId;
 use std::collections::HashMap;
--- a/crates/adapter-common/src/fields.rs
+++ b/crates/adapter-common/src/fields.rs
@@ -12,9 +12,9 @@
     pub object: String,
     /// The name of the field.
     pub field: String,
-    /// What the field holds; none where it is missing.
+    /// The value of the field; `None` if it is missing.
     pub found: Option<Json>,
-    /// What it is to hold.
+    /// The expected value.
     pub wanted: Wanted,
 }
 
@@ -22,7 +22,7 @@
     found.map_or_else(|| "missing".to_string(), Json::to_string)
 }
 
-/// What a field is to hold.
+/// The expected value of a field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wanted {
     /// Any string.
@@ -33,13 +33,13 @@
     Object,
     /// Any number.
     Number,
-    /// A number from 0 without a fraction.
+    /// An integer from 0.
     WholeNumber,
-    /// A whole number not below this one.
+    /// An integer from this minimum.
     AtLeast(usize),
     /// `true` or `false`.
     Flag,
-    /// What these words say.
+    /// A value with this description.
     Described(&'static str),
 }
 
@@ -58,17 +58,17 @@
     }
 }
 
-/// One JSON object, and the name by which errors call it. A field that is null counts as missing.
+/// A JSON object and its name in errors. A field that is null counts as missing.
 #[derive(Clone, Copy)]
 pub struct Fields<'a> {
     /// The name of the object.
     pub name: &'a str,
-    /// The object itself. Where it is none, all fields are missing.
+    /// The object itself. If it is another JSON value, all fields are missing.
     pub json: &'a Json,
 }
 
 impl<'a> Fields<'a> {
-    /// The error for a field that does not hold what is wanted.
+    /// The error for a field that does not have the expected value.
     pub fn error(&self, field: &str, wanted: Wanted) -> FieldError {
         FieldError {
             object: self.name.to_string(),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The value of a field, if it is there.
+    /// The value of a field, if it is present.
     pub fn get(&self, field: &str) -> Option<&'a Json> {
         self.json.get(field).filter(|value| !value.is_null())
     }
@@ -86,7 +86,7 @@
     /// The string of a field.
     ///
     /// # Errors
-    /// If the field is missing or holds something else.
+    /// If the field is missing or has another type.
     pub fn text(&self, field: &str) -> Result<&'a str, FieldError> {
         self.get(field).and_then(Json::as_str).ok_or_else(|| self.error(field, Wanted::Text))
     }
@@ -94,16 +94,16 @@
     /// The array of a field.
     ///
     /// # Errors
-    /// If the field is missing or holds something else.
+    /// If the field is missing or has another type.
     pub fn list(&self, field: &str) -> Result<&'a [Json], FieldError> {
         let list = self.get(field).and_then(Json::as_array);
         list.map(Vec::as_slice).ok_or_else(|| self.error(field, Wanted::List))
     }
 
-    /// The object of a field; its errors call it by the field's name.
+    /// The object of a field; its name in errors is that of the field.
     ///
     /// # Errors
-    /// If the field is missing or holds something else.
+    /// If the field is missing or has another type.
     pub fn object(&self, field: &'a str) -> Result<Fields<'a>, FieldError> {
         let json = self.get(field).filter(|json| json.is_object());
         json.map(|json| Fields { name: field, json }).ok_or_else(|| self.error(field, Wanted::Object))
@@ -112,7 +112,7 @@
     /// The number of a field.
     ///
     /// # Errors
-    /// If the field is missing or holds something else.
+    /// If the field is missing or has another type.
     pub fn number(&self, field: &str) -> Result<f64, FieldError> {
         self.get(field).and_then(Json::as_f64).ok_or_else(|| self.error(field, Wanted::Number))
     }
@@ -120,31 +120,31 @@
     /// The whole number of a field.
     ///
     /// # Errors
-    /// If the field is missing, or holds something else or a number below 0.
+    /// If the field is missing, or has another type or a number below 0.
     pub fn whole(&self, field: &str) -> Result<u64, FieldError> {
         self.get(field).and_then(Json::as_u64).ok_or_else(|| self.error(field, Wanted::WholeNumber))
     }
 
-    /// The number of a field, or `default` where it is missing.
+    /// The number of a field, or `default` if it is missing.
     ///
     /// # Errors
-    /// If the field holds something else.
+    /// If the field has another type.
     pub fn number_or(&self, field: &str, default: f64) -> Result<f64, FieldError> {
         if self.get(field).is_some() { self.number(field) } else { Ok(default) }
     }
 
-    /// The whole number of a field, or 0 where it is missing.
+    /// The whole number of a field, or 0 if it is missing.
     ///
     /// # Errors
-    /// If the field holds something else or a number below 0.
+    /// If the field has another type or a number below 0.
     pub fn whole_or_zero(&self, field: &str) -> Result<u64, FieldError> {
         if self.get(field).is_some() { self.whole(field) } else { Ok(0) }
     }
 
-    /// The flag of a field; false where it is missing.
+    /// The flag of a field, or false if it is missing.
     ///
     /// # Errors
-    /// If the field holds something else.
+    /// If the field has another type.
     pub fn flag(&self, field: &str) -> Result<bool, FieldError> {
         match self.get(field) {
             None => Ok(false),
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The time of a field that holds milliseconds.
+    /// The duration of a field that holds milliseconds.
     ///
     /// # Errors
     /// If the field is missing or holds no number.
--- a/crates/adapter-common/src/lib.rs
+++ b/crates/adapter-common/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the simulator adapter and the server share on the way to the admission controller: reading JSON objects with
-//! precise errors, flattening settings, and numbering engines.
+//! What the simulator adapter and the server share to feed the admission controller: reading JSON objects with precise
+//! errors, flattening settings, and numbering engines.
 
 mod engine_ids;
 mod fields;
--- a/crates/server/src/client/admission.rs
+++ b/crates/server/src/client/admission.rs
@@ -19,25 +19,25 @@
 use pebblevane::time::Timestamp;
 use std::sync::Arc;
 
-/// What became of a message. Clients whose messages are refused are read more slowly.
+/// Whether a message was accepted. Clients whose messages are refused are read more slowly.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Outcome {
     /// The job was handed to the controller, or the message was carried out.
     Accepted,
-    /// The message is of no use, or a limit of the program is reached.
+    /// The message is invalid, or a limit of the program is reached.
     Refused,
 }
 
-/// What a job holds of the program's limits.
+/// The permits that a job holds while it is open.
 struct JobPermits {
     job_slot: Permit,
     memory: Permit,
 }
 
-/// Processes a message. `arrived_at` is when it may have arrived at the earliest.
+/// Processes a message. `arrived_at` is the earliest time at which it can have arrived.
 ///
 /// # Errors
-/// A request whose id equals that of an open request: any answer would be taken for the open request's.
+/// If a request has the id of an open request: its client could not tell the two answers apart.
 pub(super) fn handle_message(
     context: &ClientContext,
     session: &Arc<ClientSession>,
@@ -112,14 +112,14 @@
     Some(JobPermits { job_slot: job_slot?, memory: memory? })
 }
 
-/// Rejects a job that the controller never sees: the program's only decision of its own.
+/// Rejects a job without asking the controller. This is the only decision that the server makes itself.
 fn reject_at_limit(session: &ClientSession, request_id: RequestId) -> Outcome {
     counters::LOCAL_LIMIT_REJECTIONS.increment();
     session.write(request_id, &Reply::Rejected { retry_after: RETRY_AFTER });
     Outcome::Refused
 }
 
-/// The job as the controller sees it.
+/// The job as it is submitted to the controller.
 fn controller_job(request: &ClientRequest) -> Job {
     Job {
         class: request.class,
@@ -132,7 +132,7 @@
     }
 }
 
-/// The job as the threads see it that dispatch and answer it.
+/// The job as the thread that dispatches and answers it receives it.
 fn admitted_job(
     context: &ClientContext,
     session: &Arc<ClientSession>,
--- a/crates/server/src/client/arrival_time.rs
+++ b/crates/server/src/client/arrival_time.rs
@@ -1,17 +1,17 @@
-//! Estimates when received messages arrived. A process that gets little processor time finds them late, while their
-//! clients' timeouts are running.
+//! Estimates when received messages arrived. A process that gets little processor time reads them late, while the
+//! clients' timeouts are already running.
 
 use pebblevane::time::{TimeDelta, Timestamp};
 
-/// A wait that returns within this time found its events waiting. The call itself may take some tenths of a
-/// millisecond on a fraction of a core.
+/// If a wait returns within this time, its events had arrived before it began. The call itself may take some tenths of
+/// a millisecond on a fraction of a core.
 const IMMEDIATE_RETURN: TimeDelta = TimeDelta(2_000);
 /// A wait that returns this much later than its timeout was delayed by the system.
 const DELAYED_RETURN: TimeDelta = TimeDelta(10_000);
 
-/// Follows the waits for events of one thread.
+/// Estimates arrival times from the waits for events of one thread.
 pub struct ArrivalTimeEstimator {
-    /// Whatever arrived before has been found.
+    /// All events that arrived before this time have been returned by a wait.
     seen_until: Timestamp,
 }
 
@@ -21,9 +21,9 @@
     pub started_at: Timestamp,
     /// When it returned.
     pub returned_at: Timestamp,
-    /// The longest that it was to last.
+    /// The timeout of the wait.
     pub timeout: TimeDelta,
-    /// A signal ended it.
+    /// Whether a signal ended it.
     pub interrupted: bool,
 }
 
@@ -44,7 +44,7 @@
         ArrivalTimeEstimator { seen_until: now }
     }
 
-    /// The earliest time at which the events that a wait has found can have arrived.
+    /// The earliest time at which the events that a wait has returned can have arrived.
     pub fn earliest_arrival(&mut self, wait: &PollWait) -> Timestamp {
         let was_delayed = wait.was_delayed();
         let earliest = if wait.returned_immediately() {
--- a/crates/server/src/client/connection.rs
+++ b/crates/server/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! The state of a client connection that only the clients' thread sees.
+//! The state of a client connection that only the clients' thread uses.
 
 use super::closing::ClosingConnection;
 use super::idle::IdleLimits;
@@ -8,20 +8,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A client connection as far as it has been read.
+/// A client connection and the progress of reading it.
 pub(super) struct ClientConnection {
     pub session: Arc<ClientSession>,
     /// The bytes of an incomplete message.
     pub received: Vec<u8>,
     /// Covers the received bytes beyond a small allowance.
     pub received_permit: Permit,
-    /// Since when a message is due: the first since the connection was accepted, another since its first byte.
+    /// Since when a message is due: the first one since the connection was accepted, later ones since their first byte.
     pub message_due_since: Option<Instant>,
-    /// The pass of the event loop that accepted it.
+    /// The pass of the event loop in which it was accepted.
     pub accepted_in: Pass,
-    /// No complete message has been received: the first request may be on its way.
+    /// No complete message has been received yet, so the first request may still be in transit.
     pub awaits_first_message: bool,
-    /// Messages in a row that were refused.
+    /// Messages refused since the last accepted one.
     pub consecutive_refusals: u32,
     /// Nothing is read before this time.
     pub paused_until: Option<Instant>,
@@ -34,7 +34,7 @@
 pub(super) struct Pass {
     /// Passes before this one.
     pub number: u64,
-    /// The earliest time at which what the pass has found can have arrived.
+    /// The earliest time at which the events of the pass can have arrived.
     pub earliest_arrival: Timestamp,
 }
 
@@ -54,8 +54,8 @@
         }
     }
 
-    /// How long it has been silent, if that exceeds the limits. `None` also while a request is open, an answer was
-    /// not read completely, or the connection is being closed.
+    /// How long it has been silent, if that exceeds the limits. `None` also while a request is open, the client has not
+    /// read all answers, or the connection is being closed.
     pub fn overdue_for(&self, limits: &IdleLimits) -> Option<Duration> {
         let idle_for = self.session.idle_for().filter(|_| self.closing.is_none())?;
         let (silent_for, limit) = match self.message_due_since {
--- a/crates/server/src/client/event_loop/accept.rs
+++ b/crates/server/src/client/event_loop/accept.rs
@@ -10,7 +10,7 @@
 use std::os::fd::AsRawFd;
 
 impl ClientEventLoop {
-    /// Accepts all connections that wait, as far as descriptors are left. Others are accepted in a later pass.
+    /// Accepts pending connections as long as descriptors are left. The others are accepted in a later pass.
     pub(super) fn accept(&mut self) {
         self.accept_pending = false;
         loop {
@@ -26,7 +26,8 @@
                 Err(e) => Err(e),
             };
             if let Err(e) = added {
-                // The connection has ended already, or the system has no descriptor left. Others may still wait.
+                // The connection has ended already, or the system has no descriptor left. Further connections may be
+                // pending.
                 tracing::debug!(reason = %e, "accepting a client failed");
                 self.accept_pending = true;
                 return;
--- a/crates/server/src/client/event_loop/close.rs
+++ b/crates/server/src/client/event_loop/close.rs
@@ -10,7 +10,7 @@
 use std::os::fd::AsRawFd;
 
 impl ClientEventLoop {
-    /// Ends a connection at once, where its client has left or gets no more time. Its open requests are cancelled.
+    /// Ends a connection at once, and cancels its open requests.
     pub(super) fn abort(&mut self, id: ConnectionId, reason: &CloseReason) {
         let Some(connection) = self.connections.remove(&id) else { return };
         tracing::debug!(connection = id.0, reason = %reason, "client connection ended");
@@ -21,8 +21,8 @@
         session.abort();
     }
 
-    /// Begins a graceful close, whatever the reason. Open requests are cancelled, and the answers that were given are
-    /// written before the connection ends.
+    /// Begins a graceful close: open requests are cancelled, and pending answers are written before the connection
+    /// ends.
     pub(super) fn close(&mut self, id: ConnectionId, reason: &CloseReason) {
         let Some(connection) =
             self.connections.get_mut(&id).filter(|connection| connection.closing.is_none())
@@ -36,7 +36,8 @@
         self.advance_close(id);
     }
 
-    /// Closes a connection that is not needed, unless what has been received since then says otherwise.
+    /// Closes a connection that `is_unneeded`, after reading it: bytes received in the meantime may mean that it is
+    /// needed.
     pub(super) fn close_unless_needed(
         &mut self,
         id: ConnectionId,
--- a/crates/server/src/client/event_loop/evict.rs
+++ b/crates/server/src/client/event_loop/evict.rs
@@ -1,4 +1,4 @@
-//! Closing idle connections: after the usual time, or sooner where new connections wait for a descriptor.
+//! Closing idle connections: after the usual time, or sooner if new connections wait for a descriptor.
 
 use super::{ClientEventLoop, ConnectionId};
 use crate::client::close_reason::CloseReason;
@@ -8,8 +8,8 @@
 use crate::telemetry::counters;
 use std::time::Duration;
 
-/// Connections that are evicted at a time. Searching all connections for each new one would take too much time when
-/// hundreds come.
+/// Connections that are evicted at a time. When hundreds of new connections arrive, searching all connections for each
+/// of them would take too much time.
 const EVICTION_BATCH: usize = 8;
 /// No more connections are evicted while this many are being closed.
 const MAX_CLOSING: usize = 32;
@@ -17,8 +17,8 @@
 /// The order in which connections are evicted, the greatest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
-    /// A message is due. Such connections are evicted before those that are idle between messages.
-    owes_message: bool,
+    /// Whether a message is due. Such connections are evicted before those that are idle between messages.
+    message_is_due: bool,
     overdue_for: Duration,
 }
 
@@ -26,7 +26,7 @@
     /// The rank of a connection, or `None` if it may not be evicted.
     fn of(connection: &ClientConnection) -> Option<EvictionRank> {
         let overdue_for = connection.overdue_for(&IDLE_LIMITS_AT_CAPACITY)?;
-        Some(EvictionRank { owes_message: connection.message_due_since.is_some(), overdue_for })
+        Some(EvictionRank { message_is_due: connection.message_due_since.is_some(), overdue_for })
     }
 }
 
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Ends connections for the sake of new ones: those whose end the client was shown, then those that owe a message,
-    /// then those that are idle between messages, in each case the longest first.
+    /// Closes connections to free descriptors for new ones: those in the last step of a graceful close, then those with
+    /// a message due, then those idle between messages, in each group the longest first.
     pub(super) fn evict(&mut self) {
         self.abort_lingering();
         for id in self.eviction_candidates() {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Aborts the connections whose clients have had time to read the end.
+    /// Aborts the connections whose clients have not finished a graceful close in time.
     fn abort_lingering(&mut self) {
         let is_overdue = |connection: &ClientConnection| {
             connection.closing.as_ref().is_some_and(ClosingConnection::is_overdue_at_capacity)
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The next connections to be evicted, in their order.
+    /// The connections to evict next, in this order.
     fn eviction_candidates(&self) -> Vec<ConnectionId> {
         let closing = self.connections.values().filter(|connection| connection.closing.is_some()).count();
         let ranked = self.connections.iter().filter_map(|(id, connection)| {
--- a/crates/server/src/client/event_loop/mod.rs
+++ b/crates/server/src/client/event_loop/mod.rs
@@ -1,7 +1,7 @@
 //! The thread that accepts, reads and closes all client connections.
 //!
-//! Each pass waits for events, reads the connections that have some, accepts new connections, and takes the next steps
-//! of what is due: closing idle connections, logging the counters, shutting down.
+//! Each pass waits for events, reads the connections that have received something, accepts new connections, and runs
+//! the periodic tasks: closing idle connections, logging the counters, and advancing a shutdown.
 
 mod accept;
 mod close;
@@ -38,7 +38,7 @@
 const LISTENER_TOKEN: Token = Token(usize::MAX);
 const READ_AND_WRITE: Interest = Interest::READABLE.add(Interest::WRITABLE);
 
-/// The number of a connection, which is never used again.
+/// The number of a connection. Numbers are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct ConnectionId(usize);
 
@@ -54,25 +54,25 @@
     poll: Poll,
     /// `None` once no new connections are accepted.
     listener: Option<TcpListener>,
-    /// New connections wait for a descriptor.
+    /// Whether connections may be pending that are to be accepted in a later pass.
     accept_pending: bool,
     connections: HashMap<ConnectionId, ClientConnection>,
-    /// Connections of which nothing is read for a while.
+    /// Connections whose reading is paused.
     paused: Vec<ConnectionId>,
     unused_ids: RangeFrom<usize>,
     read_buffer: Vec<u8>,
     arrivals: ArrivalTimeEstimator,
     pass: Pass,
-    /// The last wait found its events waiting.
+    /// The events of the last wait had arrived before it began.
     returned_immediately: bool,
     last_sweep: Instant,
     last_counters_line: Instant,
 }
 
-/// What a wait for events has found.
+/// The events that a wait has returned.
 #[derive(Default)]
 struct PollOutcome {
-    /// Connections that their clients have closed, whatever is still to be read before their end.
+    /// Connections that their clients have closed; there may still be bytes to read.
     closed: Vec<ConnectionId>,
     ready: Vec<ConnectionId>,
     has_new_connections: bool,
@@ -104,8 +104,7 @@
         })
     }
 
-    /// Serves clients until a shutdown is over: all requests are answered and all connections closed, or its time has
-    /// run out.
+    /// Serves clients until a shutdown is over: all connections are closed, or the time for it has run out.
     pub fn run(mut self) {
         let mut events = Events::with_capacity(EVENTS_CAPACITY);
         loop {
@@ -119,7 +118,7 @@
         }
     }
 
-    /// Waits for events and notes when they can have arrived.
+    /// Waits for events and records when they can have arrived.
     fn wait(&mut self, events: &mut Events, is_shutting_down: bool) -> PollOutcome {
         let timeout = self.poll_timeout(is_shutting_down);
         let started_at = clock::now();
@@ -201,7 +200,7 @@
             return;
         }
         connection.session.flush();
-        // What the first wait after it was accepted finds at once may have arrived before it was accepted.
+        // Events that the first wait after the accept returned immediately may have arrived before the accept.
         let accepted_before_wait = connection.accepted_in.number + 1 == pass.number;
         let arrived_in =
             if accepted_before_wait && self.returned_immediately { connection.accepted_in } else { pass };
@@ -215,20 +214,21 @@
         self.advance_close(id);
     }
 
-    /// Asks for a new event if the connection has more to be read.
+    /// Registers the connection again: events are edge-triggered, so bytes left unread cause no further event.
     fn request_event(&self, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else { return };
         let descriptor = connection.session.stream().as_raw_fd();
-        // Registering a registered descriptor anew does not fail.
+        // Registering a registered descriptor again does not fail.
         let _ = self.poll.registry().reregister(&mut SourceFd(&descriptor), id.token(), READ_AND_WRITE);
     }
 
-    /// The client has closed the connection, or its side of it. The two can't be told apart, and clients of this protocol
-    /// gain nothing from half a connection, so its open requests are cancelled.
+    /// Handles a connection that the client has closed, or of which it has shut down its side. The two can't be
+    /// distinguished, and clients of this protocol have no use for a half-closed connection, so open requests are
+    /// cancelled.
     fn closed_by_client(&mut self, id: ConnectionId) {
         match self.connections.get_mut(&id) {
-            // It may still read the last answers. What it has sent is read to its end, as unread bytes would reset
-            // the connection.
+            // The client may still read the last answers. What it has sent is read to the end, since unread bytes
+            // would reset the connection.
             Some(connection) if connection.closing.is_some() => {
                 connection.paused_until = None;
                 self.read(id);
--- a/crates/server/src/client/event_loop/shutdown.rs
+++ b/crates/server/src/client/event_loop/shutdown.rs
@@ -7,13 +7,13 @@
 use pebblevane::time::Timestamp;
 
 impl ClientEventLoop {
-    /// Takes the next steps of a shutdown, and returns whether it is over.
+    /// Advances a shutdown, and returns whether it is over.
     pub(super) fn advance_shutdown(&mut self, schedule: &ShutdownSchedule, now: Timestamp) -> bool {
         if now < schedule.accept_until {
             return false;
         }
         self.stop_accepting();
-        // After that time the rest of a message, or a first one, is not waited for any more.
+        // After `answered_by`, incomplete and first messages are no longer waited for.
         let may_still_send = now < schedule.answered_by;
         for id in self.connections.keys().copied().collect::<Vec<ConnectionId>>() {
             self.close_for_shutdown(id, may_still_send);
@@ -21,7 +21,7 @@
         self.connections.is_empty() || now >= schedule.exit_at
     }
 
-    /// Accepts the connections that the system has accepted already, and closes the listener.
+    /// Accepts the connections that are pending in the listen queue, and closes the listener.
     fn stop_accepting(&mut self) {
         if self.listener.is_some() {
             self.accept();
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Closes a connection once it is idle, or goes on with its close.
+    /// Closes a connection once it is idle, or advances its close.
     fn close_for_shutdown(&mut self, id: ConnectionId, may_still_send: bool) {
         let is_unneeded = |connection: &ClientConnection| {
             if may_still_send {
--- a/crates/server/src/client/idle.rs
+++ b/crates/server/src/client/idle.rs
@@ -12,14 +12,14 @@
     pub idle: Duration,
 }
 
-/// Clients close their own idle connections before this.
+/// Longer than the time after which clients close idle connections themselves.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The usual limits.
 pub(super) const IDLE_LIMITS: IdleLimits =
     IdleLimits { first_message: IDLE_TIMEOUT, rest_of_message: Duration::from_secs(2), idle: IDLE_TIMEOUT };
 
-/// The limits where new connections wait for a descriptor.
+/// The limits while new connections wait for a descriptor.
 pub(super) const IDLE_LIMITS_AT_CAPACITY: IdleLimits = IdleLimits {
     first_message: Duration::from_millis(100),
     rest_of_message: Duration::from_millis(100),
--- a/crates/server/src/client/mod.rs
+++ b/crates/server/src/client/mod.rs
@@ -1,7 +1,7 @@
-//! Client connections: accepting, reading and closing them, and the admission of the jobs that come on them.
+//! Client connections: accepting, reading and closing them, and admitting the jobs that clients submit.
 //!
-//! One thread, the [`event_loop::ClientEventLoop`], does all of this. Answers are written by the threads that give them,
-//! through the connection's session.
+//! One thread, the [`event_loop::ClientEventLoop`], does all of this. An answer is written by whichever thread produces
+//! it, through the connection's session.
 
 pub mod admission;
 pub mod arrival_time;
--- a/crates/server/src/client/reading.rs
+++ b/crates/server/src/client/reading.rs
@@ -11,26 +11,26 @@
 use std::io::{ErrorKind, Read};
 use std::time::{Duration, Instant};
 
-/// Bytes of an incomplete message that are not taken from the budget, and the capacity that a buffer keeps.
+/// Bytes of an incomplete message that are not taken from the budget, and the capacity that an empty buffer retains.
 const SMALL_BUFFER_BYTES: usize = 4096;
-/// Reads from one connection before others have their turn.
+/// Reads from one connection before others are served.
 const READS_PER_TURN: usize = 4;
 /// Reading pauses for this long after each refused message in a row.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(5);
-/// The refused messages that lengthen the pause.
+/// The pause grows with the refused messages up to this many.
 const MAX_PAUSE_FACTOR: u32 = 20;
-/// The same while a request is open: its client has to be heard well within the 0.1 s in which a dispatch may still be
-/// sent after a cancellation.
+/// The same while a request is open: a cancellation has to be read well within 0.1 s, after which no dispatch of the
+/// cancelled job may be sent.
 const MAX_PAUSE_FACTOR_WITH_OPEN_REQUEST: u32 = 4;
 
-/// What was left when reading a connection came to its end.
+/// Why reading a connection stopped.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadProgress {
-    /// All that had come was read.
+    /// All received bytes were read.
     Drained,
     /// There may be more to read.
     MoreAvailable,
-    /// Nothing is read until the pause is over.
+    /// Reading is paused because messages were refused.
     Paused,
 }
 
@@ -38,15 +38,16 @@
 #[derive(Default)]
 struct ReceivedMessages {
     messages: Vec<Message>,
-    /// Bytes that they take.
+    /// Their length in bytes.
     length: usize,
-    /// What is wrong with the bytes behind them.
+    /// What is wrong with the bytes after them.
     error: Option<ProtocolError>,
 }
 
 impl ClientConnection {
-    /// Reads what has come, then processes it. All is read before any of it is processed, so that a client that has
-    /// left or cancelled a job is heard first. `arrived_at` is when the bytes may have arrived at the earliest.
+    /// Reads the received bytes, then processes their messages. All are read before any is processed, so that a client
+    /// that has disconnected or cancelled a job is noticed before the job is admitted. `arrived_at` is the earliest
+    /// time at which the bytes can have arrived.
     pub fn read(
         &mut self,
         context: &ClientContext,
@@ -86,7 +87,7 @@
         REFUSAL_PAUSE * self.consecutive_refusals.min(max_factor)
     }
 
-    /// Reads what has come, up to a limit. During a graceful close it is discarded.
+    /// Reads received bytes, up to a limit. During a graceful close they are discarded.
     fn receive(&mut self, buffer: &mut [u8]) -> Result<ReadProgress, CloseReason> {
         for _ in 0..READS_PER_TURN {
             match self.session.stream().read(buffer) {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Whether this message submits a job that a later one of the same bytes cancels: it is never admitted.
+    /// Whether this message submits a job that a later message read with it cancels. Such a job is never admitted.
     fn is_cancelled_later(
         &self,
         message: &Message,
@@ -167,7 +168,7 @@
             && !self.session.is_open(request.request_id)
     }
 
-    /// Removes the first `length` received bytes, and takes what is left from the budget of bytes.
+    /// Removes the first `length` received bytes, and accounts for the remaining ones in the budget of buffer bytes.
     fn remove_processed(&mut self, length: usize) -> Result<(), ReadError> {
         self.received.drain(..length);
         if length > 0 {
--- a/crates/server/src/codec/client.rs
+++ b/crates/server/src/codec/client.rs
@@ -48,9 +48,9 @@
     Submit(ClientRequest),
     /// The client no longer waits for these requests.
     Cancel(Vec<RequestId>),
-    /// The client asks whether the process takes jobs.
+    /// The client asks whether the process accepts jobs.
     HealthCheck(RequestId),
-    /// A request that could be decoded but not used.
+    /// A request that was decoded but is invalid.
     Invalid {
         /// The request to be answered.
         request_id: RequestId,
@@ -99,7 +99,7 @@
     /// A value that exceeds its limit, or has a type that the protocol does not use.
     #[error("a value is too long or of an unsupported type")]
     UnsupportedValue,
-    /// The outermost value is no list of three or four entries.
+    /// The outermost value is not a list of three or four entries.
     #[error("neither a request nor a notification")]
     NotAMessage,
     /// The message has too many bytes or values.
@@ -116,28 +116,28 @@
     DuplicateRequestId,
 }
 
-/// Why a request can't be used. The text is sent to the client.
+/// Why a request is invalid. The text is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidRequest {
     /// The settings have no job class with the name of the method.
     #[error("unknown reservation type {}", .0.escape_debug())]
     UnknownClass(String),
-    /// The parameters are no list of fields and statement.
+    /// The parameters are not a list of fields and statement.
     #[error("the list of fields and body is missing or odd")]
     MalformedParameters,
-    /// The fields are no map.
+    /// The fields are not a map.
     #[error("the map of fields is missing or odd")]
     MalformedFieldMap,
-    /// The name of a field is no text.
+    /// The name of a field is not a string.
     #[error("the name of a field is missing or odd")]
     MalformedFieldName,
-    /// A field is missing, no text, or out of range.
+    /// A field is missing, not a string, or out of range.
     #[error("field {} is missing or odd", .0.escape_debug())]
     MalformedField(String),
     /// The statement is missing.
     #[error("the body is missing or odd")]
     MalformedStatement,
-    /// Engines know jobs by the client's id, so no two open jobs may share one.
+    /// Engines identify jobs by the client's id, so no two open jobs may share one.
     #[error("field {FIELD_JOB_ID} is that of an open request")]
     DuplicateJobId,
 }
@@ -148,7 +148,7 @@
     /// The admission controller has cancelled the job for good.
     #[error("cancelled")]
     Cancelled,
-    /// The request can't be used.
+    /// The request is invalid.
     #[error(transparent)]
     InvalidRequest(#[from] InvalidRequest),
 }
@@ -162,15 +162,15 @@
     },
     /// The job was not run and may be submitted again.
     Rejected {
-        /// When to submit it again; zero leaves that to the client.
+        /// When to submit it again; zero lets the client decide.
         retry_after: TimeDelta,
     },
-    /// The job has no result, and its client must not expect one.
+    /// The job has failed for good.
     Failed {
         /// Why.
         reason: FailureReason,
     },
-    /// The answer to a health check: whether the process takes jobs.
+    /// The answer to a health check: whether the process accepts jobs.
     Health(bool),
 }
 
--- a/crates/server/src/codec/client/encode.rs
+++ b/crates/server/src/codec/client/encode.rs
@@ -10,7 +10,7 @@
 
 type WriteResult = Result<(), Box<dyn Error>>;
 
-/// The most that a reply takes beside the rows of its result.
+/// An upper bound of the bytes of a reply other than the rows of its result.
 const RESULT_OVERHEAD_BYTES: usize = 32;
 /// The usual size of a reply without rows.
 const USUAL_REPLY_BYTES: usize = 64;
--- a/crates/server/src/codec/client/frame.rs
+++ b/crates/server/src/codec/client/frame.rs
@@ -10,18 +10,18 @@
 const MAX_ENTRIES: usize = 64;
 const MAX_VALUES: usize = 512;
 
-/// What the beginning of a sequence of bytes holds.
+/// What a sequence of bytes begins with.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
     /// A complete message of this many bytes.
     Complete(usize),
     /// The beginning of a message.
     Incomplete,
-    /// No message of this protocol.
+    /// Bytes that are not a message of this protocol.
     Invalid(ProtocolError),
 }
 
-/// Finds the end of the first message without decoding it.
+/// Finds the end of the first message without decoding the message.
 pub fn frame(bytes: &[u8]) -> Frame {
     match scan(bytes) {
         Ok(Some(length)) => Frame::Complete(length),
@@ -52,7 +52,7 @@
     Ok(Some(position))
 }
 
-/// The values that are still to come, at each level of nesting.
+/// The number of values still expected at each level of nesting.
 struct Nesting {
     expected: [usize; MAX_NESTING],
     depth: usize,
@@ -68,7 +68,7 @@
 }
 
 impl Nesting {
-    /// Leaves the levels that are complete; false if that is all of them.
+    /// Leaves complete levels, and returns false if all are complete.
     fn expects_value(&mut self) -> bool {
         while self.expected[self.depth] == 0 {
             if self.depth == 0 {
@@ -94,7 +94,7 @@
     }
 }
 
-/// The first bytes of a value, which tell its type and size.
+/// The first bytes of a value, which encode its type and size.
 struct ValueHeader {
     marker: Marker,
     /// Bytes of the value, without its entries.
@@ -123,7 +123,7 @@
     }
 }
 
-/// The bytes behind the marker that hold the length of a text, or the number of entries of a list or map.
+/// The bytes after the marker that encode the length of a string, or the number of entries of a list or map.
 fn size_field_bytes(marker: Marker) -> usize {
     match marker {
         Marker::Str8 | Marker::Bin8 => 1,
@@ -144,7 +144,7 @@
     }
 }
 
-/// The bytes behind the header of a number, text or the like. `None` for other types and above the limit.
+/// The bytes after the header of a scalar value. `None` for other types and above the limit.
 fn payload_bytes(marker: Marker, size: usize) -> Option<usize> {
     match marker {
         Marker::FixPos(_) | Marker::FixNeg(_) | Marker::Null | Marker::True | Marker::False => Some(0),
--- a/crates/server/src/codec/engine.rs
+++ b/crates/server/src/codec/engine.rs
@@ -1,7 +1,7 @@
 //! Encoding of requests to engines and parsing of their messages.
 //!
-//! A message of an engine is a line `<id> <kind> <fields> <payload length>`, the payload and a line end. The words of
-//! the protocol appear in this module only.
+//! A message of an engine is a line `<id> <kind> <fields> <payload length>`, the payload and a line end. The names
+//! of the protocol appear in this module only.
 
 use pebblevane::interface::{ActualCost, LoadReport, ProgressUpdate};
 use pebblevane::time::TimeDelta;
@@ -50,10 +50,10 @@
 const REPORT_PROCESSOR_UTILIZATION: [&str; 2] = ["util", "load_share"];
 const REPORT_MEMORY_UTILIZATION: [&str; 1] = ["x0"];
 
-/// What a health check asks of an engine.
+/// What a health check requests from an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckKind {
-    /// Whether the engine answers at all.
+    /// Only whether the engine is healthy.
     Liveness,
     /// A load report as well.
     LoadReport,
@@ -64,29 +64,29 @@
 pub enum EngineMessage {
     /// The job has completed; the result's other pages can be fetched.
     FirstPage {
-        /// Page 0: whole rows.
+        /// Page 0, which consists of complete rows.
         page: Vec<u8>,
         /// Number of pages of the result, this one included.
         page_count: u32,
-        /// What the job cost, if the engine says so.
+        /// What the job cost, if the engine reports it.
         actual_cost: Option<ActualCost>,
         /// The engine's load, if it reports one.
         load_report: Option<LoadReport>,
     },
     /// A page that was fetched.
     FurtherPage {
-        /// Whole rows.
+        /// The complete rows of the page.
         page: Vec<u8>,
         /// Position of the page in the result; the first page has 0.
         page_number: u32,
     },
-    /// The job makes progress; none if the update is of an unknown kind.
+    /// A progress update; `None` if it is of an unknown kind.
     Progress(Option<ProgressUpdate>),
     /// The engine lacks the capacity for the request and did not run it.
     Overloaded(Option<LoadReport>),
     /// The request failed; it may have run.
     Failed(Option<LoadReport>),
-    /// The request came after its deadline and did not run.
+    /// The request was received after its deadline and was not run.
     Expired(Option<LoadReport>),
     /// A health check found the engine healthy.
     Healthy(Option<LoadReport>),
@@ -105,7 +105,7 @@
     pub message: EngineMessage,
 }
 
-/// Why the bytes of an engine can't be parsed. The connection is of no use after that.
+/// Why the bytes of an engine can't be parsed. The connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EngineProtocolError {
     /// The line is longer than any line may be.
@@ -123,16 +123,16 @@
     /// The payload is not followed by a line end.
     #[error("a payload that does not end where it should")]
     UnterminatedPayload,
-    /// The payload isn't made of whole rows with the expected number of columns.
+    /// The payload doesn't consist of complete rows with the expected number of columns.
     #[error("a payload that is not made of whole rows")]
     MalformedRows,
     /// The number of pages is no number.
     #[error("an odd number of pages")]
     InvalidPageCount,
-    /// A further page doesn't say which one it is.
+    /// A further page has no valid page number.
     #[error("a page without its number")]
     MissingPageNumber,
-    /// The kind of the message is none that this program knows.
+    /// The kind of the message is unknown.
     #[error("an unknown word")]
     UnknownKind,
 }
@@ -164,24 +164,24 @@
     format!("{KIND_FETCH} {id} {page_number}\r\n").into()
 }
 
-/// Encodes that a result is not needed any more.
+/// Encodes that the further pages of a result are not needed.
 pub fn encode_end(id: &str) -> Vec<u8> {
     format!("{KIND_END} {id}\r\n").into()
 }
 
 /// Encodes a health check under this id.
 pub fn encode_health_check(id: &str, kind: HealthCheckKind) -> Vec<u8> {
-    let word = match kind {
+    let message_kind = match kind {
         HealthCheckKind::Liveness => KIND_HELLO,
         HealthCheckKind::LoadReport => KIND_STATUS,
     };
-    format!("{word} {id}\r\n").into()
+    format!("{message_kind} {id}\r\n").into()
 }
 
-/// Parses the first message; none if it has not arrived in full.
+/// Parses the first message; `None` if it is incomplete.
 ///
 /// # Errors
-/// Bytes that can't become a message, as soon as that shows.
+/// If the bytes are not the beginning of a valid message.
 pub fn parse_message(bytes: &[u8]) -> Result<Option<ParsedMessage>, EngineProtocolError> {
     let Some(line_length) = bytes.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n') else {
         let too_long = bytes.len() >= MAX_LINE_BYTES;
@@ -282,7 +282,7 @@
     })
 }
 
-/// Whether these are whole rows of text, with a tab between columns and a line feed after each row.
+/// Whether these are complete rows of text, with a tab between columns and a line feed after each row.
 fn is_page(page: &[u8]) -> bool {
     std::str::from_utf8(page).is_ok_and(|text| text.split_inclusive('\n').all(is_row))
 }
@@ -293,7 +293,7 @@
     columns.len() == COLUMNS_PER_ROW && !columns.iter().any(|column| column.chars().any(char::is_control))
 }
 
-/// Parses a load report as in `inflight:7;util:0.61`; none if it holds no numbers.
+/// Parses a load report as in `inflight:7;util:0.61`; `None` if it contains no numbers.
 fn parse_load_report(text: &str) -> Option<LoadReport> {
     let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
     let numbers = pairs.filter_map(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
--- a/crates/server/src/lifecycle/shutdown.rs
+++ b/crates/server/src/lifecycle/shutdown.rs
@@ -1,8 +1,8 @@
 //! The schedule of a graceful shutdown.
 //!
-//! Health checks fail from the start of the shutdown. For a second new connections and requests are still accepted;
-//! then the listener is closed and each connection once it is idle. When all admitted jobs have their answer, or the
-//! schedule is over, the process exits.
+//! Health checks fail from the start of the shutdown. For one second, new connections and requests are still accepted.
+//! Then the listener is closed, and each connection once it is idle. The process exits when all connections are closed,
+//! or at the end of the schedule.
 
 use crate::lifecycle::clock;
 use pebblevane::time::{TimeDelta, Timestamp};
@@ -10,21 +10,21 @@
 
 /// How long new connections are accepted after the signal.
 const ACCEPT_WINDOW: TimeDelta = TimeDelta(1_000_000);
-/// After the longest client timeout, how much later every admitted job has its answer.
+/// How long after the longest client timeout every admitted job is answered.
 const ANSWER_MARGIN: TimeDelta = TimeDelta(400_000);
 /// The longest client timeout that the schedule allows for.
 const MAX_CLIENT_TIMEOUT: TimeDelta = TimeDelta(3_000_000);
-/// How long the last answers may take to be read. The process is killed 0.1 s after that at the earliest.
+/// How long clients may take to read the last answers. The process may be killed 0.1 s after that.
 const FLUSH_WINDOW: TimeDelta = TimeDelta(200_000);
 
 /// When each step of a shutdown ends.
 #[derive(Clone, Copy)]
 pub struct ShutdownSchedule {
-    /// Until then new connections are accepted, and idle ones are kept.
+    /// Until then new connections are accepted, and idle ones stay open.
     pub accept_until: Timestamp,
-    /// By then every admitted job has its answer.
+    /// By then every admitted job is answered.
     pub answered_by: Timestamp,
-    /// The process exits then, whatever is still open.
+    /// The process exits then at the latest.
     pub exit_at: Timestamp,
 }
 
@@ -33,7 +33,7 @@
 pub struct ShutdownState(OnceLock<ShutdownSchedule>);
 
 impl ShutdownState {
-    /// What a health check is answered: false once a shutdown has begun.
+    /// The answer to health checks: false once a shutdown has begun.
     pub fn is_healthy(&self) -> bool {
         self.0.get().is_none()
     }
--- a/crates/server/src/lifecycle/threads.rs
+++ b/crates/server/src/lifecycle/threads.rs
@@ -1,7 +1,7 @@
 //! Starting threads.
 //!
-//! No thread is joined: each runs until the process exits, unless its owner says otherwise, and a panic in any of them
-//! aborts the process.
+//! No thread is joined: each runs until the process exits, unless the function that starts it documents otherwise. A
+//! panic in any thread aborts the process.
 
 use super::startup::retry_transient_errors;
 use super::sync::lock;
--- a/crates/server/src/limits/budget.rs
+++ b/crates/server/src/limits/budget.rs
@@ -1,9 +1,9 @@
-//! A budget of one resource, such as bytes, threads or descriptors, and the permits that hold parts of it.
+//! A budget of one resource, such as bytes, jobs or descriptors, and permits for parts of it.
 
 use crate::lifecycle::sync::lock;
 use std::sync::{Arc, Mutex};
 
-/// An amount of one resource, of which [`Permit`]s hold parts.
+/// A fixed amount of one resource, from which [`Permit`]s are acquired.
 pub struct ResourceBudget {
     capacity: usize,
     in_use: Mutex<usize>,
@@ -22,7 +22,7 @@
         Arc::new(ResourceBudget { capacity, in_use: Mutex::new(0) })
     }
 
-    /// Takes `amount` from the budget, or returns `None` if less is left. It never waits.
+    /// Acquires `amount` from the budget, or returns `None` if less is left. This never blocks.
     #[must_use = "dropping the permit returns its part at once"]
     pub fn acquire(self: &Arc<Self>, amount: usize) -> Option<Permit> {
         let mut permit = Permit { budget: self.clone(), amount: 0 };
--- a/crates/server/src/limits/mod.rs
+++ b/crates/server/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Resource limits of the process: how they are divided, and budgets that enforce the parts.
+//! Resource limits of the process: the quotas of its parts, and the budgets that enforce them.
 
 mod budget;
 mod quotas;
--- a/crates/server/src/limits/quotas.rs
+++ b/crates/server/src/limits/quotas.rs
@@ -12,11 +12,11 @@
 const MIN_BUFFER_BYTES: usize = MEBIBYTE;
 /// Descriptors for the listener, the event bus, the log, a connection that is being accepted, and the C library.
 const RESERVED_SOCKETS: usize = 24;
-/// A single engine may have this fraction of the descriptors for engines.
+/// A single engine may use this fraction of the descriptors for engines.
 const ENGINE_SHARE_DIVISOR: usize = 6;
 const MIN_CONNECTIONS_PER_ENGINE: usize = 4;
 const MAX_CONNECTIONS_PER_ENGINE: usize = 48;
-/// A line of the event bus, which may hold the whole endpoint list, may have this fraction of the memory.
+/// A line of the event bus, which may contain the complete endpoint list, may use this fraction of the memory.
 const EVENT_LINE_MEMORY_DIVISOR: usize = 16;
 const MIN_EVENT_LINE_BYTES: usize = MEBIBYTE;
 
@@ -31,8 +31,8 @@
 
 /// What each part of the program may use.
 pub struct ResourceQuotas {
-    /// Client connections. This exceeds the third of the descriptors that clients hold by agreement, so that further
-    /// clients can be accepted and rejected.
+    /// Client connections. Clients have agreed to use a third of the descriptors; this is more, so that further
+    /// connections can be accepted and their jobs rejected.
     pub client_connections: usize,
     /// Connections to all engines together.
     pub engine_connections: usize,
@@ -40,7 +40,7 @@
     pub connections_per_engine: usize,
     /// Jobs that are open at a time.
     pub open_jobs: usize,
-    /// Bytes of statements, results, incomplete messages and answers that were not read yet.
+    /// Bytes of statements, results, incomplete messages, and answers that clients have not read yet.
     pub buffer_bytes: usize,
     /// Bytes of one line of the event bus.
     pub event_line_bytes: usize,
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -26,7 +26,7 @@
 }
 
 fn run() -> Result<(), ServerError> {
-    // Signals are received before anything starts, so that none of them ends the process abruptly.
+    // The signal handlers are installed first, so that no signal terminates the process abruptly.
     let signals =
         retry_transient_errors(|| Signals::new([SIGTERM, SIGINT, SIGHUP])).map_err(ServerError::Signals)?;
     let config = Config::read(server::environment)?;
@@ -42,7 +42,7 @@
         .init();
 }
 
-/// A thread that panics may leave a job without an answer, so the whole process ends.
+/// Aborts the process when a thread panics, since a job of that thread might never be answered.
 fn abort_on_panic() {
     std::panic::set_hook(Box::new(|info| {
         eprintln!("pebblevane: {info}");
--- a/crates/server/src/server/error.rs
+++ b/crates/server/src/server/error.rs
@@ -30,7 +30,7 @@
         /// The system's error.
         source: io::Error,
     },
-    /// No signal can be received any more.
+    /// The thread that receives signals has ended.
     #[error("the thread that waits for signals has ended")]
     SignalThreadEnded,
 }
--- a/crates/server/src/server/mod.rs
+++ b/crates/server/src/server/mod.rs
@@ -16,12 +16,12 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::Duration;
 
-/// Signals that wait to be handled.
+/// Signals that may be queued.
 const SIGNAL_QUEUE: usize = 16;
-/// The longest wait for a signal. The configuration is read after that.
+/// The longest wait for a signal, after which the configuration is read again.
 const MAX_SIGNAL_WAIT: Duration = Duration::from_hours(1);
 
-/// Reads a variable of the environment; `None` if it is not set or no text.
+/// Reads an environment variable; `None` if it is not set or not valid Unicode.
 pub fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
@@ -57,8 +57,8 @@
     Ok(receiver)
 }
 
-/// Handles signals until all client connections have ended. A shutdown takes seconds, in which a SIGHUP may still move
-/// the event bus.
+/// Handles signals until all client connections have ended. A SIGHUP is also handled during a shutdown, which takes
+/// seconds.
 fn handle_signals(service: &Service, signals: &Receiver<i32>, config: Config) -> Result<(), ServerError> {
     let longest_client_timeout = config.longest_client_timeout();
     let mut reloader = ConfigReloader::new(config, service.event_bus.clone());
--- a/crates/server/src/server/reload.rs
+++ b/crates/server/src/server/reload.rs
@@ -1,8 +1,8 @@
 //! Reloading the configuration while the program runs.
 //!
-//! The event bus moves to its new address; other changes take effect at the next start. The initial endpoint list is
-//! not read again, since the event numbers carry on. A file that can't be used may still be being written, so it is read
-//! again for a while.
+//! The event bus connection moves to the new address; other changes take effect at the next start. The initial endpoint
+//! list is ignored, since the event numbers continue. An invalid file is read again for a while, since it may be
+//! incomplete because it is still being written.
 
 use crate::config::{Config, ConfigError};
 use crate::discovery::EventBusFollower;
@@ -16,15 +16,15 @@
 pub(super) struct ConfigReloader {
     config: Config,
     event_bus: Arc<EventBusFollower>,
-    /// Set while a reload fails and is retried.
+    /// The failed reload that is being retried, if any.
     failure: Option<ReloadFailure>,
 }
 
-/// A reload that fails.
+/// A failed reload.
 struct ReloadFailure {
-    /// When it failed first.
+    /// When it first failed.
     since: Instant,
-    /// Why it failed last.
+    /// Why the last attempt failed.
     reason: String,
 }
 
@@ -39,13 +39,13 @@
         self.failure.as_ref().map(|_| RETRY_INTERVAL)
     }
 
-    /// Applies what was read for a new reload.
+    /// Applies the configuration that was read on a reload request.
     pub fn reload(&mut self, result: Result<Config, ConfigError>) {
         self.failure = None;
         self.retry(result);
     }
 
-    /// Applies what was read for a reload that may have failed before. A configuration that can't be used changes
+    /// Applies the configuration that was read for a reload that has failed before. An invalid configuration changes
     /// nothing.
     pub fn retry(&mut self, result: Result<Config, ConfigError>) {
         match result {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Logs a failure unless the last one had the same reason, and ends the retries once they take too long.
+    /// Logs a failure unless the previous one had the same reason, and ends the retries after the timeout.
     fn record_failure(&mut self, reason: String) {
         let previous = self.failure.take();
         if previous.as_ref().is_none_or(|previous| previous.reason != reason) {
--- a/crates/server/src/server/startup.rs
+++ b/crates/server/src/server/startup.rs
@@ -34,7 +34,7 @@
 }
 
 impl Service {
-    /// Starts all threads of the service but that of the signals. The initial events are taken out of `config`.
+    /// Starts all threads of the service except the one for signals. Moves the initial events out of `config`.
     pub fn start(config: &mut Config) -> Result<Service, ServerError> {
         let quotas = ResourceQuotas::from_limits(config.limits);
         let engines = start_engines(config, &quotas)?;
@@ -88,13 +88,13 @@
         .map_err(|source| ServerError::Listen { address, source })
 }
 
-/// Starts the thread of all client connections, and returns what reports its end.
+/// Starts the thread of all client connections. The receiver gets a message when it ends.
 fn start_clients(context: ClientContext, listener: TcpListener) -> Result<Receiver<()>, ServerError> {
     let event_loop = ClientEventLoop::new(context, listener).map_err(ServerError::cannot("listen"))?;
     let (closed, clients_closed) = bounded(1);
     let serve = move || {
         event_loop.run();
-        // Nobody waits for it if the service has ended with an error.
+        // The receiver is gone if the service has ended with an error.
         let _ = closed.send(());
     };
     threads::spawn_required("clients", STACK_BYTES, serve).map_err(ServerError::cannot("start a thread"))?;
--- a/crates/server/src/session/cancellation.rs
+++ b/crates/server/src/session/cancellation.rs
@@ -1,21 +1,21 @@
-//! Whether a job is still wanted.
+//! Cancellation of jobs.
 //!
-//! Whoever learns that a job's client has disconnected, or answers the job, marks it here at once. Whoever is about to
-//! send something for the job checks here last, so that no queue in between delays a cancellation.
+//! A job's token is cancelled as soon as its client disconnects or cancels it, or the job is answered. It is checked
+//! directly before anything is sent for the job, so that a cancellation takes effect without passing through a queue.
 
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 
-/// A flag that is set once, when nothing is to be sent for a job any more.
+/// A flag that is set once, after which nothing is sent for the job.
 #[derive(Debug, Default)]
 pub struct CancellationToken(AtomicBool);
 
 impl CancellationToken {
-    /// Marks the job as no longer wanted.
+    /// Cancels the job.
     pub fn cancel(&self) {
         self.0.store(true, SeqCst);
     }
 
-    /// Whether the job is no longer wanted.
+    /// Whether the job is cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.0.load(SeqCst)
     }
--- a/crates/server/src/session/client_job_ids.rs
+++ b/crates/server/src/session/client_job_ids.rs
@@ -8,7 +8,7 @@
 #[derive(Default)]
 pub struct ClientJobIds(Mutex<HashSet<Box<str>>>);
 
-/// An id that belongs to one open job until this is dropped.
+/// The reservation of an id for one open job, which ends when this is dropped.
 #[must_use = "dropping the id lets another job use it"]
 pub struct ClientJobId {
     registry: Arc<ClientJobIds>,
@@ -16,7 +16,7 @@
 }
 
 impl ClientJobIds {
-    /// Reserves an id, or returns `None` if an open job has it.
+    /// Reserves an id, or returns `None` if an open job uses it.
     pub fn reserve(self: &Arc<Self>, id: &str) -> Option<ClientJobId> {
         let is_free = lock(&self.0).insert(id.into());
         is_free.then(|| ClientJobId { registry: self.clone(), id: id.into() })
--- a/crates/server/src/session/client_session.rs
+++ b/crates/server/src/session/client_session.rs
@@ -1,4 +1,4 @@
-//! A client connection as the whole program sees it: its open requests and the answers on their way to it.
+//! The part of a client connection that several threads use: its open requests and unsent answers.
 //!
 //! Locks are taken in the order `read_position`, `requests`, `output`.
 
@@ -14,12 +14,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Requests that may be open on one connection; the protocol says so.
+/// The protocol's limit of open requests on one connection.
 const MAX_OPEN_REQUESTS: usize = 32;
 /// Unread bytes that are searched for a cancellation before something is sent to an engine.
 const PEEK_BYTES: usize = 4096;
 
-/// A client connection. Answers are written whole, one after another, and no thread waits for the client to read them.
+/// A client connection. Answers are written one after another, and no thread blocks until the client reads them.
 pub struct ClientSession {
     stream: TcpStream,
     output: Mutex<WriteBuffer>,
@@ -31,13 +31,13 @@
 /// How far a connection has been read. The thread that reads holds its lock until it has processed what it read.
 #[derive(Default)]
 pub struct ReadPosition {
-    /// The last message was read only in part.
+    /// Whether the last message was read only in part.
     pub inside_message: bool,
 }
 
 struct OpenRequests {
     by_id: HashMap<RequestId, OpenRequest>,
-    /// When something was last received, answered or cancelled.
+    /// When bytes were last received, or a request was last answered or cancelled.
     last_activity: Instant,
 }
 
@@ -65,14 +65,14 @@
         &self.stream
     }
 
-    /// To be held while the connection is read and what was read is processed.
+    /// Locks the read position. The lock is to be held until the bytes that were read have been processed.
     pub fn lock_read_position(&self) -> MutexGuard<'_, ReadPosition> {
         lock(&self.read_position)
     }
 
-    /// Whether what was received and not read yet ends the connection or cancels this request.
+    /// Whether bytes that were received but not yet read cancel this request, or the connection has ended.
     pub fn has_unread_cancellation(&self, request_id: RequestId) -> bool {
-        // What is being read right now is processed at once.
+        // The thread that holds the lock processes cancellations itself.
         let Ok(position) = self.read_position.try_lock() else { return false };
         let mut unread = [0; PEEK_BYTES];
         match self.stream.peek(&mut unread) {
@@ -84,13 +84,13 @@
         }
     }
 
-    /// Notes that something was received.
+    /// Records that bytes were received.
     pub fn record_activity(&self) {
         lock(&self.requests).last_activity = Instant::now();
     }
 
-    /// The time since something was last received or answered. `None` while a request is open or an answer was not
-    /// read completely.
+    /// The time since bytes were last received or an answer was given. `None` while a request is open or the client has
+    /// not read all answers.
     pub fn idle_for(&self) -> Option<Duration> {
         let requests = lock(&self.requests);
         let is_idle = requests.by_id.is_empty() && lock(&self.output).is_empty();
@@ -107,7 +107,7 @@
         lock(&self.requests).by_id.len() < MAX_OPEN_REQUESTS
     }
 
-    /// Whether this job is open under this request id.
+    /// Whether the request with this id is open, and is that of this job.
     pub fn awaits(&self, request_id: RequestId, job: JobId) -> bool {
         lock(&self.requests).by_id.get(&request_id).is_some_and(|open| open.job == job)
     }
@@ -117,12 +117,12 @@
         lock(&self.requests).by_id.contains_key(&request_id)
     }
 
-    /// Opens a request. `cancellation` is cancelled when it is answered or its client no longer waits.
+    /// Opens a request. `cancellation` is cancelled when the request is answered or cancelled.
     pub fn open(&self, request_id: RequestId, job: JobId, cancellation: Arc<CancellationToken>) {
         lock(&self.requests).by_id.insert(request_id, OpenRequest { job, cancellation });
     }
 
-    /// Closes a request for which the client no longer waits, and returns its job if it was open.
+    /// Cancels a request, and returns its job if it was open.
     pub fn cancel(&self, request_id: RequestId) -> Option<JobId> {
         let mut requests = lock(&self.requests);
         requests.last_activity = Instant::now();
@@ -131,8 +131,8 @@
         Some(open.job)
     }
 
-    /// Closes all requests, as the client no longer waits for any, and returns their jobs in ascending order.
-    #[must_use = "the controller has to be told of the jobs"]
+    /// Cancels all open requests, and returns their jobs in ascending order.
+    #[must_use = "the controller has to be notified of the jobs"]
     pub fn cancel_all(&self) -> Vec<JobId> {
         let open = std::mem::take(&mut lock(&self.requests).by_id);
         for request in open.values() {
@@ -150,12 +150,12 @@
         let Some(open) = requests.by_id.remove(&request_id) else { return false };
         open.cancellation.cancel();
         requests.last_activity = Instant::now();
-        // Written under the lock: whoever finds no open request finds the answer written, or in the buffer.
+        // Written under the lock, so that a thread that finds no open request finds the answer written or buffered.
         self.write(request_id, reply);
         true
     }
 
-    /// Writes a reply, or buffers what the client does not read at once.
+    /// Writes a reply, and buffers the part for which the socket buffer has no space.
     pub fn write(&self, request_id: RequestId, reply: &Reply) {
         let mut output = lock(&self.output);
         if !output.is_closed() {
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Writes buffered answers, as far as the client reads them.
+    /// Writes as much of the buffered answers as the socket buffer has space for.
     pub fn flush(&self) {
         let mut output = lock(&self.output);
         if !output.is_empty() {
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Ends this side of the connection if all answers are written, and returns whether they are. The client sees the
-    /// end behind its last answer, and what it still sends does not reset the connection.
+    /// Shuts down this side of the connection if all answers are written, and returns whether they are. The client
+    /// reads the end of the stream after its last answer, and what it still sends does not reset the connection.
     pub fn finish_writing(&self) -> bool {
         let mut output = lock(&self.output);
         output.flush(&self.stream);
--- a/crates/server/src/session/mod.rs
+++ b/crates/server/src/session/mod.rs
@@ -1,4 +1,4 @@
-//! What the program owes a client: its open requests, their answers, and whether it still waits for them.
+//! Client sessions: the open requests of each client, their answers, and whether the client still waits for them.
 
 pub mod cancellation;
 pub mod client_job_ids;
--- a/crates/server/src/session/responder.rs
+++ b/crates/server/src/session/responder.rs
@@ -1,4 +1,4 @@
-//! The way from a request to its one answer, whoever gives it: the controller, the job's thread, or admission.
+//! Ensures that a request is answered exactly once, whether by the controller, the job's thread, or admission.
 
 use super::cancellation::{CancellationToken, ClientLiveness};
 use super::client_job_ids::ClientJobId;
@@ -12,7 +12,7 @@
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::{Arc, Mutex, OnceLock};
 
-/// A request counts as lost if it is answered later than this after the client's timeout.
+/// A request counts as lost if it is answered more than this after the client's timeout.
 const LOST_AFTER: TimeDelta = TimeDelta(500_000);
 
 /// Answers one request, at most once. A registered request has to be answered before this is dropped, unless its
@@ -22,7 +22,7 @@
     request_id: RequestId,
     /// The client's own id of the job, for the log.
     job_id: Box<str>,
-    /// Reserves that id until the answer.
+    /// Reserves that id until the request is answered.
     reserved_id: Mutex<Option<ClientJobId>>,
     /// The end of the client's timeout.
     deadline: Timestamp,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Opens the request under the controller's id of its job. From then on it is owed an answer, until that is given
-    /// or the client cancels the request.
+    /// Opens the request under the controller's id of its job. From then on it has to be answered, unless the client
+    /// cancels it.
     pub fn register(&self, job: JobId) {
         // A request is registered once.
         let _ = self.job.set(job);
@@ -91,7 +91,7 @@
 }
 
 impl ClientLiveness for Responder {
-    /// Also looks for a cancellation in what was received from the client and not read yet.
+    /// Also checks the bytes that were received from the client but not yet read for a cancellation.
     fn is_waiting(&self) -> bool {
         if self.is_open() && self.session.has_unread_cancellation(self.request_id) {
             tracing::debug!(job = %self.job_id, "job cancelled by unread bytes");
--- a/crates/server/src/session/write_buffer.rs
+++ b/crates/server/src/session/write_buffer.rs
@@ -1,4 +1,4 @@
-//! Bytes on their way to a client that does not read them at once.
+//! Buffers answers that a client does not read immediately.
 
 use crate::limits::Permit;
 use crate::telemetry::counters;
@@ -9,7 +9,7 @@
 /// A client that has not read all of its answers within this time is cut off.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The answers that a client has not read yet.
+/// The bytes of answers that are not written yet.
 pub(super) struct WriteBuffer {
     unwritten: Vec<u8>,
     /// Since when the buffer has not been empty.
@@ -33,7 +33,7 @@
         self.closed
     }
 
-    /// Appends a message and writes what the client takes at once.
+    /// Appends a message, and writes as much as the socket buffer has space for.
     pub fn write(&mut self, message: Vec<u8>, stream: &TcpStream) {
         if self.unwritten.is_empty() {
             self.unwritten_since = Instant::now();
@@ -42,8 +42,8 @@
         self.flush(stream);
     }
 
-    /// Writes what the client takes at once. A client that reads too slowly loses its connection, since only the end
-    /// of the connection tells it that an answer is incomplete.
+    /// Writes as much as the socket buffer has space for. A client that reads too slowly is disconnected, since only
+    /// the end of the connection shows it that an answer is incomplete.
     pub fn flush(&mut self, stream: &TcpStream) {
         let Some(written) = self.write_available(stream) else {
             return self.cut_off(stream);
@@ -89,7 +89,7 @@
         let _ = stream.shutdown(Shutdown::Both);
     }
 
-    /// Ends this side of the connection, so that the client sees the end behind its last answer.
+    /// Shuts down this side of the connection, so that the client reads the end of the stream after its last answer.
     pub fn shut_down(&mut self, stream: &TcpStream) {
         if !self.closed {
             self.closed = true;
--- a/crates/server/src/telemetry/counters.rs
+++ b/crates/server/src/telemetry/counters.rs
@@ -22,11 +22,11 @@
 pub static JOBS_ABANDONED: Counter = Counter::new("jobs_abandoned");
 /// Jobs rejected because one of the program's own limits was reached.
 pub static LOCAL_LIMIT_REJECTIONS: Counter = Counter::new("local_limit_rejections");
-/// Requests that could be decoded but not used.
+/// Requests that were decoded but are invalid.
 pub static INVALID_REQUESTS: Counter = Counter::new("invalid_requests");
-/// Idle connections, of clients and to engines, that were closed to make room for others.
+/// Idle connections, of clients and to engines, that were closed to free their descriptors.
 pub static CONNECTIONS_EVICTED: Counter = Counter::new("connections_evicted");
-/// Clients whose connection was cut because they did not read their answers.
+/// Clients that were disconnected because they did not read their answers.
 pub static SLOW_CLIENTS_CUT_OFF: Counter = Counter::new("slow_clients_cut_off");
 /// Engine messages that belong to no open dispatch.
 pub static UNEXPECTED_ENGINE_MESSAGES: Counter = Counter::new("unexpected_engine_messages");
--- a/crates/server/src/telemetry/invariants.rs
+++ b/crates/server/src/telemetry/invariants.rs
@@ -1,16 +1,16 @@
 //! Invariants that are checked while the program runs.
 //!
-//! Each is checked at the one place that every path passes, independently of the decisions that maintain it. A count
-//! other than zero is a fault of the program.
+//! Each is checked at a single point that every code path passes, independently of the code that maintains it. A count
+//! other than zero shows a bug in the program.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// A property that holds unless the program has a fault. The rules are those of `docs/architecture.md`.
+/// A property that holds unless the program has a bug. The rules are those of `docs/architecture.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// Every request whose client still waits gets an answer (rule 1).
     Answered,
-    /// Every answer is written before its request counts as lost (rule 1).
+    /// Every answer is written within the grace period after the client's timeout (rule 1).
     AnsweredInTime,
     /// The program closes a connection by choice only when no request is open on it (rule 1).
     ClosedOnlyWhenIdle,
