--- a/crates/server/src/config/connection_settings.rs
+++ b/crates/server/src/config/connection_settings.rs
@@ -1,6 +1,5 @@
 //! How connections to engines are made and kept.
 
-use crate::codec::engine::HealthCheckKind;
 use crate::config::setting_names::{
     CONNECTION_IDLE_TIMEOUT, DIAL_TIMEOUT, LOAD_REPORT_MODE, LOAD_REPORT_PULL, PROGRESS_INTERVAL,
     STREAMS_PER_CONNECTION,
@@ -15,41 +14,33 @@
 /// How connections to engines are made and kept.
 #[derive(Clone, Copy)]
 pub struct ConnectionSettings {
-    /// Requests that may be in flight on one connection at a time.
-    pub max_requests_per_connection: usize,
-    /// How long connecting to an engine may take. Also the timeout of health checks, and of the rest of a message
-    /// whose first part has been read.
-    pub connect_timeout: Duration,
-    /// A connection that has been idle for this time is closed instead of reused.
+    /// Dispatches that one connection carries at a time.
+    pub streams_per_connection: usize,
+    /// How long a connect may take.
+    pub dial_timeout: Duration,
+    /// A connection that has been idle for this time is not used again.
     pub idle_timeout: Duration,
-    /// The interval of engines' progress updates on requests in flight; `None` if engines send none.
+    /// How often engines report progress of what is in flight, if they do.
     pub progress_interval: Option<Duration>,
-    /// Connections that may be open to a single engine.
-    pub max_connections_per_engine: usize,
-    /// What health checks ask of engines.
-    pub health_check_kind: HealthCheckKind,
+    /// Connections to one engine at the most.
+    pub max_connections: usize,
+    /// Whether health checks ask for a load report.
+    pub request_load_reports: bool,
 }
 
 impl ConnectionSettings {
-    /// Reads the settings of connections; `max_connections_per_engine` follows from the limits of the process. The
-    /// idle timeout is three quarters of that of the engines, so that no connection is reused which its engine is
-    /// about to close.
-    pub fn read(settings: &Settings, max_connections_per_engine: usize) -> ConnectionSettings {
+    /// Reads them; `max_connections` is the limit for one engine. Connections are given up a quarter before the time
+    /// after which engines close them: the close may be under way when one is to be used.
+    pub fn read(settings: &Settings, max_connections: usize) -> ConnectionSettings {
         let streams = settings.number(STREAMS_PER_CONNECTION).unwrap_or(DEFAULT_STREAMS_PER_CONNECTION);
         let progress_interval = duration(settings, PROGRESS_INTERVAL, 0.0);
-        let engine_idle_timeout = duration(settings, CONNECTION_IDLE_TIMEOUT, DEFAULT_IDLE_TIMEOUT_MS);
-        let health_checks_ask_for_load = settings.text(LOAD_REPORT_MODE) == LOAD_REPORT_PULL;
         ConnectionSettings {
-            max_requests_per_connection: streams.max(1.0) as usize,
-            connect_timeout: duration(settings, DIAL_TIMEOUT, DEFAULT_DIAL_TIMEOUT_MS),
-            idle_timeout: engine_idle_timeout * 3 / 4,
+            streams_per_connection: streams.max(1.0) as usize,
+            dial_timeout: duration(settings, DIAL_TIMEOUT, DEFAULT_DIAL_TIMEOUT_MS),
+            idle_timeout: duration(settings, CONNECTION_IDLE_TIMEOUT, DEFAULT_IDLE_TIMEOUT_MS) * 3 / 4,
             progress_interval: Some(progress_interval).filter(|interval| !interval.is_zero()),
-            max_connections_per_engine,
-            health_check_kind: if health_checks_ask_for_load {
-                HealthCheckKind::LoadReport
-            } else {
-                HealthCheckKind::Liveness
-            },
+            max_connections,
+            request_load_reports: settings.text(LOAD_REPORT_MODE) == LOAD_REPORT_PULL,
         }
     }
 }
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -113,9 +113,9 @@
         TimeDelta::from_millis_f64(timeouts_ms.fold(0.0, f64::max))
     }
 
-    /// How connections to engines are made and kept; `max_connections_per_engine` follows from the limits.
-    pub fn connection_settings(&self, max_connections_per_engine: usize) -> ConnectionSettings {
-        ConnectionSettings::read(&self.settings, max_connections_per_engine)
+    /// How connections to engines are made and kept; `max_connections` is the limit for one engine.
+    pub fn connection_settings(&self, max_connections: usize) -> ConnectionSettings {
+        ConnectionSettings::read(&self.settings, max_connections)
     }
 
     fn class_positions(&self) -> std::ops::Range<usize> {
--- a/crates/server/src/engine/pool/connection_choice.rs
+++ b/crates/server/src/engine/pool/connection_choice.rs
@@ -32,8 +32,7 @@
 
     /// Connections are shared once the engine's quota of them is used up.
     fn sharing(&self, context: &PoolContext) -> Sharing {
-        let is_full =
-            self.connections.len() + self.dials_in_progress >= context.settings.max_connections_per_engine;
+        let is_full = self.connections.len() + self.dials_in_progress >= context.settings.max_connections;
         if is_full { Sharing::Allowed } else { Sharing::Forbidden }
     }
 
@@ -68,9 +67,7 @@
         let idle_timeout = context.settings.idle_timeout;
         match connection.requests.len() {
             0 => connection.is_fresh(self.reuse_limit.get(idle_timeout), idle_timeout),
-            in_flight => {
-                sharing == Sharing::Allowed && in_flight < context.settings.max_requests_per_connection
-            }
+            in_flight => sharing == Sharing::Allowed && in_flight < context.settings.streams_per_connection,
         }
     }
 }
--- a/crates/server/src/engine/pool/in_flight.rs
+++ b/crates/server/src/engine/pool/in_flight.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A request waits this fraction of the connect timeout for a connection of its own, then shares one.
+/// A request waits this fraction of the dial timeout for a connection of its own, then shares one.
 const EXCLUSIVE_WAIT_DIVISOR: u32 = 8;
 /// A request fails after this many connections ended before a byte of it was sent.
 const MAX_FAILED_CONNECTIONS: u32 = 4;
@@ -44,11 +44,7 @@
 
 impl InFlightRequest {
     /// A request that waits for its first connection.
-    pub(super) fn waiting(
-        wire_id: Box<str>,
-        kind: RequestKind,
-        connect_timeout: Duration,
-    ) -> InFlightRequest {
+    pub(super) fn waiting(wire_id: Box<str>, kind: RequestKind, dial_timeout: Duration) -> InFlightRequest {
         let now = Instant::now();
         InFlightRequest {
             kind,
@@ -58,7 +54,7 @@
             may_share: false,
             failed_connections: 0,
             sent_at: now,
-            due: now + connect_timeout / EXCLUSIVE_WAIT_DIVISOR,
+            due: now + dial_timeout / EXCLUSIVE_WAIT_DIVISOR,
         }
     }
 
@@ -70,10 +66,10 @@
     }
 
     /// Records that it is about to be written to this connection.
-    pub(super) fn begin_on(&mut self, connection: ConnectionId, connect_timeout: Duration) {
+    pub(super) fn begin_on(&mut self, connection: ConnectionId, dial_timeout: Duration) {
         self.sent_at = Instant::now();
         self.connection = Some(connection);
-        self.due = self.sent_at + connect_timeout;
+        self.due = self.sent_at + dial_timeout;
     }
 
     /// Records that its connection ended before a byte of it was sent. Returns whether it may be sent on another one.
--- a/crates/server/src/engine/pool/sending.rs
+++ b/crates/server/src/engine/pool/sending.rs
@@ -2,7 +2,7 @@
 
 use super::in_flight::RequestKind;
 use super::{EnginePool, PoolContext};
-use crate::codec::engine::{encode_fetch, encode_health_check, encode_request};
+use crate::codec::engine::{HealthCheckKind, encode_fetch, encode_health_check, encode_request};
 use crate::engine::connection::EngineConnection;
 use crate::engine::connection_error::ConnectionLostReason;
 use crate::engine::ids::{ConnectionId, RequestId};
@@ -63,7 +63,11 @@
                 Some(encode_request(job, &request.class, timeout, request.priority, &request.statement))
             }
             RequestKind::HealthCheck(_) => {
-                let kind = context.settings.health_check_kind;
+                let kind = if context.settings.request_load_reports {
+                    HealthCheckKind::LoadReport
+                } else {
+                    HealthCheckKind::Liveness
+                };
                 Some(encode_health_check(&in_flight.wire_id, kind))
             }
         }
@@ -97,7 +101,7 @@
         let Some(request) = self.in_flight.get_mut(&id) else { return Ok(bytes.len()) };
         let Some(connection) = self.connections.get_mut(&connection_id) else { return Ok(bytes.len()) };
         connection.begin_request(request.wire_id.clone(), id);
-        request.begin_on(connection_id, context.settings.connect_timeout);
+        request.begin_on(connection_id, context.settings.dial_timeout);
         connection.write_some(bytes)
     }
 
--- a/crates/server/src/engine/pool/timeouts.rs
+++ b/crates/server/src/engine/pool/timeouts.rs
@@ -33,7 +33,7 @@
         if request.connection.is_none() && !request.may_share {
             // Connecting takes long, so the request shares a connection that exists.
             request.may_share = true;
-            request.due = now + context.settings.connect_timeout;
+            request.due = now + context.settings.dial_timeout;
             return self.share_connection(id, context);
         }
         if matches!(request.kind, RequestKind::HealthCheck(_)) && request.connection.is_some() {
--- a/crates/server/tests/server/connection_pool.rs
+++ b/crates/server/tests/server/connection_pool.rs
@@ -4,7 +4,6 @@
 use crate::support::engines::UnacceptingEngine;
 use expect_test::expect;
 use pebblevane::time::TimeDelta;
-use pebblevane_server::codec::engine::HealthCheckKind;
 use pebblevane_server::config::connection_settings::ConnectionSettings;
 use pebblevane_server::config::retry_semantics::RetrySemantics;
 use pebblevane_server::engine::dispatch_ledger::DispatchLedger;
@@ -35,12 +34,12 @@
 /// A pool that waits long for a connection and may have a few of them.
 fn start_pool() -> Arc<EngineRegistry> {
     let settings = ConnectionSettings {
-        max_requests_per_connection: 32,
-        connect_timeout: Duration::from_secs(9),
+        streams_per_connection: 32,
+        dial_timeout: Duration::from_secs(9),
         idle_timeout: Duration::from_secs(9),
         progress_interval: None,
-        max_connections_per_engine: 8,
-        health_check_kind: HealthCheckKind::Liveness,
+        max_connections: 8,
+        request_load_reports: false,
     };
     EngineRegistry::start(settings, ResourceBudget::new(8), clock::now, spawn_or_refuse).unwrap()
 }
