--- a/crates/server/src/codec/event_bus.rs
+++ b/crates/server/src/codec/event_bus.rs
@@ -4,18 +4,18 @@
 use pebblevane_adapter_common::{FieldError, Fields, Wanted};
 use serde_json::Value as Json;
 
-/// What errors call an event.
+/// The name of an event in errors.
 const EVENT_OBJECT: &str = "event";
-/// What errors call an entry of the endpoint list.
+/// The name of an entry of the endpoint list in errors.
 const ENTRY_OBJECT: &str = "instances";
 
-/// Of an event: its number. Alone in a line: that of the last event.
+/// In an event: its number. As the only field of a line: the number of the last event.
 const OFFSET: &str = "offset";
-/// Of an event: the change of the endpoint list.
+/// In an event: the change of the endpoint list.
 const TOPOLOGY: &str = "topology";
-/// Of a change: whether it is the whole list.
+/// In a change: whether it replaces the whole list.
 const RESET: &str = "reset";
-/// Of a change: the entries.
+/// In a change: the entries.
 const INSTANCES: &str = "instances";
 
 const NAME: &str = "instanceId";
@@ -31,7 +31,7 @@
 const LIFECYCLE_GONE: &str = "terminated";
 const LIFECYCLE_WANTED: Wanted = Wanted::Described("in_service, terminating or terminated");
 
-/// The capacity of an engine whose entry gives none.
+/// The capacity of an engine without a weight in its entry.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// The request that the bus expects on a new connection: all events after this one.
@@ -39,7 +39,8 @@
     format!("from {last_event}\n")
 }
 
-/// Wall-clock time in microseconds of Unix time, as whoever stamped it read it: not a time of the program's own clock.
+/// Unix time in microseconds, read from the wall clock of the machine that wrote the entry, not from the program's
+/// clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnixTime(pub i64);
 
@@ -52,7 +53,7 @@
 /// One line of the bus.
 #[derive(Debug, PartialEq)]
 pub enum Line {
-    /// The number of the last event that the bus has, as a bare number or alone in an object.
+    /// The number of the last event on the bus, as a bare number or as the only field of an object.
     Heartbeat(u64),
     /// A change of the endpoint list.
     Event(Event),
@@ -63,9 +64,9 @@
 pub struct Event {
     /// The event's number; numbers have no gaps.
     pub offset: u64,
-    /// Whether these are all engines, not only those that have changed.
+    /// Whether the entries are the complete list, not only those that have changed.
     pub complete: bool,
-    /// The entries that can be used.
+    /// The well-formed entries.
     pub engines: Vec<EndpointEntry>,
     /// What is wrong with the other entries.
     pub malformed: Vec<FieldError>,
@@ -84,18 +85,18 @@
     pub machine_type: String,
     /// The number of its cell.
     pub cell: usize,
-    /// Whether it takes jobs.
+    /// Whether it accepts jobs, is draining, or is gone.
     pub lifecycle: LifecycleState,
     /// Its capacity as a multiple of the usual one.
     pub weight: f64,
-    /// When it started, by the clock of whoever stamped the entry.
+    /// When it started, by the clock of the machine that wrote the entry.
     pub started: Option<UnixTime>,
 }
 
-/// A line that can't be used.
+/// Why a line can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// The line is no JSON at all.
+    /// The line is not JSON.
     #[error("the line is not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// A field of the event is missing or malformed.
--- a/crates/server/src/codec/sql.rs
+++ b/crates/server/src/codec/sql.rs
@@ -1,28 +1,29 @@
-//! Finds the table group that a statement reads or writes: the number behind the underscore in the name of its schema,
-//! as 17 in `sales_17.orders`. Strings and comments don't count, nor do schemas without a number, as `staging`.
+//! Finds the table group that a statement reads or writes: the number after the last underscore in the name of a
+//! schema, such as 17 in `sales_17.orders`. Strings, comments, and schemas without a number, such as `staging`, are
+//! ignored.
 
 /// Keywords after which a table is named.
 const TABLE_KEYWORDS: [&[u8]; 9] =
     [b"from", b"join", b"into", b"update", b"table", b"only", b"using", b"copy", b"truncate"];
 
-/// The group of the first table that has one; where no table has one, that of the first schema which has one anywhere
-/// else.
+/// The group of the first table that has one. If no table has one, the group of the first qualified name elsewhere in
+/// the statement whose schema has one.
 pub fn group(statement: &[u8]) -> Option<u64> {
     let mut search = GroupSearch::default();
     let found = Tokens { rest: statement }.find_map(|token| search.add(token));
     found.or_else(|| search.finish())
 }
 
-/// How far a statement has been searched.
+/// The state of the search through a statement.
 #[derive(Default)]
 struct GroupSearch<'a> {
-    /// Names with dots between, as far as they have come: schemas, then the name of a table or column.
+    /// The parts so far of a name with dots: schemas, then a table or column.
     qualified_name: Vec<&'a [u8]>,
-    /// The last token was a dot within a qualified name.
+    /// Whether the last token was a dot within a qualified name.
     after_dot: bool,
-    /// The single name in front of the qualified one; empty if there is something else.
+    /// The keyword or unqualified name directly before the qualified name; empty if there is none.
     previous_word: &'a [u8],
-    /// The group of the first schema that does not stand where a table is named.
+    /// The group of the first schema that is not that of a table.
     fallback: Option<u64>,
 }
 
@@ -77,7 +78,7 @@
     TABLE_KEYWORDS.iter().any(|keyword| keyword.eq_ignore_ascii_case(word))
 }
 
-/// The number behind the last underscore of a schema's name.
+/// The number after the last underscore of a schema's name.
 fn schema_group(schema: &[u8]) -> Option<u64> {
     let (name, digits) = std::str::from_utf8(schema).ok()?.rsplit_once('_')?;
     let is_number = digits.bytes().all(|byte| byte.is_ascii_digit());
@@ -89,7 +90,7 @@
     /// A keyword, a number that begins like one, or a name with or without quotes.
     Name(&'a [u8]),
     Dot,
-    /// A string or a sign.
+    /// A string or a symbol.
     Other,
 }
 
@@ -146,7 +147,7 @@
     }
 }
 
-/// The length of what stands before the first such byte.
+/// The number of bytes before the first one for which `is_end` is true.
 fn length_until(bytes: &[u8], is_end: impl Fn(u8) -> bool) -> usize {
     bytes.iter().position(|byte| is_end(*byte)).unwrap_or(bytes.len())
 }
@@ -155,8 +156,8 @@
     byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'$' || byte >= 0x80
 }
 
-/// Splits behind an opening quote: what stands before the closing one, and what comes after it. A doubled quote does
-/// not close.
+/// Splits the bytes after an opening quote into those before and those after the closing quote. A doubled quote is part
+/// of the quoted text.
 fn split_quoted(bytes: &[u8], quote: u8) -> (&[u8], &[u8]) {
     let mut position = 0;
     loop {
@@ -168,7 +169,7 @@
     }
 }
 
-/// What comes after a block comment that has been opened. Block comments nest.
+/// Skips the rest of a block comment after its opening, and returns what follows. Block comments nest.
 fn skip_block_comment(mut rest: &[u8]) -> &[u8] {
     let mut depth = 1;
     while depth > 0 {
--- a/crates/server/src/config/error.rs
+++ b/crates/server/src/config/error.rs
@@ -1,4 +1,4 @@
-//! What keeps a configuration from being used.
+//! Why a configuration can't be used.
 
 use crate::config::setting_names::{CLASSES, ENV_CONFIG_PATH, INITIAL_EVENTS};
 use pebblevane_adapter_common::FieldError;
@@ -18,7 +18,7 @@
         /// The system's error.
         source: io::Error,
     },
-    /// The configuration file is no JSON.
+    /// The configuration file is not JSON.
     #[error("configuration: not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
     /// A field is missing or malformed.
@@ -27,11 +27,11 @@
     /// An address is malformed.
     #[error("{origin}: field {field} is {found:?}, an address with a port is wanted")]
     Address {
-        /// Where the field stands.
+        /// The object that contains the field.
         origin: &'static str,
         /// The name of the field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         found: String,
     },
     /// An event that is known at the start is malformed.
--- a/crates/server/src/config/location_names.rs
+++ b/crates/server/src/config/location_names.rs
@@ -1,9 +1,9 @@
-//! The names of zones and machine types, which the controller knows by their positions in the settings.
+//! The names of zones and machine types, which the controller identifies by their positions in the settings.
 
 use crate::config::setting_names::{MACHINE_TYPES, ZONES};
 use pebblevane::settings::Settings;
 
-/// The zones and machine types that the settings name.
+/// The zones and machine types of the settings.
 pub struct LocationNames {
     zones: Vec<String>,
     machine_types: Vec<String>,
@@ -15,12 +15,12 @@
         LocationNames { zones: name_list(settings, ZONES), machine_types: name_list(settings, MACHINE_TYPES) }
     }
 
-    /// The position of a zone; none if the settings don't name it.
+    /// The position of a zone; `None` if it is not in the settings.
     pub fn zone_index(&self, zone: &str) -> Option<usize> {
         self.zones.iter().position(|known| known == zone)
     }
 
-    /// The position of a machine type; none if the settings don't name it.
+    /// The position of a machine type; `None` if it is not in the settings.
     pub fn machine_type_index(&self, machine_type: &str) -> Option<usize> {
         self.machine_types.iter().position(|known| known == machine_type)
     }
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -1,6 +1,6 @@
 //! The configuration of the process, checked before anything starts.
 //!
-//! It comes from a JSON file that the environment names. The controller's own settings are part of it; of those the
+//! It is read from a JSON file whose path is in the environment. It contains the controller's settings, of which the
 //! server reads a few itself.
 
 pub mod connection_settings;
@@ -27,13 +27,13 @@
 };
 use std::net::SocketAddr;
 
-/// What errors call the environment.
+/// The name of the environment in errors.
 const ENVIRONMENT: &str = "environment";
-/// What errors call the configuration file's object.
+/// The name of the configuration file's object in errors.
 const CONFIGURATION: &str = "configuration";
-/// With fewer descriptors nothing is left for engines.
+/// With fewer descriptors, none would be left for engines.
 const MIN_SOCKETS: usize = 100;
-/// With less memory nothing is left for jobs.
+/// With less memory, none would be left for jobs.
 const MIN_MEMORY_MB: usize = 24;
 const SEED_RADIX: u32 = 16;
 
@@ -45,11 +45,11 @@
     pub listen: SocketAddr,
     /// The seed of the controller's random numbers.
     pub seed: u64,
-    /// What the process may use.
+    /// The resource limits of the process.
     pub limits: Limits,
     /// The address of the event bus.
     pub event_bus: SocketAddr,
-    /// The number of the last event that `initial_events` holds.
+    /// The number of the last event in `initial_events`.
     pub last_event: u64,
     /// The events of the event bus that are known at the start.
     pub initial_events: Vec<Event>,
@@ -58,7 +58,7 @@
 }
 
 impl Config {
-    /// Reads the file that the environment names; `variable` reads a variable of the environment.
+    /// Reads the file whose path is in the environment; `variable` reads an environment variable.
     ///
     /// # Errors
     /// If the file can't be read, or a field of it is missing, malformed or out of range.
@@ -105,7 +105,7 @@
         positions.map(|position| RetrySemantics::read(&self.settings, position)).collect()
     }
 
-    /// The longest time that clients of any class wait. A class without one counts as endless.
+    /// The longest client timeout of all classes. A class without one counts as unlimited.
     pub fn longest_client_timeout(&self) -> TimeDelta {
         let timeouts_ms = self.class_positions().map(|position| {
             self.settings.number(&class_field(position, CLASS_CLIENT_TIMEOUT)).unwrap_or(f64::MAX)
--- a/crates/server/src/config/setting_names.rs
+++ b/crates/server/src/config/setting_names.rs
@@ -1,10 +1,10 @@
-//! The names under which the environment, the configuration file and the settings hold what the server reads.
+//! The names of the environment variables, configuration fields and settings that the server reads.
 
-/// The environment's variable with the path of the configuration file.
+/// The environment variable with the path of the configuration file.
 pub(super) const ENV_CONFIG_PATH: &str = "NODE_CONFIG";
-/// The environment's variable with the address to listen on; it goes before the file's.
+/// The environment variable with the address to listen on; it overrides the file's.
 pub(super) const ENV_LISTEN: &str = "NODE_LISTEN";
-/// The environment's variable with the name of this process; it goes before the file's.
+/// The environment variable with the name of this process; it overrides the file's.
 pub(super) const ENV_NAME: &str = "NODE_NAME";
 
 /// The name of this process.
@@ -15,7 +15,7 @@
 pub(super) const EVENT_BUS: &str = "bus";
 /// The seed of the controller's random numbers, in hexadecimal digits.
 pub(super) const SEED: &str = "seed";
-/// What the process may use.
+/// The resource limits of the process.
 pub(super) const LIMITS: &str = "limits";
 /// In [`LIMITS`]: the descriptors.
 pub(super) const LIMITS_SOCKETS: &str = "sockets";
@@ -59,9 +59,9 @@
 pub(super) const CONNECTION_IDLE_TIMEOUT: &str = "Ceilings.ConnIdle";
 /// How often engines report progress, in milliseconds.
 pub(super) const PROGRESS_INTERVAL: &str = "Extra.Progress";
-/// How load reports come.
+/// How load reports are obtained.
 pub(super) const LOAD_REPORT_MODE: &str = "Report.How";
-/// A value of [`LOAD_REPORT_MODE`]: health checks ask for them.
+/// A value of [`LOAD_REPORT_MODE`]: health checks request them.
 pub(super) const LOAD_REPORT_PULL: &str = "pull";
 /// The list of the names of zones.
 pub(super) const ZONES: &str = "Zones";
--- a/crates/server/src/decision/actions.rs
+++ b/crates/server/src/decision/actions.rs
@@ -58,7 +58,7 @@
     /// Hands a dispatch to its job's thread. One for a job or an engine that is not known is dropped.
     ///
     /// # Errors
-    /// The dispatch, where no thread could be made for its job.
+    /// The dispatch, if no thread could be created for its job.
     fn dispatch(&mut self, now: Timestamp, dispatch: &Dispatch) -> Result<(), DispatchId> {
         let engine = self.endpoints.engine(dispatch.engine);
         let Some((open, engine)) = self.jobs.get_mut(&dispatch.job).zip(engine) else { return Ok(()) };
@@ -69,7 +69,7 @@
         open.command(JobCommand::Dispatch(DispatchCommand {
             engine: engine.clone(),
             attempt,
-            // However late its thread takes this up, the client's wait ends when it ends.
+            // Counted from the decision, since the job's thread may start late and the client's timeout is running.
             deadline: now + dispatch.timeout,
             begin_by: dispatch.begin_by,
             priority: dispatch.options.map(|options| options.priority),
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Sends a health check. One that the engine's connections can't take has timed out.
+    /// Sends a health check. If the command queue is full or the engine is unknown, the check counts as timed out.
     fn check_health(&mut self, engine: EngineId) {
         let handle = self.handle.clone();
         let finished = move |result: HealthCheckResult| {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Nothing of the dispatch has left and its job is answered: the controller hears that it is over.
+    /// Reports to the controller that a dispatch was never sent, and that its job has been answered.
     fn finish_unstarted(&mut self, dispatch: DispatchId) {
         let result = DispatchResult {
             status: DispatchStatus::Unreachable,
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -1,4 +1,4 @@
-//! The loop of the controller's thread: which event is handled next, and the call of the controller that it stands for.
+//! The loop of the controller's thread: takes the next event and calls the controller's method for it.
 
 use crate::codec::event_bus::Event;
 use crate::config::LocationNames;
@@ -19,14 +19,14 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::Duration;
 
-/// How long the thread waits where no timer is set.
+/// The longest wait for an event while no timer is set.
 const LONGEST_WAIT: Duration = Duration::from_hours(1);
 
 /// The state of the controller's thread.
 pub(super) struct ControllerThread {
     pub(super) controller: AdmissionController,
     pub(super) handle: Arc<ControllerHandle>,
-    /// When the controller wants to be called next, whatever happens.
+    /// When the controller's next timer fires.
     pub(super) next_timer: Option<Timestamp>,
     pub(super) jobs: BTreeMap<JobId, OpenJob>,
     pub(super) endpoints: EndpointDirectory,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Tells the controller of the engines that are known at the start, as one list.
+    /// Passes the engines that are known at the start to the controller, as one list.
     pub(super) fn load_initial_endpoints(&mut self, events: Vec<Event>) {
         let event = merge_initial_events(events);
         let now = clock::now();
@@ -74,7 +74,7 @@
             if let Some(event) = event {
                 self.handle_event(now, event);
             }
-            // A timer that is due fires however many events wait; several that are due fire as one.
+            // A due timer fires even if more events are queued. Several due timers are handled by one call.
             if self.next_timer.is_some_and(|due| due <= now) {
                 let actions = self.controller.timer_fired(now);
                 self.carry_out(now, actions);
@@ -146,7 +146,7 @@
         admitted: Box<AdmittedJob>,
     ) -> Option<Actions> {
         let open = OpenJob::new(admitted);
-        // Its client disconnected while it waited in the channel: the controller never hears of it.
+        // The client disconnected while the job was queued, so it is not submitted to the controller.
         if open.is_over() {
             self.handle.open_jobs.fetch_sub(1, SeqCst);
             return None;
@@ -163,7 +163,7 @@
         mut result: DispatchResult,
     ) -> Option<Actions> {
         let open = self.jobs.get_mut(&id)?;
-        // A client that has disconnected is not waited for, even if the controller has not been told yet.
+        // After a disconnect no answer is due, even if the controller has not been notified yet.
         if open.is_over() || result.status == DispatchStatus::Completed {
             open.mark_answered();
         }
--- a/crates/server/src/decision/endpoint_directory.rs
+++ b/crates/server/src/decision/endpoint_directory.rs
@@ -1,4 +1,4 @@
-//! The engines of the endpoint list: their numbers, their handles, and their starts on the program's clock.
+//! The engines of the endpoint list: their ids, their handles, and their start times on the program's clock.
 
 use crate::codec::event_bus::{EndpointEntry, Event, UnixTime};
 use crate::config::LocationNames;
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The engines as the endpoint list last named them.
+/// The engines according to the last endpoint list.
 pub(super) struct EndpointDirectory {
     ids: EngineIds,
     engines: BTreeMap<EngineId, KnownEngine>,
@@ -31,13 +31,13 @@
 /// When an engine started.
 #[derive(Clone, Copy)]
 struct EngineStart {
-    /// As the endpoint list stamps it.
+    /// The timestamp in the endpoint list.
     stamp: UnixTime,
-    /// On the program's own clock.
+    /// The time on the program's own clock.
     at: Timestamp,
 }
 
-/// One list of the engines that are left after all these events. It takes the place of all that was known.
+/// Merges events into one complete list of the engines that exist after the last of them.
 pub(super) fn merge_initial_events(events: Vec<Event>) -> Event {
     let mut entries = BTreeMap::new();
     for event in events {
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Records the wall clock's offset, so that its steps are known when the list names an engine's start.
+    /// Records the wall clock's offset, so that its steps are known when the list reports an engine's start.
     pub(super) fn observe_wall_clock(&mut self, now: Timestamp) {
         self.start_clock.observe(now, StartClock::wall());
     }
 
-    /// The handle on an engine, unless it has left the list.
+    /// The handle on an engine, unless it was removed from the list.
     pub(super) fn engine(&self, id: EngineId) -> Option<&Arc<EngineHandle>> {
         self.engines.get(&id).map(|known| &known.handle)
     }
@@ -126,7 +126,7 @@
         })
     }
 
-    /// The start that this stamp stands for. One that was named before stays where it was on the program's clock.
+    /// Converts a start timestamp to the program's clock. A timestamp that was converted before keeps its time.
     fn start_of(
         &self,
         id: EngineId,
@@ -170,7 +170,7 @@
     ) {
         self.remove(id);
         if lifecycle == LifecycleState::Running {
-            // The engine that had this address before has gone, whether or not the list has said so.
+            // An engine that had this address before is gone, even if the list has not reported it yet.
             self.engines
                 .values()
                 .filter(|old| old.address == address)
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Removes an engine: nothing is sent there any more, and what is in flight there ends by itself.
+    /// Removes an engine: nothing more is sent to it, and dispatches in flight may still finish.
     fn remove(&mut self, id: EngineId) {
         if let Some(old) = self.engines.remove(&id) {
             old.handle.engine_removed();
--- a/crates/server/src/decision/event.rs
+++ b/crates/server/src/decision/event.rs
@@ -31,9 +31,9 @@
     EndpointListUnavailable,
     /// A graceful shutdown has begun.
     ShutdownBegun {
-        /// By when all jobs are to have their answers.
+        /// When all jobs are to be answered.
         deadline: Timestamp,
     },
-    /// Clients have disconnected; the handle holds the ids of their jobs.
+    /// Clients have disconnected; the ids of their jobs are in the handle.
     ClientsDisconnected,
 }
--- a/crates/server/src/decision/handle.rs
+++ b/crates/server/src/decision/handle.rs
@@ -1,5 +1,5 @@
-//! The handle on the controller's thread. Events reach the thread through one bounded channel. Changes of the
-//! endpoint list, a graceful shutdown and clients that disconnect don't wait behind those.
+//! The handle on the controller's thread. Events reach the thread through one bounded channel, except that changes of
+//! the endpoint list, a graceful shutdown and disconnecting clients bypass it.
 
 use crate::codec::client::Reply;
 use crate::codec::event_bus::Event;
@@ -13,14 +13,14 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 
-/// After which time clients may retry that meet one of the program's own limits.
+/// The retry delay for clients whose jobs are rejected by one of the program's own limits.
 pub const RETRY_AFTER: TimeDelta = TimeDelta(1_000_000);
 
 /// The handle on the controller's thread.
 pub struct ControllerHandle {
     events: Sender<ControllerEvent>,
     urgent_events: Sender<ControllerEvent>,
-    /// Jobs whose clients have disconnected: never more than are open, and kept beside the bounded channel.
+    /// Jobs whose clients have disconnected. They bypass the bounded channel; there are no more of them than open jobs.
     disconnected: Mutex<Vec<JobId>>,
     next_job: Mutex<u32>,
     /// Jobs that were submitted and are not yet released.
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Submits a job, unless too many events wait: it is rejected then. Returns whether it was submitted; from then on
-    /// the controller owes its answer. Jobs are numbered in the order in which the controller hears of them. The
-    /// thread that reads all clients calls this, which therefore never waits for the controller.
+    /// Submits a job, or rejects it if the event queue is full. Returns whether it was submitted; the controller then
+    /// has to answer it. Jobs are numbered in the order of submission. This never blocks on the controller, since the
+    /// thread that reads all clients calls it.
     #[must_use]
     pub fn submit(&self, job: Job, arrived: Timestamp, admitted: AdmittedJob) -> bool {
         let responder = admitted.responder.clone();
@@ -65,11 +65,11 @@
     /// The client of a job has disconnected. The job's token has been cancelled already.
     pub fn client_disconnected(&self, id: JobId) {
         lock(&self.disconnected).push(id);
-        // Where too many events wait, the thread is awake and looks before it takes the next of them.
+        // If the event queue is full the thread is awake, and checks for disconnected clients before the next event.
         let _ = self.events.try_send(ControllerEvent::ClientsDisconnected);
     }
 
-    /// A graceful shutdown has begun: all jobs are to have their answers by `deadline`.
+    /// A graceful shutdown has begun: all jobs are to be answered by `deadline`.
     pub fn begin_shutdown(&self, deadline: Timestamp) {
         let _ = self.urgent_events.send(ControllerEvent::ShutdownBegun { deadline });
     }
--- a/crates/server/src/decision/open_job.rs
+++ b/crates/server/src/decision/open_job.rs
@@ -10,7 +10,7 @@
 use pebblevane::interface::{FinalAnswer, JobId};
 use std::sync::Arc;
 
-/// Commands that wait for one job: more than its dispatches and cancellations make.
+/// Commands that may be queued for one job: more than the dispatches and cancellations of a job.
 const COMMAND_QUEUE_LENGTH: usize = 32;
 
 /// A job that is not released yet.
@@ -25,35 +25,35 @@
 enum JobState {
     /// Nothing has been dispatched yet, so that no thread is needed.
     Pending(Box<AdmittedJob>),
-    /// In a thread that receives commands from here.
+    /// Runs in a thread that receives commands through this channel.
     Running(Sender<JobCommand>),
-    /// No thread could be created for it, and its client has been told to retry.
+    /// No thread could be created for it, so it was rejected.
     Rejected,
 }
 
 impl OpenJob {
-    /// A job of which nothing is dispatched yet.
+    /// A job that has not been dispatched yet.
     pub(super) fn new(admitted: Box<AdmittedJob>) -> OpenJob {
         let (responder, ledger) = (admitted.responder.clone(), admitted.ledger.clone());
         OpenJob { state: JobState::Pending(admitted), responder, ledger, answered: false, attempts: 0 }
     }
 
-    /// Whether the job has its answer or its client has disconnected, even if the controller does not know yet.
+    /// Whether the job has been answered or its client has disconnected, even if the controller was not notified yet.
     pub(super) fn is_over(&self) -> bool {
         self.responder.is_finished()
     }
 
-    /// Whether the controller's thread knows that no answer is owed any more.
+    /// Whether the controller's thread has recorded that no answer is due any more.
     pub(super) fn is_answered(&self) -> bool {
         self.answered
     }
 
-    /// No answer is owed any more.
+    /// Records that no answer is due any more.
     pub(super) fn mark_answered(&mut self) {
         self.answered = true;
     }
 
-    /// The number of the next attempt, from 0; each number is given once.
+    /// Returns the number of the next attempt, counted from 0.
     #[must_use]
     pub(super) fn next_attempt(&mut self) -> u32 {
         let attempt = self.attempts;
@@ -61,7 +61,7 @@
         attempt
     }
 
-    /// Gives the job a thread, unless it has one; returns whether it has one now. If none can be created, the
+    /// Starts a thread for the job, unless it has one; returns whether it has one now. If none can be created, the
     /// job is rejected, which is safe since nothing of it has been sent.
     #[must_use]
     pub(super) fn start(
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Gives the client the controller's answer.
+    /// Sends the controller's answer to the client.
     pub(super) fn answer(&mut self, answer: FinalAnswer) {
         self.answered = true;
         match answer {
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Gives the job's thread a command. The channel holds more commands than a job can have, and a job whose thread
-    /// has ended needs none.
+    /// Sends a command to the job's thread. The channel has capacity for all commands of a job, so this fails only if
+    /// the thread has ended, when no command is needed.
     pub(super) fn command(&self, command: JobCommand) {
         let JobState::Running(commands) = &self.state else { return };
         if commands.try_send(command).is_err() {
--- a/crates/server/src/decision/start.rs
+++ b/crates/server/src/decision/start.rs
@@ -10,15 +10,15 @@
 use std::io;
 use std::sync::Arc;
 
-/// Events that wait for the controller.
+/// Events that may be queued for the controller.
 const EVENT_QUEUE_LENGTH: usize = 1024;
-/// Changes of the endpoint list and of the lifecycle that wait for the controller.
+/// Changes of the endpoint list and of the lifecycle that may be queued for the controller.
 const URGENT_QUEUE_LENGTH: usize = 16;
 const CONTROLLER_STACK_BYTES: usize = 512 * 1024;
 
 impl ControllerHandle {
     /// Starts the controller's thread. The controller knows the engines of `initial_events` before this returns. The
-    /// thread runs until the process ends, so that nobody joins it.
+    /// thread is not joined, since it runs until the process ends.
     ///
     /// # Errors
     /// The system's error if it refuses to create the thread.
