--- a/crates/server/src/discovery/backoff.rs
+++ b/crates/server/src/discovery/backoff.rs
@@ -1,4 +1,4 @@
-//! The pauses between two connections to the event bus.
+//! The pauses between attempts to connect to the event bus.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 /// The linear congruential generator of Knuth's MMIX.
 const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 const LCG_INCREMENT: u64 = 1_442_695_040_888_963_407;
-/// The low bits of such a generator repeat soon.
+/// The low bits of such a generator have short periods.
 const LCG_DISCARDED_BITS: u32 = 33;
 
-/// Exponential backoff with jitter: processes that lost the event bus together do not come back together.
+/// Exponential backoff with jitter, so that processes that lost the event bus at the same time reconnect at different
+/// times.
 pub(super) struct Backoff {
     pause_ms: u64,
     random: u64,
--- a/crates/server/src/discovery/connection.rs
+++ b/crates/server/src/discovery/connection.rs
@@ -10,17 +10,17 @@
 /// How long a connect may take, and a write on the new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Makes connections to the event bus, and gives up the present one when the bus moves.
+/// Makes connections to the event bus, and closes the current one when the address changes.
 pub(super) struct EventBusConnector {
     state: Mutex<ConnectorState>,
-    /// Holds a message when the address has changed.
+    /// Holds a message after the address has changed.
     moved: Sender<()>,
     was_moved: Receiver<()>,
 }
 
 struct ConnectorState {
     address: SocketAddr,
-    /// The present connection.
+    /// The current connection.
     stream: Option<TcpStream>,
 }
 
@@ -31,7 +31,7 @@
         EventBusConnector { state: Mutex::new(ConnectorState { address, stream: None }), moved, was_moved }
     }
 
-    /// Connects, and subscribes to what comes after this event.
+    /// Connects, and subscribes to the events after this one.
     ///
     /// # Errors
     /// The system's error if the connection can't be made or written to, or an error if the address changed meanwhile.
@@ -48,12 +48,12 @@
         Ok(stream)
     }
 
-    /// The present connection is not used any more.
+    /// Drops the current connection after it has been lost.
     pub(super) fn disconnected(&self) {
         self.state().stream = None;
     }
 
-    /// Takes a new address, and ends the connection to the old one at once.
+    /// Sets the address, and shuts down the connection to the old one at once.
     pub(super) fn move_to(&self, address: SocketAddr) {
         let mut state = self.state();
         if state.address == address {
@@ -66,13 +66,13 @@
         let _ = self.moved.try_send(());
     }
 
-    /// Waits for this time, or until the address changes; returns whether it did.
+    /// Waits for this time, or until the address changes. Returns whether it has changed.
     pub(super) fn wait_for_move(&self, pause: Duration) -> bool {
         self.was_moved.recv_timeout(pause).is_ok()
     }
 
     fn state(&self) -> MutexGuard<'_, ConnectorState> {
-        // A panic ends the program, so that no thread sees a poisoned state.
+        // A panic aborts the process, so a poisoned mutex needs no handling.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/server/src/discovery/follower.rs
+++ b/crates/server/src/discovery/follower.rs
@@ -1,5 +1,5 @@
-//! Follows the event bus: connects, subscribes to what comes after the last event that was read, and reads on. A gap, a
-//! connection that falls silent or ends, and a new address lead to a new connection.
+//! Follows the event bus: connects, subscribes to the events after the last one that was read, and reads them. It
+//! reconnects after a gap, after the connection was silent or has ended, and when the address changes.
 
 use crate::codec::event_bus::{self, Event, Line};
 use crate::discovery::backoff::Backoff;
@@ -12,16 +12,16 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Within this time a whole line comes: two heartbeats and some slack.
+/// How long to wait for a complete line: two heartbeats and some slack.
 const LINE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// Within this time a new connection brings its first line, since a heartbeat is due each second. It is shorter than
+/// How long to wait for the first line of a new connection; a heartbeat is due each second. It is shorter than
 /// [`LINE_TIMEOUT`] so that a draining engine is known within 7 s, even if the bus falls silent, a connect fails and
 /// two new connections stay silent.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Receives what the event bus brings.
+/// Receives the changes of the endpoint list.
 pub trait EndpointListener {
-    /// The endpoint list has changed; `last_complete` is when it was last known to be complete before that.
+    /// The endpoint list has changed; `last_complete` is when it was last known to be complete before the change.
     fn endpoints_changed(&self, event: Event, last_complete: Option<Timestamp>);
     /// The connection to the event bus was lost.
     fn connection_lost(&self);
@@ -37,7 +37,7 @@
 struct ReadPosition {
     /// The number of the last event that was read.
     event: u64,
-    /// The event after which there was a gap last.
+    /// The event before the most recent gap.
     gap_after: Option<u64>,
     /// When the list was last known to be complete.
     complete_at: Option<Timestamp>,
@@ -49,12 +49,13 @@
         EventBusFollower { connector: EventBusConnector::new(address), max_line_bytes }
     }
 
-    /// Leaves the old address at once, whether the follower reads, connects or pauses.
+    /// Changes the address, with immediate effect even while the follower reads, connects or pauses.
     pub fn move_to(&self, address: SocketAddr) {
         self.connector.move_to(address);
     }
 
-    /// Follows the bus for ever, from the event after `last_event`. The jitter of the pauses follows from `seed`.
+    /// Follows the bus from the event after `last_event`, and never returns. `seed` determines the jitter of the
+    /// pauses.
     pub fn follow(&self, listener: &impl EndpointListener, last_event: u64, seed: u64) {
         let mut position = ReadPosition { event: last_event, gap_after: None, complete_at: None };
         let mut backoff = Backoff::new(seed);
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Makes a connection and reads it to its end; returns why it is given up.
+    /// Makes a connection and reads it until it has to be closed; returns why.
     fn follow_connection(
         &self,
         listener: &impl EndpointListener,
@@ -107,10 +108,10 @@
 }
 
 impl ReadPosition {
-    /// Handles one line. A malformed one is counted and ignored: the next heartbeat or event shows what it was.
+    /// Handles one line. A malformed one is counted and ignored: if it was an event, the next line shows the gap.
     ///
     /// # Errors
-    /// If the line shows that an event did not come.
+    /// If the line shows that an event was missed.
     fn handle_line(&mut self, line: &str, listener: &impl EndpointListener) -> Result<(), DisconnectReason> {
         match event_bus::decode_line(line) {
             Ok(Line::Heartbeat(last_event)) => self.handle_heartbeat(last_event),
@@ -131,7 +132,7 @@
         Ok(())
     }
 
-    /// Passes a new event on; one that has come before is ignored.
+    /// Passes on a new event, and ignores one that was received before.
     fn handle_event(
         &mut self,
         event: Event,
@@ -152,8 +153,9 @@
         Ok(())
     }
 
-    /// Notes a gap after the last event; returns whether it is seen for the first time. Where the bus shows the same
-    /// gap again it no longer has the missing events, and it is better to miss them than all that follow.
+    /// Records a gap after the last event; returns whether it is seen for the first time. If the gap is still there
+    /// after reconnecting, the bus no longer has the missing events, so they are skipped instead of reconnecting
+    /// forever.
     fn is_new_gap(&mut self) -> bool {
         self.gap_after.replace(self.event) != Some(self.event)
     }
--- a/crates/server/src/discovery/line_reader.rs
+++ b/crates/server/src/discovery/line_reader.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A read waits at least this long: the system takes no time limit of zero.
+/// The minimum read timeout, since the system rejects a timeout of zero.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// Reads the lines of one connection.
@@ -22,10 +22,10 @@
         LineReader { stream: BufReader::new(stream), line: Vec::new(), max_bytes }
     }
 
-    /// Reads one line. The limit is for the whole line, however slowly its bytes come.
+    /// Reads one line. The timeout applies to the complete line, however slowly its bytes arrive.
     ///
     /// # Errors
-    /// If the line is not whole in time or too long, or the connection fails or ends.
+    /// If the line is not complete in time or too long, or the connection fails or ends.
     pub(super) fn read_line(&mut self, timeout: Duration) -> Result<Cow<'_, str>, DisconnectReason> {
         self.line.clear();
         let due = Instant::now() + timeout;
@@ -40,7 +40,7 @@
         Ok(String::from_utf8_lossy(&self.line))
     }
 
-    /// Reads what has come of the line; returns whether that is its end.
+    /// Reads the available part of the line; returns whether the line is complete.
     fn read_part(&mut self, due: Instant) -> Result<bool, DisconnectReason> {
         let bytes = fill_buffer(&mut self.stream, due)?;
         if bytes.is_empty() {
@@ -54,14 +54,14 @@
     }
 }
 
-/// The bytes that have come and are not consumed; waits for some until this time.
+/// Returns received bytes that are not consumed yet; waits for some until `due`.
 fn fill_buffer(stream: &mut BufReader<TcpStream>, due: Instant) -> Result<&[u8], DisconnectReason> {
     loop {
         let left = due.saturating_duration_since(Instant::now()).max(MIN_READ_TIMEOUT);
         stream.get_ref().set_read_timeout(Some(left)).map_err(DisconnectReason::CannotSetTimeout)?;
         match stream.fill_buf() {
             Ok(_) => break,
-            // A process that was stopped and continued reads on.
+            // The process was stopped and continued.
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(DisconnectReason::NoLine(e)),
         }
--- a/crates/server/src/discovery/start_clock.rs
+++ b/crates/server/src/discovery/start_clock.rs
@@ -1,6 +1,6 @@
-//! Converts the starts of engines, which the event bus stamps with wall-clock time, to the program's monotonic clock.
-//! A wall clock may be stepped at any time, on this machine or on the one that stamps: a start is placed where the
-//! wall clock that stamped it was.
+//! Converts the start times of engines, which the event bus reports in wall-clock time, to the program's monotonic
+//! clock. A wall clock may be stepped at any time, on this machine or the one that reports the start, so a start time
+//! is converted with the offset between both clocks that was in effect when it was taken.
 
 use crate::codec::event_bus::UnixTime;
 use pebblevane::time::{TimeDelta, Timestamp};
@@ -9,28 +9,28 @@
 
 /// A change of the wall clock against the monotonic clock by more than this is a step; less is its ordinary drift.
 const MAX_DRIFT: TimeDelta = TimeDelta(50_000);
-/// Offsets that are remembered, one for each step; further ones push out the oldest.
+/// The number of offsets that are retained, one for each step; the oldest is dropped first.
 const MAX_OFFSETS: usize = 16;
-/// A stamp may be this far ahead: its clock is read in whole milliseconds, and on another machine.
+/// How far in the future a timestamp may be: it is in whole milliseconds, and from another machine's clock.
 const MAX_AHEAD: TimeDelta = TimeDelta(100_000);
-/// The list names a start at most this long after it: 7 s by the protocol, and the time until it is listed.
+/// The maximum delay between a start and its report in the list: 7 s by the protocol, plus the time until it is listed.
 const MAX_LISTING_DELAY: TimeDelta = TimeDelta(10_000_000);
 
 /// The offsets that the wall clock has had from the monotonic clock since the program's start.
 #[derive(Default)]
 pub struct StartClock {
-    /// Wall-clock time less monotonic time: the present offset last, those before earlier steps in front of it.
+    /// Wall-clock time minus monotonic time, in order of time; the current offset is the last.
     offsets: VecDeque<TimeDelta>,
 }
 
 impl StartClock {
-    /// The wall clock as the system shows it.
+    /// The system's wall-clock time.
     pub fn wall() -> UnixTime {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         UnixTime(unix.as_micros() as i64)
     }
 
-    /// Notes both clocks, read together.
+    /// Records the readings of both clocks at the same moment.
     pub fn observe(&mut self, now: Timestamp, wall: UnixTime) {
         let offset = TimeDelta(wall.0.saturating_sub(now.0));
         match self.offsets.back_mut() {
@@ -47,12 +47,12 @@
         }
     }
 
-    /// When an engine started whose start the list names `now`; `last_complete` is when the list was last complete
-    /// without it.
+    /// When an engine started whose start the list reports `now`; `last_complete` is when the list was last complete
+    /// without this start.
     ///
-    /// Of the times that the remembered offsets allow, the latest that is not ahead is taken: an engine that is thought
-    /// younger than it is gets less load than it bears, while the opposite overloads it. It can't lie long before
-    /// `last_complete` either. A stamp that fits no offset counts as a start just now.
+    /// Of the times that the retained offsets give, the latest that is not in the future is used: an engine whose age
+    /// is underestimated gets less load than it could take, while an overestimate would overload it. The time can't be
+    /// long before `last_complete` either. If no offset gives a plausible time, the engine counts as started now.
     pub fn started(&self, stamp: UnixTime, now: Timestamp, last_complete: Option<Timestamp>) -> Timestamp {
         let candidates = self.offsets.iter().map(|offset| Timestamp(stamp.0.saturating_sub(offset.0)));
         let latest = candidates.filter(|candidate| *candidate <= now + MAX_AHEAD).max();
--- a/crates/server/src/job/admitted_job.rs
+++ b/crates/server/src/job/admitted_job.rs
@@ -1,27 +1,27 @@
-//! A job as the client side hands it over.
+//! An admitted job, as the client side hands it to the controller's thread.
 
 use crate::engine::dispatch_ledger::DispatchLedger;
 use crate::limits::Permit;
 use crate::session::responder::Responder;
 use std::sync::Arc;
 
-/// The part of a result, in bytes, that is reserved when a job is admitted. A longer one is counted as its pages come.
+/// The bytes reserved for a result when its job is admitted. More are acquired as the pages of a longer one arrive.
 pub const USUAL_RESULT_BYTES: usize = 4_096;
 
-/// A job as it was admitted: what is needed to dispatch and to answer it, and what it holds of the program's limits.
+/// An admitted job: the data needed to dispatch and answer it, and its permits.
 pub struct AdmittedJob {
-    /// The client's own id of the job, under which engines and the log know it.
+    /// The client's own id of the job, which is also used towards engines and in the log.
     pub client_job_id: Box<str>,
-    /// The name of its class, as engines read it.
+    /// The name of its class, as sent to engines.
     pub class: Arc<str>,
     /// The statement that an engine is to run.
     pub statement: Arc<[u8]>,
-    /// Gives the one answer to the client.
+    /// Answers the client, at most once.
     pub responder: Arc<Responder>,
-    /// What has left the program for this job.
+    /// The record of the dispatches that were sent for this job.
     pub ledger: Arc<DispatchLedger>,
-    /// The bytes that the statement and the result may take.
+    /// Covers the bytes of the statement and the result.
     pub memory: Permit,
-    /// Its place among the open jobs, held until the job is dropped.
+    /// Counts it as an open job until it is dropped.
     pub job_slot: Permit,
 }
--- a/crates/server/src/job/cancelled_dispatch.rs
+++ b/crates/server/src/job/cancelled_dispatch.rs
@@ -5,13 +5,14 @@
 use crossbeam_channel::{Receiver, never};
 use pebblevane::time::{TimeDelta, Timestamp};
 
-/// Within this time an engine reads a cancellation, or the end of its connection, once that has been written.
+/// How long after the write an engine has read a cancellation, or the end of its connection.
 const CANCELLATION_READ_TIMEOUT: TimeDelta = TimeDelta(5_000);
 /// How long a job waits for a cancellation to be written.
 const CANCELLATION_WRITE_TIMEOUT: TimeDelta = TimeDelta(500_000);
 
-/// A finished attempt that is being cancelled at its engine, and is reported once the engine has read that. Nothing
-/// orders what is written to two engines: without the wait, the next engine could have the job first.
+/// A finished attempt that is being cancelled at its engine, and is reported once the engine has read the cancellation.
+/// Writes to two engines are not ordered: without the wait, the next engine could receive the job before the
+/// cancellation takes effect.
 pub(super) struct CancelledDispatch {
     /// Disconnects once the cancellation has been written.
     cancellation_written: Receiver<()>,
@@ -33,13 +34,13 @@
         &self.cancellation_written
     }
 
-    /// The cancellation has been written: its end is reported once the engine has had time to read it.
+    /// Records that the cancellation has been written: the end is reported once the engine has had time to read it.
     pub(super) fn await_reading(&mut self) {
         self.cancellation_written = never();
         self.report_at = clock::now() + CANCELLATION_READ_TIMEOUT;
     }
 
-    /// When its end is reported.
+    /// When the end of the attempt is reported.
     pub(super) fn report_at(&self) -> Timestamp {
         self.report_at
     }
--- a/crates/server/src/job/command.rs
+++ b/crates/server/src/job/command.rs
@@ -1,20 +1,20 @@
-//! What a job is told, and what it reports.
+//! The commands that a job receives, and the reports that it sends.
 
 use crate::engine::handle::EngineHandle;
 use pebblevane::interface::{DispatchResult, JobId, ProgressUpdate};
 use pebblevane::time::Timestamp;
 use std::sync::Arc;
 
-/// What a job that has a thread is to do next.
+/// A command to a job that has a thread.
 pub enum JobCommand {
     /// Send the job to an engine.
     Dispatch(DispatchCommand),
-    /// Stop waiting for this attempt, and keep it from leaving if it has not left yet.
+    /// End this attempt, and withhold it if it has not been sent yet.
     Cancel {
         /// The number of the attempt within its job, from 0.
         attempt: u32,
     },
-    /// Nothing is in flight or owed any more: the job is over.
+    /// End the job: no dispatch is in flight and no answer is due.
     Release,
 }
 
@@ -26,9 +26,9 @@
     pub attempt: u32,
     /// When the attempt times out.
     pub deadline: Timestamp,
-    /// Its first byte leaves before this time or never.
+    /// The attempt is withheld if its first byte was not sent before this time.
     pub begin_by: Timestamp,
-    /// The priority that the engine is told, if any.
+    /// The priority that is sent to the engine, if any.
     pub priority: Option<u8>,
 }
 
@@ -36,6 +36,6 @@
 pub trait JobReporter: Send + Sync {
     /// An attempt has made progress.
     fn dispatch_progress(&self, job: JobId, attempt: u32, update: ProgressUpdate);
-    /// An attempt has ended, and its engine holds nothing of it any more.
+    /// An attempt has ended, and was cancelled at its engine if necessary.
     fn dispatch_finished(&self, job: JobId, attempt: u32, result: DispatchResult);
 }
--- a/crates/server/src/job/dispatch_end.rs
+++ b/crates/server/src/job/dispatch_end.rs
@@ -1,4 +1,4 @@
-//! How an attempt ended, and the report of that.
+//! How an attempt ended, and how that is reported.
 
 use crate::engine::dispatch_ledger::{DispatchLedger, Execution};
 use crate::engine::handle::DispatchHandle;
@@ -18,32 +18,32 @@
 }
 
 impl DispatchEnd {
-    /// An end that says nothing else of the engine.
+    /// An end with this status and no further information.
     pub(super) fn new(status: DispatchStatus) -> DispatchEnd {
         DispatchEnd { status, engine_reachable: false, actual_cost: None, load_report: None }
     }
 
-    /// An attempt that never left: that says nothing against its engine.
+    /// The end of an attempt that was never sent, which is not the engine's fault.
     pub(super) fn never_left() -> DispatchEnd {
         DispatchEnd::new(DispatchStatus::Unreachable).engine_reachable(true)
     }
 
-    /// Whether the engine takes connections in spite of this end.
+    /// Sets whether the engine accepts connections in spite of this end.
     pub(super) fn engine_reachable(self, engine_reachable: bool) -> DispatchEnd {
         DispatchEnd { engine_reachable, ..self }
     }
 
-    /// What the attempt cost, if the engine has said so.
+    /// Sets what the attempt cost, if the engine has reported it.
     pub(super) fn actual_cost(self, actual_cost: Option<ActualCost>) -> DispatchEnd {
         DispatchEnd { actual_cost, ..self }
     }
 
-    /// The load report that came with the end, if any.
+    /// Sets the load report that the engine sent with its last message, if any.
     pub(super) fn load_report(self, load_report: Option<LoadReport>) -> DispatchEnd {
         DispatchEnd { load_report, ..self }
     }
 
-    /// Whether the engine may still hold the job, so that it has to be cancelled there.
+    /// Whether the engine may still be running the job, so that it has to be cancelled there.
     pub(super) fn needs_cancellation(&self) -> bool {
         matches!(
             self.status,
@@ -55,7 +55,7 @@
     }
 }
 
-/// An attempt that has ended and is not yet reported.
+/// An attempt that has ended but is not reported yet.
 #[must_use]
 pub(super) struct FinishedDispatch {
     handle: DispatchHandle,
@@ -89,12 +89,13 @@
         self.result.status
     }
 
-    /// Cancels the attempt at its engine. What is returned disconnects once the cancellation has been written.
+    /// Cancels the attempt at its engine. The receiver is disconnected once the cancellation has been written.
     pub(super) fn cancel_at_engine(&self) -> Receiver<()> {
         self.handle.cancel()
     }
 
-    /// Enters the end in the job's ledger, gives back what the engine still holds, then reports the end.
+    /// Records the end in the job's ledger, drops the handle, which releases resources at the engine, and reports the
+    /// end.
     pub(super) fn report(self, job: JobId, ledger: &DispatchLedger, reporter: &dyn JobReporter) {
         let FinishedDispatch { handle, sent, attempt, result } = self;
         if handle.may_have_been_sent() {
--- a/crates/server/src/job/in_flight_dispatch.rs
+++ b/crates/server/src/job/in_flight_dispatch.rs
@@ -1,4 +1,4 @@
-//! An attempt of which the engine's answer is still awaited.
+//! An attempt that waits for the engine's answer.
 
 use crate::engine::handle::{DispatchHandle, EngineRequest};
 use crate::job::admitted_job::AdmittedJob;
@@ -17,11 +17,11 @@
     pub(super) sent: Timestamp,
     /// When it times out.
     pub(super) deadline: Timestamp,
-    /// The result as far as it has come.
+    /// The pages of the result received so far.
     pub(super) result: Option<ResultPages>,
-    /// The engine has reported progress that only a running job makes.
+    /// Whether the engine has reported progress that only a running job makes.
     progress_reported: bool,
-    /// Its first byte leaves before this time or never. `None` once that has been checked.
+    /// The attempt is withheld if its first byte was not sent before this time. `None` once that has been checked.
     begin_by: Option<Timestamp>,
 }
 
@@ -62,7 +62,7 @@
         self.progress_reported || self.result.is_some()
     }
 
-    /// When it has to be checked next, even if the engine sends nothing.
+    /// When its `begin_by` or deadline has to be checked next.
     pub(super) fn next_check(&self) -> Timestamp {
         self.begin_by.map_or(self.deadline, |begin_by| begin_by.min(self.deadline))
     }
--- a/crates/server/src/job/mod.rs
+++ b/crates/server/src/job/mod.rs
@@ -1,6 +1,6 @@
-//! The tasks that carry out jobs once something is dispatched for them, and the threads that run these tasks.
+//! The tasks that carry out jobs from their first dispatch, and the threads that run these tasks.
 //!
-//! The job knows nothing of the admission controller. It receives [`JobCommand`]s and reports through
+//! A job does not depend on the admission controller. It receives [`JobCommand`]s and reports through
 //! [`JobReporter`].
 
 mod admitted_job;
--- a/crates/server/src/job/result_pages.rs
+++ b/crates/server/src/job/result_pages.rs
@@ -1,19 +1,19 @@
-//! The pages of a result, put together in their order.
+//! Assembles the pages of a result in their order.
 
 use pebblevane::interface::{ActualCost, LoadReport};
 
 /// The longest result, in bytes, that the protocol allows.
 const MAX_RESULT_BYTES: usize = 48_000;
 const MAX_PAGES: u32 = 4096;
-/// Pages that are requested before the ones in front of them have come.
+/// How many pages are requested before the first missing one is received.
 const PAGES_REQUESTED_AHEAD: u32 = 8;
 
-/// A result as far as its pages have come. Pages are numbered from 0; the first one comes unasked.
+/// The pages of a result received so far. Pages are numbered from 0; the engine sends the first one without a request.
 pub(super) struct ResultPages {
     rows: Vec<u8>,
-    /// Pages that came before one with a lower number.
+    /// Pages that were received before a page with a lower number.
     out_of_order: Vec<NumberedPage>,
-    /// The lowest number of a page that has not come.
+    /// The lowest number of a page that has not been received.
     next: u32,
     /// The lowest number of a page that has not been requested.
     next_request: u32,
@@ -46,12 +46,12 @@
         }
     }
 
-    /// The rows of all pages up to the first one that is missing.
+    /// The rows of all pages before the first missing one.
     pub(super) fn rows(&self) -> &[u8] {
         &self.rows
     }
 
-    /// What the dispatch cost, if the engine has said so.
+    /// What the dispatch cost, if the engine has reported it.
     pub(super) fn actual_cost(&self) -> Option<ActualCost> {
         self.actual_cost
     }
@@ -61,7 +61,7 @@
         self.load_report
     }
 
-    /// The bytes of all pages that have come.
+    /// The bytes of all received pages.
     pub(super) fn held_bytes(&self) -> usize {
         let out_of_order: usize = self.out_of_order.iter().map(|page| page.rows.len()).sum();
         self.rows.len() + out_of_order
@@ -72,12 +72,12 @@
         self.held_bytes() > MAX_RESULT_BYTES || self.total > MAX_PAGES || self.next > self.total
     }
 
-    /// Whether all pages have come.
+    /// Whether all pages have been received.
     pub(super) fn is_complete(&self) -> bool {
         self.next >= self.total
     }
 
-    /// The numbers of the pages that are to be requested now; they count as requested from then on.
+    /// The numbers of the pages to request now. They count as requested from then on.
     #[must_use]
     pub(super) fn take_requests(&mut self) -> std::ops::Range<u32> {
         let first = self.next_request;
@@ -86,7 +86,7 @@
         first..end
     }
 
-    /// Adds a page that was requested and has not come before; any other is ignored.
+    /// Adds a page. One that was not requested, or was received before, is ignored.
     pub(super) fn add(&mut self, number: u32, rows: Vec<u8>) {
         let requested = (self.next..self.next_request).contains(&number);
         if requested && !self.out_of_order.iter().any(|page| page.number == number) {
--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a job waits where nothing is due.
+/// The longest wait for an event while nothing is due.
 const LONGEST_WAIT: Duration = Duration::from_hours(1);
 
-/// A job of which something is dispatched.
+/// A job with at least one dispatch.
 #[must_use]
 pub struct JobTask {
     in_flight: Option<InFlightDispatch>,
@@ -30,7 +30,7 @@
     cancelled: Option<CancelledDispatch>,
 }
 
-/// What a job's thread waits for.
+/// An event that a job's thread waits for.
 enum TaskEvent {
     CancellationWritten,
     /// `None` once the sender has been dropped.
@@ -41,7 +41,7 @@
 }
 
 impl JobTask {
-    /// A job that takes its commands from this channel.
+    /// A job that receives its commands from this channel.
     pub fn new(
         id: JobId,
         commands: Receiver<JobCommand>,
@@ -172,7 +172,7 @@
         self.finish(dispatch, &DispatchEnd::new(status).load_report(report));
     }
 
-    /// Requests further pages, or answers the client once the last one has come. A result with a page missing
+    /// Requests further pages, or answers the client once the last one was received. A result with a page missing
     /// at the deadline, or with a malformed one, never completes a job.
     fn collect_result(&mut self, mut dispatch: InFlightDispatch) {
         let Some(result) = &mut dispatch.result else {
@@ -189,7 +189,7 @@
             self.in_flight = Some(dispatch);
             return;
         }
-        // The client gets its answer before the controller hears of it. The responder passes on only one answer.
+        // The client is answered before the controller is notified. The responder passes on only one answer.
         if self.job.responder.respond(&Reply::Completed { rows: result.rows() }) {
             counters::JOBS_COMPLETED.increment();
         }
@@ -199,8 +199,8 @@
         self.finish(dispatch, &end);
     }
 
-    /// Ends an attempt. One that its engine may still hold is cancelled there first, and the job goes on taking
-    /// commands meanwhile.
+    /// Ends an attempt. One that its engine may still be running is cancelled there before its end is reported. The job
+    /// handles commands in the meantime.
     fn finish(&mut self, dispatch: InFlightDispatch, end: &DispatchEnd) {
         let finished = FinishedDispatch::new(dispatch, end);
         tracing::debug!(job = %self.job.client_job_id, attempt = finished.attempt(), status = ?finished.status(), "dispatch finished");
--- a/crates/server/src/job/worker_pool.rs
+++ b/crates/server/src/job/worker_pool.rs
@@ -1,8 +1,8 @@
-//! Threads that carry out jobs. A thread whose job is over waits for the next one for a while, since making and ending
-//! a thread costs a gateway with part of a core more than the job does. The thread that has waited for the shortest
-//! time gets the next job, so that the surplus of a burst ends.
+//! Threads that carry out jobs. A thread whose job has finished waits for the next one for a while, since starting and
+//! ending a thread costs more processor time than the job does. The thread that has waited for the shortest time gets
+//! the next job, so that threads in excess of the load time out.
 //!
-//! Nobody joins these threads: each ends by itself once it has been idle, and the process may end while they wait.
+//! These threads are not joined: each ends after it has been idle for a while, and the process may exit before.
 
 use crate::job::task::JobTask;
 use crate::lifecycle::threads::{self, STACK_BYTES};
@@ -18,7 +18,7 @@
 /// The threads that carry out jobs. All clones are handles on the same pool.
 #[derive(Clone, Default)]
 pub struct WorkerPool {
-    /// Threads that wait for a job; the one that began to wait last stands last.
+    /// Threads that wait for a job, in the order in which they began to wait.
     idle: Arc<Mutex<Vec<IdleWorker>>>,
 }
 
@@ -35,7 +35,7 @@
     pub fn start(&self, task: JobTask) -> io::Result<()> {
         let idle_worker = self.idle().pop();
         let task = match idle_worker {
-            // A worker that is taken off the list waits for this.
+            // A worker that was removed from the list still receives from its channel.
             Some(worker) => match worker.next_task.try_send(task) {
                 Ok(()) => return Ok(()),
                 Err(refused) => refused.into_inner(),
@@ -47,7 +47,7 @@
     }
 
     fn idle(&self) -> MutexGuard<'_, Vec<IdleWorker>> {
-        // A panic ends the program, so that no thread sees a poisoned state.
+        // A panic aborts the process, so a poisoned mutex needs no handling.
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The next job for this thread, if one comes in time.
+    /// The next job for this thread, if one arrives before the idle timeout.
     fn wait_for_task(&self, sender: &Sender<JobTask>, receiver: &Receiver<JobTask>) -> Option<JobTask> {
         let thread = thread::current().id();
         self.idle().push(IdleWorker { thread, next_task: sender.clone() });
@@ -73,7 +73,7 @@
             return None;
         }
         drop(idle);
-        // It was taken off the list meanwhile: a job is on its way.
+        // Another thread has removed it from the list to send it a job.
         receiver.recv().ok()
     }
 }
