--- a/crates/server/src/config/connection_settings.rs
+++ b/crates/server/src/config/connection_settings.rs
@@ -15,17 +15,17 @@
 #[derive(Clone, Copy)]
 pub struct ConnectionSettings {
     /// Dispatches that one connection carries at a time.
-    pub streams: usize,
+    pub streams_per_connection: usize,
     /// How long a connect may take.
-    pub dial: Duration,
+    pub dial_timeout: Duration,
     /// A connection that has been idle for this time is not used again.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How often engines report progress of what is in flight, if they do.
-    pub notes: Option<Duration>,
+    pub progress_interval: Option<Duration>,
     /// Connections to one engine at the most.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Whether health checks ask for a load report.
-    pub reports: bool,
+    pub request_load_reports: bool,
 }
 
 impl ConnectionSettings {
@@ -35,12 +35,12 @@
         let streams = settings.number(STREAMS_PER_CONNECTION).unwrap_or(DEFAULT_STREAMS_PER_CONNECTION);
         let progress_interval = duration(settings, PROGRESS_INTERVAL, 0.0);
         ConnectionSettings {
-            streams: streams.max(1.0) as usize,
-            dial: duration(settings, DIAL_TIMEOUT, DEFAULT_DIAL_TIMEOUT_MS),
-            idle: duration(settings, CONNECTION_IDLE_TIMEOUT, DEFAULT_IDLE_TIMEOUT_MS) * 3 / 4,
-            notes: Some(progress_interval).filter(|interval| !interval.is_zero()),
-            connections: max_connections,
-            reports: settings.text(LOAD_REPORT_MODE) == LOAD_REPORT_PULL,
+            streams_per_connection: streams.max(1.0) as usize,
+            dial_timeout: duration(settings, DIAL_TIMEOUT, DEFAULT_DIAL_TIMEOUT_MS),
+            idle_timeout: duration(settings, CONNECTION_IDLE_TIMEOUT, DEFAULT_IDLE_TIMEOUT_MS) * 3 / 4,
+            progress_interval: Some(progress_interval).filter(|interval| !interval.is_zero()),
+            max_connections,
+            request_load_reports: settings.text(LOAD_REPORT_MODE) == LOAD_REPORT_PULL,
         }
     }
 }
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -12,7 +12,7 @@
 pub use connection_settings::ConnectionSettings;
 pub use error::ConfigError;
 pub use location_names::LocationNames;
-pub use retry_semantics::RetrySemantics;
+pub use retry_semantics::{IdempotencyScope, RetrySemantics};
 
 use crate::codec::event_bus::{self, Event};
 use crate::limits::Limits;
--- a/crates/server/src/config/retry_semantics.rs
+++ b/crates/server/src/config/retry_semantics.rs
@@ -13,16 +13,31 @@
     /// A retry is harmless at any time.
     Restartable,
     /// A retry is harmless as long as engines remember the idempotency key of the first run.
-    Keyed {
+    IdempotencyKey {
         /// The time for which they do, from the first run.
         window: TimeDelta,
-        /// Whether all engines know the key, not only some.
-        anywhere: bool,
+        /// Which engines know the key.
+        scope: IdempotencyScope,
     },
     /// A retry does harm.
     RunOnce,
 }
 
+/// Which engines know the idempotency key of a job that one of them has run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum IdempotencyScope {
+    /// All engines.
+    Pool,
+    /// Some of them only.
+    PartOfPool,
+}
+
+impl IdempotencyScope {
+    fn read(scope: &str) -> IdempotencyScope {
+        if scope == IDEMPOTENCY_SCOPE_ALL { IdempotencyScope::Pool } else { IdempotencyScope::PartOfPool }
+    }
+}
+
 impl RetrySemantics {
     /// Those of the class at this position of the settings.
     pub fn read(settings: &Settings, position: usize) -> RetrySemantics {
@@ -31,9 +46,9 @@
             SEMANTICS_RESTARTABLE => RetrySemantics::Restartable,
             SEMANTICS_IDEMPOTENCY_KEY => {
                 let window_ms = settings.number(&field(CLASS_IDEMPOTENCY_WINDOW)).unwrap_or(0.0);
-                RetrySemantics::Keyed {
+                RetrySemantics::IdempotencyKey {
                     window: TimeDelta::from_millis_f64(window_ms),
-                    anywhere: settings.text(&field(CLASS_IDEMPOTENCY_SCOPE)) == IDEMPOTENCY_SCOPE_ALL,
+                    scope: IdempotencyScope::read(settings.text(&field(CLASS_IDEMPOTENCY_SCOPE))),
                 }
             }
             _ => RetrySemantics::RunOnce,
--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -1,7 +1,7 @@
 //! A job's record of its dispatches, as the connections to engines saw them. It is checked before each first byte and is
 //! independent of the admission controller's state.
 
-use crate::config::retry_semantics::RetrySemantics;
+use crate::config::retry_semantics::{IdempotencyScope, RetrySemantics};
 use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -56,7 +56,9 @@
             _ if entries.in_flight > 0 => Some(Invariant::SingleDispatchInFlight),
             _ if deadline > self.deadline + DEADLINE_SLACK => Some(Invariant::DeadlineWithinClientTimeout),
             RetrySemantics::RunOnce if first_run.is_some() => Some(Invariant::RunOnceNotRetried),
-            RetrySemantics::Keyed { window, .. } if first_run.is_some_and(|first| now >= first + window) => {
+            RetrySemantics::IdempotencyKey { window, .. }
+                if first_run.is_some_and(|first| now >= first + window) =>
+            {
                 Some(Invariant::KeyedRetryWithinWindow)
             }
             _ => None,
@@ -90,7 +92,7 @@
         let may_have_run = entries.in_flight > 0 || entries.first_run.is_some();
         let harmless = match self.semantics {
             RetrySemantics::Restartable => true,
-            RetrySemantics::Keyed { anywhere, .. } => anywhere,
+            RetrySemantics::IdempotencyKey { scope, .. } => scope == IdempotencyScope::Pool,
             RetrySemantics::RunOnce => false,
         };
         if may_have_run && !harmless {
--- a/crates/server/src/engine/pool/connecting.rs
+++ b/crates/server/src/engine/pool/connecting.rs
@@ -14,7 +14,7 @@
 impl EnginePool {
     /// Starts to make a connection for each waiting request, as far as limits allow it.
     pub(super) fn dial_for_waiting(&mut self, context: &PoolContext) {
-        let allowed = context.settings.connections.saturating_sub(self.connections.len());
+        let allowed = context.settings.max_connections.saturating_sub(self.connections.len());
         while self.dials_in_progress < self.waiting.len().min(allowed) && self.start_dial(context) {}
         if self.dials_in_progress == 0 {
             self.share_connections(context);
@@ -80,6 +80,6 @@
             // The receiver lives as long as the program.
             let _ = messages.send(RegistryMessage::Command { pool, command });
         });
-        ReadHalf::new(stream, context.settings.dial, on_event)
+        ReadHalf::new(stream, context.settings.dial_timeout, on_event)
     }
 }
--- a/crates/server/src/engine/pool/connection_choice.rs
+++ b/crates/server/src/engine/pool/connection_choice.rs
@@ -32,7 +32,7 @@
 
     /// Connections are shared where the engine's share of them is used up.
     fn sharing(&self, context: &PoolContext) -> Sharing {
-        let is_full = self.connections.len() + self.dials_in_progress >= context.settings.connections;
+        let is_full = self.connections.len() + self.dials_in_progress >= context.settings.max_connections;
         if is_full { Sharing::Allowed } else { Sharing::Forbidden }
     }
 
@@ -64,10 +64,10 @@
     }
 
     fn has_room(&self, connection: &EngineConnection, sharing: Sharing, context: &PoolContext) -> bool {
-        let idle_timeout = context.settings.idle;
+        let idle_timeout = context.settings.idle_timeout;
         match connection.requests.len() {
             0 => connection.is_fresh(self.reuse_limit.get(idle_timeout), idle_timeout),
-            in_flight => sharing == Sharing::Allowed && in_flight < context.settings.streams,
+            in_flight => sharing == Sharing::Allowed && in_flight < context.settings.streams_per_connection,
         }
     }
 }
--- a/crates/server/src/engine/pool/mod.rs
+++ b/crates/server/src/engine/pool/mod.rs
@@ -112,7 +112,7 @@
     pub(crate) fn lacks_descriptor(&self, context: &PoolContext) -> bool {
         !self.waiting.is_empty()
             && self.dials_in_progress == 0
-            && self.connections.len() < context.settings.connections
+            && self.connections.len() < context.settings.max_connections
             && context.descriptors.acquire(1).is_none()
     }
 
@@ -194,7 +194,7 @@
     }
 
     fn enqueue(&mut self, id: RequestId, wire_id: Box<str>, kind: RequestKind, context: &PoolContext) {
-        let request = InFlightRequest::waiting(wire_id, kind, context.settings.dial);
+        let request = InFlightRequest::waiting(wire_id, kind, context.settings.dial_timeout);
         self.in_flight.insert(id, request);
         self.waiting.push_back(id);
         self.assign_waiting(context);
--- a/crates/server/src/engine/pool/results.rs
+++ b/crates/server/src/engine/pool/results.rs
@@ -73,7 +73,7 @@
             return;
         };
         let is_silent = |connection: &EngineConnection| {
-            connection.requests.len() == 1 && connection.silent_for() > context.settings.dial
+            connection.requests.len() == 1 && connection.silent_for() > context.settings.dial_timeout
         };
         if request.has_first_page {
             self.write_for(id, encode_end, context);
--- a/crates/server/src/engine/pool/sending.rs
+++ b/crates/server/src/engine/pool/sending.rs
@@ -62,7 +62,7 @@
                 Some(encode_request(job, &request.class, timeout, request.priority, &request.statement))
             }
             RequestKind::HealthCheck(_) => {
-                let kind = if context.settings.reports {
+                let kind = if context.settings.request_load_reports {
                     HealthCheckKind::LoadReport
                 } else {
                     HealthCheckKind::Liveness
@@ -99,7 +99,7 @@
         let Some(request) = self.in_flight.get_mut(&id) else { return Ok(bytes.len()) };
         let Some(connection) = self.connections.get_mut(&connection_id) else { return Ok(bytes.len()) };
         connection.begin_request(request.wire_id.clone(), id);
-        request.begin_on(connection_id, context.settings.dial);
+        request.begin_on(connection_id, context.settings.dial_timeout);
         connection.write_some(bytes)
     }
 
--- a/crates/server/src/engine/pool/timeouts.rs
+++ b/crates/server/src/engine/pool/timeouts.rs
@@ -33,7 +33,7 @@
         if request.connection.is_none() && !request.may_share {
             // A connection of its own takes long: one that is there will do.
             request.may_share = true;
-            request.due = now + context.settings.dial;
+            request.due = now + context.settings.dial_timeout;
             return self.share_connection(id, context);
         }
         if matches!(request.kind, RequestKind::HealthCheck(_)) && request.connection.is_some() {
@@ -55,7 +55,7 @@
 
     /// Closes connections that have been idle too long, and those that have fallen silent.
     pub(crate) fn sweep(&mut self, context: &PoolContext) {
-        self.close_idle(context.settings.idle);
+        self.close_idle(context.settings.idle_timeout);
         self.close_silent(context);
     }
 
@@ -74,7 +74,7 @@
     /// A connection on which progress updates are due and nothing comes, while its engine speaks on others, is of no
     /// use. Where all are silent it is the engine, which is for the admission controller to judge.
     fn close_silent(&mut self, context: &PoolContext) {
-        let Some(interval) = context.settings.notes else { return };
+        let Some(interval) = context.settings.progress_interval else { return };
         let speaks =
             self.connections.values().any(|connection| connection.last_received.elapsed() < interval);
         if !speaks {
--- a/crates/server/src/engine/registry.rs
+++ b/crates/server/src/engine/registry.rs
@@ -44,7 +44,7 @@
     ) -> io::Result<Arc<EngineRegistry>> {
         let (messages, inbox) = bounded(MESSAGES_CAPACITY);
         let updates = Arc::new(EndpointUpdates::default());
-        let dialer = Dialer { spawn_thread, timeout: settings.dial, messages: messages.clone() };
+        let dialer = Dialer { spawn_thread, timeout: settings.dial_timeout, messages: messages.clone() };
         let poller = SocketPoller::start()?;
         let context = PoolContext { settings, descriptors, poller, now, dialer, messages: messages.clone() };
         let registry_loop = RegistryLoop::new(updates.clone(), inbox, context);
--- a/crates/server/tests/server/connection_pool.rs
+++ b/crates/server/tests/server/connection_pool.rs
@@ -34,12 +34,12 @@
 /// A pool that waits long for a connection and may have a few of them.
 fn start_pool() -> Arc<EngineRegistry> {
     let settings = ConnectionSettings {
-        streams: 32,
-        dial: Duration::from_secs(9),
-        idle: Duration::from_secs(9),
-        notes: None,
-        connections: 8,
-        reports: false,
+        streams_per_connection: 32,
+        dial_timeout: Duration::from_secs(9),
+        idle_timeout: Duration::from_secs(9),
+        progress_interval: None,
+        max_connections: 8,
+        request_load_reports: false,
     };
     EngineRegistry::start(settings, ResourceBudget::new(8), clock::now, spawn_or_refuse).unwrap()
 }
