--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,8 +4,6 @@
 //! The modules depend on each other in one direction: estimators and settings; jobs, classes and engines; one
 //! module a concern; the state that holds them together; the modules that carry a job through its life; the controller.
 
-#![warn(missing_docs)]
-
 pub mod controller;
 pub mod interface;
 pub mod settings;
