--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -1,12 +1,13 @@
-//! A job's record of its dispatches, as the connections to engines saw them. It is checked before each first byte and is
-//! independent of the admission controller's state.
+//! A job's record of the dispatches that were sent for it. It is kept by the connections to engines and checked before
+//! the first byte of each dispatch, independently of the admission controller, whose faults it thereby detects.
 
 use crate::config::retry_semantics::{IdempotencyScope, RetrySemantics};
+use crate::lifecycle::sync::lock;
 use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::time::{TimeDelta, Timestamp};
-use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::sync::Mutex;
 
-/// How far a dispatch's deadline may lie behind the end of its client's wait (150 ms).
+/// How much later than the client's timeout a dispatch's deadline may be.
 const DEADLINE_SLACK: TimeDelta = TimeDelta(150_000);
 
 /// Whether an engine may have run a dispatch that was sent to it.
@@ -41,16 +42,11 @@
         DispatchLedger { id: id.into(), semantics, deadline, entries: Mutex::default() }
     }
 
-    fn entries(&self) -> MutexGuard<'_, Entries> {
-        // A panic ends the program, so that nobody sees what a panic left behind.
-        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// Records a dispatch that is about to be sent with this deadline. Returns whether it may be: one that would violate
-    /// an invariant is counted as a violation instead.
+    /// Records a dispatch that is about to be sent with this deadline. Returns whether it may be: one that would
+    /// violate an invariant is counted as a violation instead.
     #[must_use]
     pub fn try_record_send(&self, now: Timestamp, deadline: Timestamp) -> bool {
-        let mut entries = self.entries();
+        let mut entries = lock(&self.entries);
         let first_run = entries.first_run;
         let violation = match self.semantics {
             _ if entries.in_flight > 0 => Some(Invariant::SingleDispatchInFlight),
@@ -70,25 +66,25 @@
         violation.is_none()
     }
 
-    /// Takes a recorded dispatch back of which no byte was sent.
+    /// Removes a recorded dispatch of which no byte was sent.
     pub fn record_unsent(&self) {
-        let mut entries = self.entries();
+        let mut entries = lock(&self.entries);
         entries.in_flight = entries.in_flight.saturating_sub(1);
     }
 
     /// Records the end of a dispatch that was sent at this time.
     pub fn record_end(&self, sent: Timestamp, execution: Execution) {
-        let mut entries = self.entries();
+        let mut entries = lock(&self.entries);
         entries.in_flight = entries.in_flight.saturating_sub(1);
         if execution == Execution::MayHaveRun {
             entries.first_run.get_or_insert(sent);
         }
     }
 
-    /// Checks that the job may be answered as rejected, which tells the client that a retry is harmless. A violation is
-    /// counted; the answer is not held up.
+    /// Checks that the job may be answered as rejected, since clients retry rejected jobs. A violation is counted, but
+    /// the answer is sent all the same.
     pub fn check_rejection(&self) {
-        let entries = self.entries();
+        let entries = lock(&self.entries);
         let may_have_run = entries.in_flight > 0 || entries.first_run.is_some();
         let harmless = match self.semantics {
             RetrySemantics::Restartable => true,
--- a/crates/server/src/server/startup.rs
+++ b/crates/server/src/server/startup.rs
@@ -4,7 +4,7 @@
 //! that all connections are closed.
 
 use super::ServerError;
-use crate::client::context::ClientContext;
+use crate::client::context::{ClientContext, ClientContextConfig};
 use crate::client::event_loop::ClientEventLoop;
 use crate::codec::event_bus::Event;
 use crate::config::Config;
@@ -34,20 +34,20 @@
 }
 
 impl Service {
-    /// Starts all threads of the service but that of the signals. The initial events are taken out of `config`.
+    /// Starts all threads of the service except the one for signals. Moves the initial events out of `config`.
     pub fn start(config: &mut Config) -> Result<Service, ServerError> {
         let quotas = ResourceQuotas::from_limits(config.limits);
         let engines = start_engines(config, &quotas)?;
         let initial_events = std::mem::take(&mut config.initial_events);
         let controller = start_controller(config, initial_events, engines)?;
         let shutdown = Arc::new(ShutdownState::default());
-        let context = ClientContext::new(
-            controller.clone(),
-            shutdown.clone(),
-            config.class_names(),
-            config.retry_semantics(),
-            &quotas,
-        );
+        let context = ClientContext::new(ClientContextConfig {
+            controller: controller.clone(),
+            shutdown: shutdown.clone(),
+            class_names: config.class_names(),
+            retry_semantics: config.retry_semantics(),
+            quotas: &quotas,
+        });
         let listener = listen(config.listen)?;
         let address = listener.local_addr().map_err(ServerError::cannot("listen"))?;
         let clients_closed = start_clients(context, listener)?;
@@ -80,7 +80,7 @@
     engines: Arc<EngineRegistry>,
 ) -> Result<Arc<ControllerHandle>, ServerError> {
     ControllerHandle::start(config.settings.clone(), config.seed, initial_events, engines)
-        .map_err(ServerError::cannot("start the module's thread"))
+        .map_err(ServerError::cannot("start the controller's thread"))
 }
 
 fn listen(address: SocketAddr) -> Result<TcpListener, ServerError> {
@@ -88,13 +88,13 @@
         .map_err(|source| ServerError::Listen { address, source })
 }
 
-/// Starts the thread of all client connections, and returns what reports its end.
+/// Starts the thread of all client connections. The receiver gets a message when it ends.
 fn start_clients(context: ClientContext, listener: TcpListener) -> Result<Receiver<()>, ServerError> {
     let event_loop = ClientEventLoop::new(context, listener).map_err(ServerError::cannot("listen"))?;
     let (closed, clients_closed) = bounded(1);
     let serve = move || {
         event_loop.run();
-        // Nobody waits for it if the service has ended with an error.
+        // The receiver is gone if the service has ended with an error.
         let _ = closed.send(());
     };
     threads::spawn_required("clients", STACK_BYTES, serve).map_err(ServerError::cannot("start a thread"))?;
