--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -1,7 +1,7 @@
 //! A job's record of the dispatches that were sent for it. It is kept by the connections to engines and checked before
 //! the first byte of each dispatch, independently of the admission controller, whose faults it thereby detects.
 
-use crate::config::retry_semantics::RetrySemantics;
+use crate::config::retry_semantics::{IdempotencyScope, RetrySemantics};
 use crate::lifecycle::sync::lock;
 use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::time::{TimeDelta, Timestamp};
@@ -52,7 +52,9 @@
             _ if entries.in_flight > 0 => Some(Invariant::SingleDispatchInFlight),
             _ if deadline > self.deadline + DEADLINE_SLACK => Some(Invariant::DeadlineWithinClientTimeout),
             RetrySemantics::RunOnce if first_run.is_some() => Some(Invariant::RunOnceNotRetried),
-            RetrySemantics::Keyed { window, .. } if first_run.is_some_and(|first| now >= first + window) => {
+            RetrySemantics::IdempotencyKey { window, .. }
+                if first_run.is_some_and(|first| now >= first + window) =>
+            {
                 Some(Invariant::KeyedRetryWithinWindow)
             }
             _ => None,
@@ -86,7 +88,7 @@
         let may_have_run = entries.in_flight > 0 || entries.first_run.is_some();
         let harmless = match self.semantics {
             RetrySemantics::Restartable => true,
-            RetrySemantics::Keyed { anywhere, .. } => anywhere,
+            RetrySemantics::IdempotencyKey { scope, .. } => scope == IdempotencyScope::Pool,
             RetrySemantics::RunOnce => false,
         };
         if may_have_run && !harmless {
