--- a/crates/server/src/config/connection_settings.rs
+++ b/crates/server/src/config/connection_settings.rs
@@ -14,23 +14,24 @@
 /// How connections to engines are made and kept.
 #[derive(Clone, Copy)]
 pub struct ConnectionSettings {
-    /// Dispatches that one connection carries at a time.
+    /// Requests that may be in flight on one connection at a time.
     pub streams_per_connection: usize,
-    /// How long a connect may take.
+    /// How long connecting to an engine may take. Also the timeout of health checks, and of the rest of a message whose
+    /// first part has been read.
     pub dial_timeout: Duration,
-    /// A connection that has been idle for this time is not used again.
+    /// A connection that has been idle for this time is closed instead of reused.
     pub idle_timeout: Duration,
-    /// How often engines report progress of what is in flight, if they do.
+    /// The interval of engines' progress updates; `None` if engines send none.
     pub progress_interval: Option<Duration>,
-    /// Connections to one engine at the most.
+    /// Connections that may be open to a single engine.
     pub max_connections: usize,
-    /// Whether health checks ask for a load report.
+    /// Whether health checks request a load report.
     pub request_load_reports: bool,
 }
 
 impl ConnectionSettings {
-    /// Reads them; `max_connections` is the limit for one engine. Connections are given up a quarter before the time
-    /// after which engines close them: the close may be under way when one is to be used.
+    /// Reads the settings; `max_connections` is the limit for one engine. The idle timeout is three quarters of that of
+    /// the engines, so that no connection is reused that its engine is about to close.
     pub fn read(settings: &Settings, max_connections: usize) -> ConnectionSettings {
         let streams = settings.number(STREAMS_PER_CONNECTION).unwrap_or(DEFAULT_STREAMS_PER_CONNECTION);
         let progress_interval = duration(settings, PROGRESS_INTERVAL, 0.0);
@@ -45,7 +46,7 @@
     }
 }
 
-/// A time in milliseconds; the default where it is missing or not above 0.
+/// A duration in milliseconds; the default if it is missing or not above 0.
 fn duration(settings: &Settings, name: &str, default_ms: f64) -> Duration {
     let millis = settings.number(name).filter(|millis| *millis > 0.0).unwrap_or(default_ms);
     Duration::from_micros((millis * 1000.0) as u64)
--- a/crates/server/src/config/retry_semantics.rs
+++ b/crates/server/src/config/retry_semantics.rs
@@ -14,12 +14,12 @@
     Restartable,
     /// A retry is harmless as long as engines remember the idempotency key of the first run.
     IdempotencyKey {
-        /// The time for which they do, from the first run.
+        /// How long engines remember the key, counted from the first run.
         window: TimeDelta,
         /// Which engines know the key.
         scope: IdempotencyScope,
     },
-    /// A retry does harm.
+    /// The job must not run more than once.
     RunOnce,
 }
 
@@ -28,7 +28,7 @@
 pub enum IdempotencyScope {
     /// All engines.
     Pool,
-    /// Some of them only.
+    /// Only some engines.
     PartOfPool,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl RetrySemantics {
-    /// Those of the class at this position of the settings.
+    /// Reads the semantics of the class at this position of the settings.
     pub fn read(settings: &Settings, position: usize) -> RetrySemantics {
         let field = |name: &str| format!("{CLASSES}.{position}.{name}");
         match settings.text(&field(CLASS_SEMANTICS)) {
