--- a/crates/server/src/decision/open_job.rs
+++ b/crates/server/src/decision/open_job.rs
@@ -88,7 +88,7 @@
         match workers.start(JobTask::new(id, command_queue, admitted, controller)) {
             Ok(()) => JobState::Running(commands),
             Err(e) => {
-                tracing::warn!(job = id.0, reason = %e, "no thread for a job");
+                tracing::warn!(job_number = id.0, reason = %e, "no thread for a job");
                 counters::LOCAL_LIMIT_REJECTIONS.increment();
                 self.answered = true;
                 self.responder.respond(&Reply::Rejected { retry_after: RETRY_AFTER });
--- a/crates/server/src/discovery/connection.rs
+++ b/crates/server/src/discovery/connection.rs
@@ -1,10 +1,11 @@
 //! The address of the event bus and the connection to it. The address may change while the program runs.
 
 use crate::codec::event_bus;
+use crate::lifecycle::sync::lock;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
-use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
 /// How long a connect may take, and a write on the new connection.
@@ -73,6 +74,6 @@
 
     fn state(&self) -> MutexGuard<'_, ConnectorState> {
         // A panic aborts the process, so a poisoned mutex needs no handling.
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.state)
     }
 }
--- a/crates/server/src/job/worker_pool.rs
+++ b/crates/server/src/job/worker_pool.rs
@@ -5,10 +5,11 @@
 //! These threads are not joined: each ends after it has been idle for a while, and the process may exit before.
 
 use crate::job::task::JobTask;
+use crate::lifecycle::sync::lock;
 use crate::lifecycle::threads::{self, STACK_BYTES};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use std::io;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::{self, ThreadId};
 use std::time::Duration;
 
@@ -48,7 +49,7 @@
 
     fn idle(&self) -> MutexGuard<'_, Vec<IdleWorker>> {
         // A panic aborts the process, so a poisoned mutex needs no handling.
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.idle)
     }
 
     fn work(&self, first: JobTask) {
