--- a/src/pool.rs
+++ b/src/pool.rs
@@ -25,7 +25,7 @@
 /// An equal share of an engine is less than a job and means nothing.
 ///
 /// Only what all gateways know alike counts, since they take turns at warming engines by it.
-pub fn equal_share_is_below_job(engine: &Engine, gateway_count: f64) -> bool {
+pub fn equal_share_is_below_one_thread(engine: &Engine, gateway_count: f64) -> bool {
     THREADS_PER_CORE * engine.cores < gateway_count
 }
 
@@ -50,7 +50,7 @@
         let mut engine = Engine::new(settings, endpoint, previous, now);
         let reports_can_be_had = settings.permissions.health_checks && settings.reports.include_total_load;
         engine.limit.covers_all_gateways =
-            reports_can_be_had && equal_share_is_below_job(&engine, settings.gateway_count);
+            reports_can_be_had && equal_share_is_below_one_thread(&engine, settings.gateway_count);
         engine.limit.equal_share =
             if engine.limit.covers_all_gateways { 1.0 } else { 1.0 / settings.gateway_count };
         engine.limit.limit = engine.limit.equal_share;
@@ -71,7 +71,8 @@
         self.running = engines.keys().copied().filter(runs).collect();
         self.running_cores = self.running.iter().map(|id| engines[id].cores).sum();
         let warming_up = |id: &EngineId| {
-            equal_share_is_below_job(&engines[id], gateway_count) && engines[id].endpoint.started_at.is_some()
+            equal_share_is_below_one_thread(&engines[id], gateway_count)
+                && engines[id].endpoint.started_at.is_some()
         };
         self.warming_up = self.running.iter().copied().filter(warming_up).collect();
         self.orders.clear();
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -8,7 +8,7 @@
 use crate::engine::Engine;
 use crate::estimators::mix64;
 use crate::job_class::JobClass;
-use crate::pool::equal_share_is_below_job;
+use crate::pool::equal_share_is_below_one_thread;
 use crate::settings::ControllerSettings;
 use crate::time::Timestamp;
 
@@ -57,7 +57,7 @@
             return f64::INFINITY;
         };
         let sent = engine.slow_start_work.sum_since(self.now - window);
-        if equal_share_is_below_job(engine, self.settings.gateway_count) {
+        if equal_share_is_below_one_thread(engine, self.settings.gateway_count) {
             self.slot_budget(engine, started_at, sent)
         } else {
             let whole = self.whole_budget(engine, self.now);
@@ -67,7 +67,7 @@
 
     /// Whether this gateway takes turns at this engine and it is warming up.
     pub fn takes_turns(&self, engine: &Engine) -> bool {
-        equal_share_is_below_job(engine, self.settings.gateway_count)
+        equal_share_is_below_one_thread(engine, self.settings.gateway_count)
             && self.remaining_budget(engine) < f64::INFINITY
     }
 
