--- a/src/engine.rs
+++ b/src/engine.rs
@@ -94,7 +94,7 @@
     /// Its health checks.
     pub health_check: HealthCheckState,
     /// When an answer or progress last came.
-    pub last_heard_at: Timestamp,
+    pub last_response_at: Timestamp,
     /// Typical work sent recently, for the slow-start budget.
     pub slow_start_work: SlidingWindow,
     /// Work sent recently (ms on one thread).
@@ -122,7 +122,7 @@
             in_flight: previous.in_flight,
             slow_start_work: previous.slow_start_work,
             recent_work: previous.recent_work,
-            last_heard_at: now,
+            last_response_at: now,
             endpoint,
             ..Engine::default()
         }
--- a/src/feedback.rs
+++ b/src/feedback.rs
@@ -41,7 +41,7 @@
     let job = &state.jobs[&id];
     let engine = job.in_flight().and_then(|dispatch| state.pool.engines.get_mut(&dispatch.engine));
     let Some(engine) = engine else { return };
-    engine.last_heard_at = state.now;
+    engine.last_response_at = state.now;
     engine.ejection.progressed();
     if update == ProgressUpdate::WaitingForBulkLoad {
         engine.locked_tables_until.insert(job.request.table_group, locked_until);
@@ -163,7 +163,7 @@
 
 fn engine_answered(state: &mut ControllerState, id: JobId, dispatch: &InFlightDispatch) {
     let Some(engine) = state.pool.engines.get_mut(&dispatch.engine) else { return };
-    engine.last_heard_at = state.now;
+    engine.last_response_at = state.now;
     engine.ejection.answered();
     if dispatch.waited_for_bulk_load {
         engine.locked_tables_until.remove(&state.jobs[&id].request.table_group);
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -121,7 +121,7 @@
         self.engines.retain(|id, engine| {
             engine.locked_tables_until.retain(|_, until| *until > now);
             let keep = engine.endpoint.lifecycle != LifecycleState::Gone
-                || now - engine.last_heard_at < retention
+                || now - engine.last_response_at < retention
                 || used.contains(id);
             evicted.extend((!keep).then_some(*id));
             keep
--- a/src/stuck_jobs.rs
+++ b/src/stuck_jobs.rs
@@ -126,8 +126,8 @@
     let max_silence = interval.mul_f64(SILENT_INTERVALS) + SILENCE_MARGIN;
     let is_silent = |dispatch: &&InFlightDispatch| {
         let engine = state.pool.engines.get(&dispatch.engine);
-        let last_heard_at = engine.map_or(state.now, |engine| engine.last_heard_at);
-        state.now - dispatch.last_update_at > max_silence && state.now - last_heard_at > max_silence
+        let last_response_at = engine.map_or(state.now, |engine| engine.last_response_at);
+        state.now - dispatch.last_update_at > max_silence && state.now - last_response_at > max_silence
     };
     let silent =
         |(id, job): (&JobId, &PendingJob)| Some((*id, job.active_dispatch().filter(is_silent)?.engine));
