--- a/src/admission.rs
+++ b/src/admission.rs
@@ -76,7 +76,7 @@
     if job.start_waiting() {
         state.waiting.jobs.push(id);
     }
-    if !state.waiting.retry_is_scheduled && state.pool.fleet_is_large() {
+    if !state.waiting.placement_is_scheduled && state.pool.fleet_is_large() {
         let intervals = RETRY_DELAY_IN_LARGE_FLEET + RETRY_DELAY_IN_LARGE_FLEET * state.random.next_f64();
         schedule_retry(state, RETRY_DELAY_AFTER_RESULT.mul_f64(intervals));
     }
@@ -84,19 +84,19 @@
 
 /// A dispatch has ended: capacity may have become free for the waiting jobs.
 pub fn capacity_may_be_free(state: &mut ControllerState) {
-    if !state.waiting.jobs.is_empty() && !state.waiting.retry_is_scheduled {
+    if !state.waiting.jobs.is_empty() && !state.waiting.placement_is_scheduled {
         schedule_retry(state, RETRY_DELAY_AFTER_RESULT);
     }
 }
 
 fn schedule_retry(state: &mut ControllerState, delay: TimeDelta) {
-    state.waiting.retry_is_scheduled = true;
+    state.waiting.placement_is_scheduled = true;
     state.schedule_in(delay, Timer::PlaceWaitingJobs);
 }
 
 /// The timer for the waiting jobs has fired.
 pub fn retry_waiting_jobs(state: &mut ControllerState) {
-    state.waiting.retry_is_scheduled = false;
+    state.waiting.placement_is_scheduled = false;
     place_waiting_jobs(state);
 }
 
--- a/src/waiting.rs
+++ b/src/waiting.rs
@@ -8,7 +8,7 @@
     /// The jobs, in the order in which they joined.
     pub jobs: Vec<JobId>,
     /// A timer is set for trying them again.
-    pub retry_is_scheduled: bool,
+    pub placement_is_scheduled: bool,
     /// The last choice of an engine found none under its limit.
     pub found_no_capacity: bool,
 }
