--- a/src/feedback.rs
+++ b/src/feedback.rs
@@ -157,7 +157,7 @@
         job.run_ms = cost.work.as_millis_f64() / class.settings.threads;
     }
     if !dispatch.spilled {
-        class.memory_factor.observe_fit();
+        class.memory_factor.observe_no_spill();
     }
 }
 
--- a/src/memory_factor.rs
+++ b/src/memory_factor.rs
@@ -1,7 +1,7 @@
 //! The memory that jobs of a class need over the memory that they are estimated to need.
 
 /// The most that a grant may be of the estimate.
-pub const MAX_FACTOR: f64 = 4.0;
+pub const MAX_MEMORY_FACTOR: f64 = 4.0;
 
 const INITIAL_FACTOR: f64 = 1.25;
 /// The part of the way that a spill moves the factor, once there were many.
@@ -30,14 +30,14 @@
 
     /// A job spilled to disk and would have needed this multiple of its estimate.
     pub fn observe_spill(&mut self, needed: f64) {
-        let needed = needed.min(MAX_FACTOR);
+        let needed = needed.min(MAX_MEMORY_FACTOR);
         self.spill_count += 1.0;
         let step = SPILL_STEP.max(1.0 / (1.0 + self.spill_count));
         self.value += step * (needed - self.value).max(0.0);
     }
 
     /// A job ended without a spill.
-    pub fn observe_fit(&mut self) {
+    pub fn observe_no_spill(&mut self) {
         self.value = (self.value * DECAY_WITHOUT_SPILL).max(1.0);
     }
 }
