--- a/src/concurrency/engine_limit.rs
+++ b/src/concurrency/engine_limit.rs
@@ -5,7 +5,7 @@
     OVERLOAD_SLOWDOWN, PRIOR_RUN_MS, SlowdownSample,
 };
 use crate::estimators::DecayingAverage;
-use crate::job_class::MAX_SLOWDOWN;
+use crate::job_class::MAX_JOB_SLOWDOWN;
 use crate::time::{TimeDelta, Timestamp};
 
 /// Two threads a core or all the memory: more in flight can do no good.
@@ -54,7 +54,7 @@
     /// Adds a job's slowdown.
     pub fn observe_slowdown(&mut self, now: Timestamp, visibility: LoadVisibility, sample: SlowdownSample) {
         // A small job that is stuck for seconds says as much of its engine as a large one does.
-        let max = MAX_SLOWDOWN * (PRIOR_RUN_MS / sample.run_ms).max(1.0);
+        let max = MAX_JOB_SLOWDOWN * (PRIOR_RUN_MS / sample.run_ms).max(1.0);
         let (slowdown, weight) = (sample.slowdown.min(max), sample.run_ms * sample.weight);
         self.slowdown.add(now, visibility.slowdown_time_constant(), slowdown, weight);
     }
--- a/src/concurrency/gateway_limit.rs
+++ b/src/concurrency/gateway_limit.rs
@@ -5,7 +5,7 @@
     SlowdownSample,
 };
 use crate::estimators::DecayingAverage;
-use crate::job_class::MAX_SLOWDOWN;
+use crate::job_class::MAX_JOB_SLOWDOWN;
 use crate::time::Timestamp;
 
 /// The limit never falls below what the arriving work keeps in flight at this slowdown.
@@ -49,13 +49,13 @@
 
     /// Adds a job's slowdown to the pool's.
     pub fn observe_slowdown(&mut self, now: Timestamp, sample: SlowdownSample) {
-        let (slowdown, weight) = (sample.slowdown.min(MAX_SLOWDOWN), sample.run_ms * sample.weight);
+        let (slowdown, weight) = (sample.slowdown.min(MAX_JOB_SLOWDOWN), sample.run_ms * sample.weight);
         self.slowdown.add(now, SLOWDOWN_TIME_CONSTANT, slowdown, weight);
     }
 
     /// Counts a job that an engine rejected for lack of capacity.
     pub fn observe_overload(&mut self, now: Timestamp, run_ms: f64) {
-        self.slowdown.add(now, SLOWDOWN_TIME_CONSTANT, MAX_SLOWDOWN, run_ms);
+        self.slowdown.add(now, SLOWDOWN_TIME_CONSTANT, MAX_JOB_SLOWDOWN, run_ms);
     }
 
     /// The slowdown of the pool, drawn towards none where little is known.
--- a/src/job_class.rs
+++ b/src/job_class.rs
@@ -22,7 +22,7 @@
 const MAX_BASELINE_IN_MEMORY: f64 = 2.0;
 
 /// A single job counts with no more than this slowdown.
-pub const MAX_SLOWDOWN: f64 = 6.0;
+pub const MAX_JOB_SLOWDOWN: f64 = 6.0;
 
 /// Time taken over unloaded time of a class's jobs, and what is usual for it without load.
 ///
@@ -37,7 +37,7 @@
 impl ClassSlowdown {
     /// Notes a finished job's slowdown, weighed by how long it runs without load.
     pub fn observe(&mut self, now: Timestamp, slowdown: f64, run_ms: f64) {
-        self.recent.add(now, SLOWDOWN_TIME_CONSTANT, slowdown.min(MAX_SLOWDOWN), run_ms);
+        self.recent.add(now, SLOWDOWN_TIME_CONSTANT, slowdown.min(MAX_JOB_SLOWDOWN), run_ms);
     }
 
     /// Lets the baseline follow the slowdown, down fast and up slowly.
@@ -149,7 +149,7 @@
         }
         if self.spilled.recent.weight() > min_weight {
             // Spilling may take any time.
-            self.spilled.update_baseline(MAX_SLOWDOWN);
+            self.spilled.update_baseline(MAX_JOB_SLOWDOWN);
         }
     }
 
