--- a/src/estimators/mean_deviation.rs
+++ b/src/estimators/mean_successive_difference.rs
@@ -2,12 +2,12 @@
 
 /// The mean of how much a measure differs from one time to the next.
 #[derive(Clone, Copy, Default)]
-pub struct MeanDeviation {
+pub struct MeanSuccessiveDifference {
     mean: f64,
     count: u32,
 }
 
-impl MeanDeviation {
+impl MeanSuccessiveDifference {
     /// The mean difference.
     pub fn mean(&self) -> f64 {
         self.mean
--- a/src/estimators/mod.rs
+++ b/src/estimators/mod.rs
@@ -7,7 +7,7 @@
 mod deviation_covariance;
 mod ewma;
 mod linear_posterior;
-mod mean_deviation;
+mod mean_successive_difference;
 mod pcg32;
 mod sliding_window;
 
@@ -15,6 +15,6 @@
 pub use deviation_covariance::DeviationCovariance;
 pub use ewma::{sigmoid, update_ewma};
 pub use linear_posterior::LinearPosterior;
-pub use mean_deviation::MeanDeviation;
+pub use mean_successive_difference::MeanSuccessiveDifference;
 pub use pcg32::{Pcg32, mix64};
 pub use sliding_window::SlidingWindow;
--- a/src/health.rs
+++ b/src/health.rs
@@ -2,7 +2,7 @@
 
 use crate::concurrency::OVERLOAD_SLOWDOWN;
 use crate::engine::Engine;
-use crate::estimators::MeanDeviation;
+use crate::estimators::MeanSuccessiveDifference;
 use crate::settings::ControllerSettings;
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
@@ -53,7 +53,7 @@
     /// The least time of a check (ms); rises slowly.
     least_elapsed_ms: BTreeMap<usize, f64>,
     /// How much checks of one engine that is not busy vary from one to the next (ms).
-    variation_ms: BTreeMap<usize, MeanDeviation>,
+    variation_ms: BTreeMap<usize, MeanSuccessiveDifference>,
 }
 
 impl HealthChecks {
