--- a/src/candidates/walk.rs
+++ b/src/candidates/walk.rs
@@ -10,7 +10,7 @@
 use crate::job::PendingJob;
 use crate::job_class::JobClass;
 use crate::rules;
-use crate::settings::Effect;
+use crate::settings::RetrySafety;
 use crate::state::ControllerState;
 
 /// The walk ends with this many preferred engines.
@@ -163,7 +163,7 @@
 
     fn tier(&self, id: EngineId, engine: &Engine) -> Tier {
         let class = &self.class.settings;
-        let in_doubt = engine.ejection.half_open && class.effect == Effect::RunOnce;
+        let in_doubt = engine.ejection.half_open && class.retry_safety == RetrySafety::RunOnce;
         // An overload is remembered for long: such engines come last, and their share of the work bounds what they get.
         let is_slowed_down = || self.visibility.lacks_load_reports && self.test.is_slowed_down(engine);
         if self.job.last_engine == Some(id) || in_doubt || is_slowed_down() {
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -3,7 +3,7 @@
 use crate::estimators::SlidingWindow;
 use crate::interface::Endpoint;
 use crate::job::PendingJob;
-use crate::settings::{ClassSettings, ControllerSettings, DeduplicationScope, Effect};
+use crate::settings::{ClassSettings, ControllerSettings, DeduplicationScope, RetrySafety};
 use crate::time::{TimeDelta, Timestamp};
 
 /// Jobs recently submitted and retries recently sent, for the retry budget.
@@ -42,9 +42,9 @@
 
 /// The last moment at which a dispatch of this job may begin.
 pub fn dispatch_deadline(job: &PendingJob, class: &ClassSettings, answer_margin: TimeDelta) -> Timestamp {
-    match (job.possible_run, class.effect) {
-        (Some(_), Effect::RunOnce) => Timestamp::default(),
-        (Some(first), Effect::IdempotencyKey) => {
+    match (job.possible_run, class.retry_safety) {
+        (Some(_), RetrySafety::RunOnce) => Timestamp::default(),
+        (Some(first), RetrySafety::IdempotencyKey) => {
             job.deadline.min(first.sent_at + class.deduplication_window) - answer_margin
         }
         _ => job.deadline - answer_margin,
@@ -74,10 +74,10 @@
 /// Whether the client may safely submit a job again that has no result.
 pub fn client_retry_is_harmless(job: &PendingJob, class: &ClassSettings) -> bool {
     let cannot_have_run = job.possible_run.is_none() && job.in_flight().is_none();
-    let repeatable = match class.effect {
-        Effect::Restartable => true,
-        Effect::IdempotencyKey => class.deduplication_scope == DeduplicationScope::Pool,
-        Effect::RunOnce => false,
+    let repeatable = match class.retry_safety {
+        RetrySafety::Restartable => true,
+        RetrySafety::IdempotencyKey => class.deduplication_scope == DeduplicationScope::Pool,
+        RetrySafety::RunOnce => false,
     };
     cannot_have_run || repeatable
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -9,7 +9,7 @@
 //! 7. Retries keep to the retry budget.
 
 use crate::interface::{EngineId, JobId, LifecycleState};
-use crate::settings::Effect;
+use crate::settings::RetrySafety;
 use crate::state::ControllerState;
 use crate::{placement, retry};
 
@@ -37,7 +37,7 @@
     let (job, engine) = (&state.jobs[&id], &state.pool.engines[&engine]);
     let class = state.class_of(job);
     // Rule 2, as far as the dispatch's deadline does not see to it.
-    let first_run = job.possible_run.filter(|_| class.settings.effect == Effect::IdempotencyKey);
+    let first_run = job.possible_run.filter(|_| class.settings.retry_safety == RetrySafety::IdempotencyKey);
     let keeps_idempotency = first_run.is_none_or(|run| {
         let first = &state.pool.engines[&run.engine].endpoint;
         retry::shares_idempotency_keys(&class.settings, first, &engine.endpoint)
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -8,6 +8,6 @@
 
 pub use flat::{Settings, Value};
 pub use typed::{
-    ClassSettings, ContractSettings, ControllerSettings, DeduplicationScope, Effect, EngineCapabilities,
-    MachineType, Permissions, ReportSettings,
+    ClassSettings, ContractSettings, ControllerSettings, DeduplicationScope, EngineCapabilities, MachineType,
+    Permissions, ReportSettings, RetrySafety,
 };
--- a/src/settings/typed.rs
+++ b/src/settings/typed.rs
@@ -90,7 +90,7 @@
 
 /// What may happen to a job whose first dispatch may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum RetrySafety {
     /// It may be run again anywhere.
     #[default]
     Restartable,
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClassSettings {
     /// Whether a job may be run again.
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     /// Which engines share their memory of idempotency keys.
     pub deduplication_scope: DeduplicationScope,
     /// How long engines remember an idempotency key.
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -4,8 +4,8 @@
 
 use super::flat::Settings;
 use super::typed::{
-    ClassSettings, ContractSettings, ControllerSettings, DeduplicationScope, Effect, EngineCapabilities,
-    MachineType, Permissions, ReportSettings,
+    ClassSettings, ContractSettings, ControllerSettings, DeduplicationScope, EngineCapabilities, MachineType,
+    Permissions, ReportSettings, RetrySafety,
 };
 use crate::time::TimeDelta;
 use std::collections::{BTreeMap, BTreeSet};
@@ -97,7 +97,7 @@
         Some(numbers.into_iter().filter_map(position).collect())
     };
     ClassSettings {
-        effect: read_effect(flat.text(&path("Semantics"))),
+        retry_safety: read_retry_safety(flat.text(&path("Semantics"))),
         deduplication_scope: read_deduplication_scope(flat.text(&path("Group"))),
         deduplication_window: time("DedupWindow"),
         latency_objective: time("Aim"),
@@ -114,11 +114,11 @@
     }
 }
 
-fn read_effect(name: &str) -> Effect {
+fn read_retry_safety(name: &str) -> RetrySafety {
     match name {
-        "read_like" => Effect::Restartable,
-        "idempotency_key" => Effect::IdempotencyKey,
-        _ => Effect::RunOnce,
+        "read_like" => RetrySafety::Restartable,
+        "idempotency_key" => RetrySafety::IdempotencyKey,
+        _ => RetrySafety::RunOnce,
     }
 }
 
--- a/src/stuck_jobs.rs
+++ b/src/stuck_jobs.rs
@@ -4,7 +4,7 @@
 use crate::concurrency::OVERLOAD_SLOWDOWN;
 use crate::interface::{EngineId, JobId};
 use crate::job::{InFlightDispatch, PendingJob};
-use crate::settings::Effect;
+use crate::settings::RetrySafety;
 use crate::slowdown::{self, ElapsedTime, JobStage, MIN_COMPLETED_FRACTION, SlowdownScope};
 use crate::state::ControllerState;
 use crate::time::TimeDelta;
@@ -23,7 +23,7 @@
 /// not.
 pub fn reevaluate(state: &mut ControllerState, id: JobId) {
     let job = &state.jobs[&id];
-    let is_restartable = state.class_settings_of(job).effect == Effect::Restartable;
+    let is_restartable = state.class_settings_of(job).retry_safety == RetrySafety::Restartable;
     let Some(dispatch) = job.active_dispatch().filter(|dispatch| !dispatch.cancelled) else { return };
     let may_move = is_restartable && rules::may_dispatch_again(state, id) && state.pool.running.len() > 1;
     let is_stuck = || {
@@ -110,7 +110,7 @@
 fn is_hopeless(state: &ControllerState, job: &PendingJob) -> bool {
     let class = state.class_settings_of(job);
     let Some(dispatch) = job.active_dispatch().filter(|dispatch| !dispatch.cancelled) else { return false };
-    let is_late = class.effect == Effect::Restartable && state.now > job.objective_deadline;
+    let is_late = class.retry_safety == RetrySafety::Restartable && state.now > job.objective_deadline;
     let Some(engine) = state.pool.engines.get(&dispatch.engine).filter(|_| is_late) else { return false };
     let remaining = (1.0 - dispatch.completed_fraction).max(MIN_REMAINING_FRACTION);
     let remaining_seconds = job.work_ms * remaining / 1000.0;
