--- a/crates/server/src/decision/endpoint_directory.rs
+++ b/crates/server/src/decision/endpoint_directory.rs
@@ -116,7 +116,7 @@
         self.update_engine(id, address, entry.lifecycle, start);
         Some(Endpoint {
             engine: id,
-            machine: self.location_names.machine_type_index(&entry.machine_type).unwrap_or(usize::MAX),
+            machine_type: self.location_names.machine_type_index(&entry.machine_type).unwrap_or(usize::MAX),
             location: self.location_names.zone_index(&entry.zone).unwrap_or(usize::MAX),
             cell: entry.cell,
             lifecycle: entry.lifecycle,
--- a/crates/simulator-adapter/src/codec/decode.rs
+++ b/crates/simulator-adapter/src/codec/decode.rs
@@ -133,7 +133,7 @@
     Ok(Endpoint {
         engine: assign_id(name),
         name: name.to_string(),
-        machine: entry.whole_or_zero(endpoint_fields::KIND)? as usize,
+        machine_type: entry.whole_or_zero(endpoint_fields::KIND)? as usize,
         location: entry.whole_or_zero(endpoint_fields::SITE)? as usize,
         cell: entry.whole_or_zero(endpoint_fields::CELL)? as usize,
         lifecycle: decode_lifecycle(entry)?,
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -111,7 +111,7 @@
         previous: Engine,
         now: Timestamp,
     ) -> Engine {
-        let machine_type = settings.machine_types.get(&endpoint.machine).copied().unwrap_or_default();
+        let machine_type = settings.machine_types.get(&endpoint.machine_type).copied().unwrap_or_default();
         let memory_mb = machine_type.memory_mb;
         Engine {
             name_hash: fnv1a(&endpoint.name),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -20,7 +20,7 @@
     /// The engine's own id, the same for every gateway.
     pub name: String,
     /// Position of the engine's machine type in the settings.
-    pub machine: usize,
+    pub machine_type: usize,
     /// Position of the engine's location in the settings.
     pub location: usize,
     /// The replication cell that the engine belongs to.
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -7,5 +7,5 @@
 pub fn allows(class: &ClassSettings, endpoint: &Endpoint) -> bool {
     let contains =
         |list: &Option<Vec<usize>>, position| list.as_ref().is_none_or(|list| list.contains(&position));
-    contains(&class.locations, endpoint.location) && contains(&class.machine_types, endpoint.machine)
+    contains(&class.locations, endpoint.location) && contains(&class.machine_types, endpoint.machine_type)
 }
