--- a/src/candidates/mod.rs
+++ b/src/candidates/mod.rs
@@ -22,7 +22,7 @@
     if !rules::may_dispatch(state, id) {
         return None;
     }
-    let order = state.pool.order(state.jobs[&id].request.table_group);
+    let order = state.pool.engine_order(state.jobs[&id].request.table_group);
     let draw = if state.pool.fleet_is_large() { state.random.next_f64() } else { 0.0 };
     let candidates = Walk::new(state, id, &order, draw).run();
     if !candidates.to_check.is_empty() {
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -19,7 +19,7 @@
     pub warming_up: Vec<EngineId>,
     /// Cores of the running engines.
     pub running_cores: f64,
-    orders: BTreeMap<u64, Rc<[EngineId]>>,
+    engine_orders: BTreeMap<u64, Rc<[EngineId]>>,
 }
 
 /// An equal share of an engine is less than a job and means nothing.
@@ -75,7 +75,7 @@
                 && engines[id].endpoint.started_at.is_some()
         };
         self.warming_up = self.running.iter().copied().filter(warming_up).collect();
-        self.orders.clear();
+        self.engine_orders.clear();
     }
 
     /// The running engines.
@@ -99,14 +99,14 @@
     }
 
     /// The order in which a table group's jobs walk the running engines; the same at every gateway.
-    pub fn order(&mut self, table_group: u64) -> Rc<[EngineId]> {
+    pub fn engine_order(&mut self, table_group: u64) -> Rc<[EngineId]> {
         let (running, engines) = (&self.running, &self.engines);
         let sorted = || {
             let mut order = running.clone();
             order.sort_by_cached_key(|id| (mix64(engines[id].name_hash ^ mix64(table_group)), *id));
             order.into()
         };
-        self.orders.entry(table_group).or_insert_with(sorted).clone()
+        self.engine_orders.entry(table_group).or_insert_with(sorted).clone()
     }
 
     /// Drops the engines that are gone, were not heard of within the retention period and that no open job
@@ -131,12 +131,12 @@
     }
 
     /// Drops the orders of the table groups that are not wanted any more.
-    pub fn retain_orders(&mut self, wanted: impl Fn(u64) -> bool) {
-        self.orders.retain(|table_group, _| wanted(*table_group));
+    pub fn retain_engine_orders(&mut self, wanted: impl Fn(u64) -> bool) {
+        self.engine_orders.retain(|table_group, _| wanted(*table_group));
     }
 
     /// Number of entries that may grow with use.
     pub fn retained_entries(&self) -> usize {
-        self.engines.len() + self.orders.len()
+        self.engines.len() + self.engine_orders.len()
     }
 }
