--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -119,7 +119,7 @@
     }
 
     fn class_positions(&self) -> std::ops::Range<usize> {
-        0..self.settings.entries(CLASSES, CLASS_NAME)
+        0..self.settings.entry_count(CLASSES, CLASS_NAME)
     }
 }
 
@@ -156,8 +156,8 @@
 
 fn read_settings(fields: Fields) -> Result<Settings, ConfigError> {
     let settings = flatten_settings(fields.object(SETTINGS)?.json);
-    let has_classes = settings.entries(CLASSES, CLASS_NAME) > 0;
-    let has_objectives = settings.entries(CLASSES, CLASS_LATENCY_OBJECTIVE) > 0;
+    let has_classes = settings.entry_count(CLASSES, CLASS_NAME) > 0;
+    let has_objectives = settings.entry_count(CLASSES, CLASS_LATENCY_OBJECTIVE) > 0;
     if has_classes && has_objectives { Ok(settings) } else { Err(ConfigError::NoClasses) }
 }
 
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -49,7 +49,7 @@
     pub(crate) fn begin(now: Timestamp, manager: &str, event: Fields) -> Result<Instance, FieldError> {
         let settings = event.get(CONF).ok_or_else(|| event.error(CONF, Wanted::Object))?;
         let settings = flatten_settings(settings);
-        let class_count = settings.entries(CLASSES, LATENCY_OBJECTIVE);
+        let class_count = settings.entry_count(CLASSES, LATENCY_OBJECTIVE);
         let controller = AdmissionController::new(now, event.whole_or_zero(SEED)?, &settings);
         Ok(Instance {
             manager: manager.to_string(),
--- a/src/settings/flat.rs
+++ b/src/settings/flat.rs
@@ -47,7 +47,7 @@
     }
 
     /// How many entries a list has whose every entry holds `field`.
-    pub fn entries(&self, name: &str, field: &str) -> usize {
+    pub fn entry_count(&self, name: &str, field: &str) -> usize {
         let is_absent = |i: &usize| !self.0.contains_key(&format!("{name}.{i}.{field}"));
         (0..=self.0.len()).find(is_absent).unwrap_or(0)
     }
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -18,7 +18,7 @@
 
 impl From<&Settings> for ControllerSettings {
     fn from(flat: &Settings) -> ControllerSettings {
-        let classes = 0..flat.entries("Classes", "Aim");
+        let classes = 0..flat.entry_count("Classes", "Aim");
         ControllerSettings {
             gateway_count: flat.number("Balancers").unwrap_or(1.0).max(1.0),
             gateway_ordinal: flat.number("Ordinal").unwrap_or(0.0),
