--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -89,6 +89,6 @@
     state.actions.forgotten_engines.extend(evicted);
     state.traffic.evict_unused(now, RETENTION);
     let traffic = &state.traffic;
-    state.pool.retain_engine_orders(|table_group| traffic.knows_table_group(table_group));
+    state.pool.retain_engine_orders(|table_group| traffic.is_active_table_group(table_group));
     state.key_order.evict_unused(now);
 }
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -87,7 +87,7 @@
     }
 
     /// Whether jobs of this table group came recently.
-    pub fn knows_table_group(&self, group: u64) -> bool {
+    pub fn is_active_table_group(&self, group: u64) -> bool {
         self.table_groups.contains_key(&group)
     }
 
