--- a/src/estimators/decaying_average.rs
+++ b/src/estimators/decaying_average.rs
@@ -1,14 +1,14 @@
-//! A weighted mean and a rate whose past decays exponentially with time.
+//! A weighted mean and a rate in which older values count exponentially less.
 
 use crate::time::{TimeDelta, Timestamp};
 
-/// Below this weight nothing is known of a mean.
+/// With a smaller total weight the mean counts as unknown.
 const MIN_WEIGHT: f64 = 1e-9;
 
-/// A weighted mean and a rate whose past decays exponentially with time.
+/// A weighted mean and a rate in which older values count exponentially less.
 ///
-/// It is brought up to date by the methods that take the time; the caller passes the same time constant each
-/// time.
+/// The methods that take the current time apply the decay since the last update. All calls for one instance must
+/// pass the same time constant.
 #[derive(Clone, Copy, Default)]
 pub struct DecayingAverage {
     sum: f64,
@@ -27,12 +27,12 @@
         self.weight
     }
 
-    /// When it was last brought up to date.
+    /// The time up to which the decay has been applied.
     pub fn updated_at(&self) -> Timestamp {
         self.updated_at
     }
 
-    /// Brings it up to date.
+    /// Applies the decay up to now.
     pub fn decay_to(&mut self, now: Timestamp, time_constant: TimeDelta) {
         let elapsed = (now - self.updated_at).as_millis_f64();
         let remaining = (-(elapsed / time_constant.as_millis_f64())).exp();
@@ -41,32 +41,38 @@
         self.updated_at = now;
     }
 
-    /// Adds a value of this weight.
+    /// Applies the decay and adds a value with this weight.
     pub fn add(&mut self, now: Timestamp, time_constant: TimeDelta, value: f64, weight: f64) {
         self.decay_to(now, time_constant);
         self.sum += value * weight;
         self.weight += weight;
     }
 
-    /// The weighted sum as it has decayed by now.
+    /// The weighted sum with the decay up to now, without changing the stored one.
     pub fn sum_at(&self, now: Timestamp, time_constant: TimeDelta) -> f64 {
         let mut decayed = *self;
         decayed.decay_to(now, time_constant);
         decayed.sum
     }
 
-    /// Brings it up to date and returns the mean, drawn towards `prior` as if that had been seen with `weight`.
-    pub fn update_mean(&mut self, now: Timestamp, time_constant: TimeDelta, prior: f64, weight: f64) -> f64 {
+    /// Applies the decay and returns the mean of the added values and `prior`, which counts with `prior_weight`.
+    pub fn update_mean(
+        &mut self,
+        now: Timestamp,
+        time_constant: TimeDelta,
+        prior: f64,
+        prior_weight: f64,
+    ) -> f64 {
         self.decay_to(now, time_constant);
-        (self.sum + prior * weight) / (self.weight + weight)
+        (self.sum + prior * prior_weight) / (self.weight + prior_weight)
     }
 
-    /// The mean, or `default` where nothing is known.
+    /// The mean, or `default` if it is unknown.
     pub fn mean_or(&self, default: f64) -> f64 {
         if self.weight > MIN_WEIGHT { self.sum / self.weight } else { default }
     }
 
-    /// Brings it up to date and returns the weight that was added per second.
+    /// Applies the decay and returns the weight that was recently added per second.
     pub fn update_rate_per_second(&mut self, now: Timestamp, time_constant: TimeDelta) -> f64 {
         self.decay_to(now, time_constant);
         self.weight / (time_constant.as_millis_f64() / 1000.0)
--- a/src/estimators/linear_posterior.rs
+++ b/src/estimators/linear_posterior.rs
@@ -4,23 +4,23 @@
 
 const DIMENSIONS: usize = 3;
 
-/// Keeps the Cholesky factor regular against rounding.
+/// Lower bound of the squared diagonal entries of the Cholesky factor, which rounding could make zero or negative.
 const MIN_PIVOT: f64 = 1e-12;
 
-/// The linear posterior of θ: V = λI + Σ x·xᵀ and b = Σ x·target.
+/// The posterior of the coefficients θ of a linear model: V = λI + Σ x·xᵀ and b = Σ x·target.
 pub struct LinearPosterior {
     v: [[f64; DIMENSIONS]; DIMENSIONS],
     b: [f64; DIMENSIONS],
 }
 
 impl LinearPosterior {
-    /// Nothing learnt yet: V = λI.
+    /// The posterior without observations: V = λI and b = 0.
     pub fn new(lambda: f64) -> LinearPosterior {
         let row = |i| [0, 1, 2].map(|j| if i == j { lambda } else { 0.0 });
         LinearPosterior { v: [0, 1, 2].map(row), b: [0.0; DIMENSIONS] }
     }
 
-    /// Adds what was seen for these features.
+    /// Adds an observation: the value `target` for the features `x`.
     pub fn learn(&mut self, x: [f64; DIMENSIONS], target: f64) {
         for i in 0..DIMENSIONS {
             (0..DIMENSIONS).for_each(|j| self.v[i][j] += x[i] * x[j]);
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Draws θ̃ ~ N(V⁻¹b, σ²V⁻¹) by way of the Cholesky factor V = L·Lᵀ: θ̃ = L⁻ᵀ(L⁻¹b + σε).
+    /// Draws θ̃ ~ N(V⁻¹b, σ²V⁻¹) with the Cholesky factorization V = L·Lᵀ: θ̃ = L⁻ᵀ(L⁻¹b + σε).
     pub fn draw(&self, sigma: f64, random: &mut Pcg32) -> [f64; DIMENSIONS] {
         let mut l = [[0.0; DIMENSIONS]; DIMENSIONS];
         let mut y = [0.0; DIMENSIONS];
--- a/src/estimators/mod.rs
+++ b/src/estimators/mod.rs
@@ -1,6 +1,6 @@
-//! Plain arithmetic that the decisions rest on: averages, windows, a posterior and a random generator.
+//! The arithmetic behind the decisions: averages, windows, a posterior and a random number generator.
 //!
-//! Sections named here are those of Wu et al., "AQD: Online Adaptive Query Dispatcher for HTAP Databases",
+//! Section numbers in this module refer to Wu et al., "AQD: Online Adaptive Query Dispatcher for HTAP Databases",
 //! PVLDB 19(7).
 
 mod decaying_average;
--- a/src/estimators/pcg32.rs
+++ b/src/estimators/pcg32.rs
@@ -1,19 +1,22 @@
 //! A permuted congruential generator (PCG-XSH-RR, 64 bits of state, 32 of output).
 
+/// Multiplier of the linear congruential generator.
 const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+/// Increment of the linear congruential generator.
 const INCREMENT: u64 = 1_442_695_040_888_963_407;
+/// Number of possible outputs, 2³².
 const OUTPUT_RANGE: f64 = 4_294_967_296.0;
 
 /// A permuted congruential generator (PCG-XSH-RR, 64 bits of state, 32 of output).
 pub struct Pcg32(u64);
 
 impl Pcg32 {
-    /// A generator for this seed; similar seeds give unlike sequences.
+    /// A generator with this seed. The seed is mixed first, so that similar seeds give unrelated sequences.
     pub fn new(seed: u64) -> Pcg32 {
         Pcg32(mix64(seed))
     }
 
-    /// A number that is uniform in [0, 1).
+    /// The next random number, uniformly distributed in [0, 1).
     pub fn next_f64(&mut self) -> f64 {
         let old = self.0;
         self.0 = old.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT);
@@ -21,7 +24,7 @@
         f64::from(mixed.rotate_right((old >> 59) as u32)) / OUTPUT_RANGE
     }
 
-    /// A standard normal number (Box-Muller).
+    /// The next random number of the standard normal distribution, by the Box-Muller transform.
     pub fn next_normal(&mut self) -> f64 {
         let radius = (-2.0 * (1.0 - self.next_f64()).ln()).sqrt();
         radius * (std::f64::consts::TAU * self.next_f64()).cos()
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,23 +1,23 @@
-//! The plain types of the interface of the [`AdmissionController`]. Nothing here decides.
+//! Plain data types of the [`AdmissionController`]'s interface, without any logic.
 //!
 //! [`AdmissionController`]: crate::controller::AdmissionController
 
 use crate::time::{TimeDelta, Timestamp};
 
-/// A job's number, given by the caller in the order of arrival and never used twice by one instance.
+/// A job's number. The caller numbers jobs in the order of arrival and never reuses a number in one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobId(pub u32);
 
-/// An engine's number, given by the caller in the order in which endpoint lists named them.
+/// An engine's number. The caller numbers engines in the order in which they first appear in an endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EngineId(pub u32);
 
-/// What the endpoint list says of one engine.
+/// One engine's entry in the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// The engine's number at this caller.
+    /// The number that this caller gave the engine.
     pub engine: EngineId,
-    /// The engine's own id, the same for every gateway.
+    /// The engine's id, the same at every gateway.
     pub name: String,
     /// Position of the engine's machine type in the settings.
     pub machine_type: usize,
@@ -25,55 +25,55 @@
     pub location: usize,
     /// The replication cell that the engine belongs to.
     pub cell: usize,
-    /// Whether the engine takes new dispatches.
+    /// Whether the engine accepts new dispatches.
     pub lifecycle: LifecycleState,
-    /// When the engine last started; none if that is long ago.
+    /// When the engine last started; `None` if its start is not recent.
     pub started_at: Option<Timestamp>,
-    /// Relative capacity, used where the settings don't give the machine type's cores.
+    /// Relative capacity; taken as the number of cores if the settings give none for the machine type.
     pub capacity_hint: f64,
 }
 
-/// How much of the pool an endpoint list names.
+/// Which engines of the pool an endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// All engines: those that it does not name are gone.
+    /// All engines: those that are not listed are gone.
     Complete,
-    /// Only what has changed.
+    /// Only engines that have changed.
     Changes,
 }
 
-/// An engine's place in its life, as the endpoint list has it.
+/// An engine's lifecycle state according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LifecycleState {
-    /// It takes dispatches.
+    /// The engine accepts dispatches.
     #[default]
     Running,
-    /// It finishes what it has and takes nothing new.
+    /// The engine finishes its dispatches in flight and accepts no new ones.
     Draining,
-    /// It has ended.
+    /// The engine has been shut down.
     Gone,
 }
 
-/// A job as a client submits it.
+/// A job as submitted by a client.
 #[derive(Clone, Debug, Default)]
 pub struct Job {
     /// Position of the job's class in the settings.
     pub class: usize,
-    /// Number of the customer that the job belongs to.
+    /// Number of the customer that submitted the job.
     pub customer: usize,
-    /// The key whose jobs run in order, where the class asks for that.
+    /// The job's ordering key; used if the class runs the jobs of one key in order.
     pub key: Option<u64>,
-    /// How long the client goes on waiting.
+    /// How long the client will wait for the answer.
     pub time_left: TimeDelta,
-    /// Estimated work of all threads, as time on one.
+    /// Estimated work, as execution time on a single thread.
     pub cost: Option<TimeDelta>,
     /// Estimated memory (MB).
     pub memory_mb: Option<f64>,
     /// The group of tables that the job reads or writes.
     pub table_group: u64,
-    /// The client says that this is a retry.
+    /// Whether the client marked the job as a retry.
     pub is_retry: bool,
-    /// The job writes.
+    /// Whether the job writes.
     pub writes: bool,
 }
 
@@ -84,11 +84,11 @@
     Completed,
     /// The engine reported a failure; the job may have run.
     Failed,
-    /// The engine rejected the job for lack of capacity; it did not run.
+    /// The engine rejected the job for lack of capacity; the job did not run.
     Overloaded,
-    /// No result came within the dispatch's timeout; the job may have run.
+    /// No result arrived within the dispatch's timeout; the job may have run.
     TimedOut,
-    /// Nothing of the dispatch reached the engine.
+    /// No byte of the dispatch reached the engine.
     Unreachable,
     /// The connection was lost after the dispatch was written; the job may have run.
     ConnectionLost,
@@ -98,36 +98,37 @@
     Expired,
 }
 
-/// Work and memory that a job took, as its engine reports them.
+/// Work and memory that a job used, as reported by its engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ActualCost {
-    /// Work of all threads, as time on one.
+    /// Work, as execution time on a single thread.
     pub work: TimeDelta,
-    /// Memory (MB).
+    /// Memory used (MB).
     pub memory_mb: f64,
 }
 
-/// How one dispatch, or one health check, ended.
+/// Result of one dispatch or one health check.
 #[derive(Clone, Copy, Debug)]
 pub struct DispatchResult {
-    /// How it ended.
+    /// How the dispatch or health check ended.
     pub status: DispatchStatus,
-    /// Time from the first byte written to the last one read.
+    /// Time from the first byte written to the last byte read.
     pub elapsed: TimeDelta,
-    /// The job has its final answer, by this result or before.
+    /// Whether the client already has the job's final answer, from this result or from earlier.
     pub job_finished: bool,
-    /// The engine is not at fault: it has accepted a new connection since, or was never tried.
+    /// Whether a failure does not count against the engine: it has accepted a new connection since, or the dispatch
+    /// was never attempted.
     pub engine_reachable: bool,
-    /// What the job took, where the engine reports it.
+    /// What the job used, if the engine reports it.
     pub actual_cost: Option<ActualCost>,
-    /// The engine's load, where the answer carried it.
+    /// The engine's load, if the answer contained a report.
     pub load_report: Option<LoadReport>,
 }
 
-/// An engine's report of its own load. A report may hold none of these values.
+/// An engine's report of its own load. Each value is optional; a report may even be empty.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Jobs that the engine has in hand.
+    /// Jobs in flight at the engine, from all gateways.
     pub jobs_in_flight: Option<f64>,
     /// Processor utilization, 1 at full use.
     pub processor_utilization: Option<f64>,
@@ -138,9 +139,9 @@
 /// Progress of a dispatch that is in flight, as its engine reports it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressUpdate {
-    /// Fraction of the work that is done.
+    /// Completed fraction of the work, from 0 to 1.
     CompletedFraction(f64),
-    /// The job spills to disk, for lack of this much memory (MB).
+    /// The job spills to disk; this much more memory (MB) would have avoided it.
     SpillingToDisk(f64),
     /// The job waits for memory.
     WaitingForMemory,
@@ -148,70 +149,71 @@
     WaitingForBulkLoad,
 }
 
-/// Options of a dispatch, for engines that heed them.
+/// Options of a dispatch, for engines that support them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatchOptions {
     /// Priority, from 0 (lowest) to 3.
     pub priority: u8,
-    /// Memory (MB) granted to the job, 0 for the engine's choice.
+    /// Memory (MB) granted to the job; 0 leaves the amount to the engine.
     pub memory_grant_mb: f64,
 }
 
 /// A job to be sent to an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dispatch {
-    /// The job.
+    /// The job to send.
     pub job: JobId,
-    /// Where it goes.
+    /// The engine to send it to.
     pub engine: EngineId,
-    /// Timeout of this dispatch.
+    /// Maximum time until the result of this dispatch.
     pub timeout: TimeDelta,
-    /// Its first byte leaves before this or never: it may wait for a connection past what was decided on.
+    /// The dispatch is not sent if its first byte is not written before this time. It may have to wait for a
+    /// connection, and by then the decision to send it may no longer hold.
     pub begin_by: Timestamp,
-    /// Priority and memory, where engines heed them.
+    /// Priority and memory grant; `None` if the engines support neither.
     pub options: Option<DispatchOptions>,
 }
 
-/// One of a job's dispatches, counted from 0.
+/// Identifies one dispatch of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DispatchId {
-    /// The job.
+    /// The job that was dispatched.
     pub job: JobId,
-    /// Number of the dispatch among the job's dispatches.
+    /// Number of the dispatch among the job's dispatches, from 0.
     pub attempt: u32,
 }
 
-/// A final answer that the controller gives; an engine's answer reaches the client by itself.
+/// A final answer that the controller decides on. An engine's answer is forwarded to the client without it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// The job was not run to its end, and a retry is harmless.
+    /// The job was not completed, and the client can safely retry it.
     Rejected {
-        /// When a retry is best made.
+        /// How long the client should wait before the retry.
         retry_after: TimeDelta,
     },
-    /// The job may have run, and a retry may do harm.
+    /// The job may have run, and a retry could run it a second time.
     Cancelled,
 }
 
-/// All that one event led to, to be carried out in the order of the fields.
+/// The actions that follow from one event. The caller carries them out in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Actions {
-    /// Dispatches to be cancelled at their engines.
+    /// Dispatches to cancel at their engines.
     pub cancellations: Vec<DispatchId>,
-    /// Final answers to be given.
+    /// Final answers to send to clients.
     pub answers: Vec<(JobId, FinalAnswer)>,
-    /// Jobs to be sent.
+    /// Dispatches to send to engines.
     pub dispatches: Vec<Dispatch>,
-    /// Engines to be health-checked.
+    /// Engines to health-check.
     pub health_checks: Vec<EngineId>,
-    /// Subscribe to the endpoint list.
+    /// Whether to subscribe to the endpoint list.
     pub subscribe: bool,
-    /// Call [`timer_fired`](crate::controller::AdmissionController::timer_fired) at this time, or soon after.
+    /// Call [`timer_fired`](crate::controller::AdmissionController::timer_fired) at this time or soon after it.
     pub next_timer: Option<Timestamp>,
-    /// Jobs of which nothing is in flight or owed any more; their numbers may be forgotten.
+    /// Jobs without a dispatch in flight or a pending answer; the caller may drop their numbers.
     pub released_jobs: Vec<JobId>,
-    /// Engines that the controller has forgotten; their numbers may be forgotten.
+    /// Engines that the controller has removed; the caller may drop their numbers.
     pub forgotten_engines: Vec<EngineId>,
-    /// Lines for the caller's log.
+    /// Lines for the caller to log.
     pub log: Vec<String>,
 }
--- a/src/settings/flat.rs
+++ b/src/settings/flat.rs
@@ -1,25 +1,25 @@
-//! The start settings as a flat map of names to values.
+//! The settings as a flat map of names to values.
 
 use std::collections::BTreeMap;
 
-/// One value of the settings.
+/// The value of one setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// Any JSON number.
+    /// A JSON number, whole or fractional.
     Number(f64),
-    /// `true` or `false`.
+    /// A JSON Boolean.
     Flag(bool),
-    /// Any JSON string.
+    /// A JSON string.
     Text(String),
 }
 
-/// The settings as a flat map: parts of a name are joined by dots and list positions are numbers, as in
+/// The settings as a flat map. The parts of a name are joined by dots, and list positions are numbers, as in
 /// `Classes.0.Aim`.
 #[derive(Clone, Debug, Default)]
 pub struct Settings(pub BTreeMap<String, Value>);
 
 impl Settings {
-    /// The number of this name; none if it is absent or of another type.
+    /// The number with this name; `None` if it is absent or of another type.
     pub fn number(&self, name: &str) -> Option<f64> {
         match self.0.get(name) {
             Some(Value::Number(number)) => Some(*number),
@@ -27,12 +27,12 @@
         }
     }
 
-    /// Whether the flag of this name is set; an absent one is not.
+    /// Whether the Boolean with this name is true; it counts as false if it is absent or of another type.
     pub fn flag(&self, name: &str) -> bool {
         matches!(self.0.get(name), Some(Value::Flag(true)))
     }
 
-    /// The text of this name; empty if it is absent or of another type.
+    /// The string with this name; empty if it is absent or of another type.
     pub fn text(&self, name: &str) -> &str {
         match self.0.get(name) {
             Some(Value::Text(text)) => text,
@@ -40,13 +40,13 @@
         }
     }
 
-    /// The numbers of a list of plain values; none if the list is absent.
+    /// The numbers of a list, up to the first entry that is absent or of another type; `None` if there are none.
     pub fn numbers(&self, name: &str) -> Option<Vec<f64>> {
         let list: Vec<f64> = (0..).map_while(|i| self.number(&format!("{name}.{i}"))).collect();
         (!list.is_empty()).then_some(list)
     }
 
-    /// How many entries a list has whose every entry holds `field`.
+    /// Number of entries of a list in which every entry has the field `field`.
     pub fn entry_count(&self, name: &str, field: &str) -> usize {
         let is_absent = |i: &usize| !self.0.contains_key(&format!("{name}.{i}.{field}"));
         (0..=self.0.len()).find(is_absent).unwrap_or(0)
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,6 +1,7 @@
-//! The start settings: the flat map that a caller hands in, and the typed settings that the decisions read.
+//! The settings, read once at start: the flat map that the caller passes in, and the typed settings that the
+//! decisions use.
 //!
-//! The names that the settings have on the wire appear in `wire.rs` and nowhere else in this library.
+//! The external names of the settings appear in `wire.rs` and nowhere else in this library.
 
 mod flat;
 mod typed;
--- a/src/settings/typed.rs
+++ b/src/settings/typed.rs
@@ -1,4 +1,4 @@
-//! The typed settings that the decisions read.
+//! The typed settings that the decisions use.
 
 use crate::time::TimeDelta;
 use std::collections::BTreeMap;
@@ -10,97 +10,99 @@
     pub gateway_count: f64,
     /// This gateway's position among the gateways, from 0.
     pub gateway_ordinal: f64,
-    /// This gateway's location; none if it is not a position in the list of locations.
+    /// Position of this gateway's location in the list of locations; `None` if the setting is not a position.
     pub location: Option<usize>,
-    /// How long before its deadline a job gets its final answer: two ticks of the clock.
+    /// How long before its deadline a job without a result gets its final answer: two clock ticks.
     pub answer_margin: TimeDelta,
-    /// The endpoint list has to be polled or subscribed to; otherwise it is pushed.
+    /// Whether the endpoint list has to be requested (polled or subscribed to); otherwise it is pushed.
     pub polls_endpoint_list: bool,
-    /// The most dispatches of one job; infinite without a limit.
+    /// Maximum number of dispatches of one job; infinite if there is no limit.
     pub max_dispatches_per_job: f64,
-    /// Price of one health check, in points.
+    /// Price of one health check, in points; it limits the checks that a job may cause in a large fleet of gateways.
     pub health_check_price: f64,
-    /// Price of one dispatch to another location, in points.
+    /// Price of one dispatch to another location, in points; if positive, engines of the same location are preferred.
     pub location_crossing_price: f64,
-    /// Interval at which engines send progress; none if they send none.
+    /// Interval at which engines send progress; `None` if they send none.
     pub progress_interval: Option<TimeDelta>,
-    /// The part of an engine's memory that one job gets at most.
+    /// Maximum fraction of an engine's memory that one job may be granted.
     pub max_memory_fraction_per_job: f64,
-    /// What this gateway may do.
+    /// Optional operations that this gateway may use.
     pub permissions: Permissions,
-    /// Options of a dispatch that engines heed.
+    /// Dispatch options that engines support.
     pub engine_capabilities: EngineCapabilities,
-    /// What engines report of their load.
+    /// Content and delivery of the engines' load reports.
     pub reports: ReportSettings,
-    /// Limits agreed with the operators.
+    /// Limits agreed with the operators of the pool.
     pub contract: ContractSettings,
-    /// The job classes, by position.
+    /// The job classes; [`Job::class`](crate::interface::Job::class) is a position in this list.
     pub classes: Vec<ClassSettings>,
     /// The known machine types, by position.
     pub machine_types: BTreeMap<usize, MachineType>,
 }
 
-/// What this gateway may do.
+/// Optional operations that this gateway may use.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Permissions {
-    /// Engines may be health-checked.
+    /// Whether engines may be health-checked.
     pub health_checks: bool,
-    /// Dispatches may be cancelled.
+    /// Whether dispatches may be cancelled.
     pub cancellation: bool,
 }
 
-/// Options of a dispatch that engines heed.
+/// Dispatch options that engines support.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineCapabilities {
-    /// Engines heed the priority of a dispatch.
+    /// Whether engines use the priority of a dispatch.
     pub priorities: bool,
-    /// Engines heed the memory grant of a dispatch.
+    /// Whether engines use the memory grant of a dispatch.
     pub memory_grants: bool,
 }
 
-/// What engines report of their load.
+/// Content and delivery of the engines' load reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportSettings {
-    /// Reports include the load that all gateways cause: jobs in flight or processor utilization.
+    /// Whether reports include the load that all gateways cause: jobs in flight or processor utilization.
     pub include_total_load: bool,
-    /// Reports come only with health checks.
+    /// Whether engines send reports only in answer to health checks.
     pub are_pulled: bool,
 }
 
-/// Limits agreed with the operators.
+/// Limits agreed with the operators of the pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ContractSettings {
-    /// Window in which retries are counted; none if they are unlimited.
+    /// Window of the retry budget, in which jobs and retries are counted; `None` if retries are unlimited.
     pub retry_budget_window: Option<TimeDelta>,
-    /// Retries that are allowed in any window.
+    /// Retries allowed in any window, regardless of the number of jobs.
     pub min_retries: f64,
-    /// Retries that are allowed for each job of the window.
+    /// Additional retries allowed per job submitted in the window.
     pub retries_per_job: f64,
-    /// How long a key rests after a dispatch whose end is unknown.
+    /// How long the next job of a key is held back after a dispatch whose outcome is unknown and which may still run.
     pub key_quiet_time: TimeDelta,
-    /// How long after its start an engine has its whole capacity.
+    /// Time from an engine's start until it has its full capacity.
     pub warm_up_time: TimeDelta,
-    /// The part of its capacity that an engine has when it starts.
+    /// Fraction of its full capacity that an engine has at its start.
     pub initial_capacity_fraction: f64,
-    /// Work that a warming engine may get in a window, over the work that it can do then; 0 for no limit.
+    /// Work that may be sent to a warming engine within a window, as a multiple of what it can do in that time; 0 for
+    /// no limit.
     pub warm_up_overload_factor: f64,
-    /// Window in which the work sent to a warming engine is counted.
+    /// Window in which the work sent to a warming engine is limited.
     pub warm_up_window: TimeDelta,
 }
 
-/// What may happen to a job whose first dispatch may have run.
+/// Whether a job may be sent again after a dispatch that may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// It may be run again anywhere.
+    /// The job may be sent again to any engine.
     #[default]
     Restartable,
-    /// It carries an idempotency key: it may be sent again where engines share their memory of such keys.
+    /// The job has an idempotency key. It may be sent again to engines that share their record of keys with the first
+    /// one, as long as they remember the key.
     IdempotencyKey,
-    /// It must not be run again.
+    /// The job must not be sent again.
     RunOnce,
 }
 
-/// Which engines share their memory of idempotency keys.
+/// Which engines share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All engines.
@@ -115,37 +117,38 @@
 /// Settings of one job class.
 #[derive(Clone, Debug, Default)]
 pub struct ClassSettings {
-    /// Whether a job may be run again.
+    /// Whether a job may be sent again after a dispatch that may have run.
     pub retry_safety: RetrySafety,
-    /// Which engines share their memory of idempotency keys.
+    /// Which engines share their record of idempotency keys.
     pub deduplication_scope: DeduplicationScope,
     /// How long engines remember an idempotency key.
     pub deduplication_window: TimeDelta,
     /// The latency objective of a job without work.
     pub latency_objective: TimeDelta,
-    /// How much the objective grows with each unit of a job's work on its threads.
+    /// How much the objective grows with a job's work: the time that the job takes on its threads, times this factor,
+    /// is added.
     pub objective_stretch: f64,
-    /// How long clients wait.
+    /// Maximum time that clients wait for an answer.
     pub client_timeout: TimeDelta,
-    /// Value of an answer within the objective.
+    /// Value of an answer that meets the latency objective.
     pub priority_weight: f64,
-    /// The part of that value that a late answer has.
+    /// Fraction of that value that a late answer still has.
     pub late_value_ratio: f64,
-    /// Threads that a job runs on, at least 1.
+    /// Number of threads that a job runs on, at least 1.
     pub threads: f64,
-    /// Its jobs are bulk loads, which lock their tables.
+    /// Whether its jobs are bulk loads, which lock their tables.
     pub locks_tables: bool,
-    /// Its jobs wait for bulk loads of their tables.
+    /// Whether its jobs have to wait at the engine while a bulk load locks their tables.
     pub waits_for_bulk_loads: bool,
-    /// Jobs of one key run one by one, in the order of arrival.
+    /// Whether the jobs of one key run one at a time, in the order of arrival.
     pub ordered_by_key: bool,
-    /// The only locations that its jobs may run in.
+    /// The locations in which its jobs may run; `None` for all.
     pub locations: Option<Vec<usize>>,
-    /// The only machine types that its jobs may run on.
+    /// The machine types on which its jobs may run; `None` for all.
     pub machine_types: Option<Vec<usize>>,
 }
 
-/// A machine type.
+/// Size of the engines of one machine type; a value is `None` if the settings lack it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MachineType {
     /// Number of cores.
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -1,6 +1,6 @@
-//! Reads the typed settings from the flat map: the one place that knows the wire's names.
+//! Reads the typed settings from the flat map; the only module that contains the external names.
 //!
-//! Nothing is refused here: a value that is absent or of another type counts as its default.
+//! Nothing is rejected here: a value that is absent or of another type is replaced by its default.
 
 use super::flat::Settings;
 use super::typed::{
@@ -13,7 +13,7 @@
 const CORES_OF_MACHINE_TYPE: &str = "Extra.CpuOfKind";
 const MEMORY_OF_MACHINE_TYPE: &str = "Extra.RamOfKindMb";
 
-/// The most values that one load report holds.
+/// Maximum number of values in a load report.
 const MAX_REPORT_VALUES: usize = 4;
 
 impl From<&Settings> for ControllerSettings {
@@ -43,7 +43,7 @@
     }
 }
 
-/// A number as a position in a list; none if it is not a whole number from 0.
+/// Converts a number to a position in a list; `None` if it is negative or fractional.
 fn position(number: f64) -> Option<usize> {
     (number >= 0.0 && number.fract() == 0.0).then_some(number as usize)
 }
@@ -139,7 +139,7 @@
     positions.into_iter().map(|machine_type| (machine_type, read(machine_type))).collect()
 }
 
-/// The position of the machine type that a setting belongs to.
+/// The position of the machine type that a setting describes; `None` for other settings.
 fn machine_type_of(path: &str) -> Option<usize> {
     let (name, position) = path.rsplit_once('.')?;
     let known = name == CORES_OF_MACHINE_TYPE || name == MEMORY_OF_MACHINE_TYPE;
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,39 +1,39 @@
-//! Points in time and signed lengths of time, in whole microseconds.
+//! Points in time and signed durations, in whole microseconds.
 //!
-//! The decision library reads no clock: callers hand in a [`Timestamp`] with every event. Both types are signed and
-//! their arithmetic saturates, so that "never" and "long ago" can be written as the extreme values.
+//! This library reads no clock: callers pass a [`Timestamp`] with every event. Both types are signed and their
+//! arithmetic saturates, so that the extreme values can stand for "never" and "long ago".
 
 use std::ops::{Add, Sub};
 
 const MICROS_PER_MILLI: f64 = 1000.0;
 
-/// A point in time, in microseconds since an arbitrary zero.
+/// A point in time, in microseconds since an arbitrary origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(pub i64);
 
-/// A signed length of time, in microseconds. It can be added to a [`Timestamp`], never mixed up with one.
+/// A signed duration, in microseconds. It is a type of its own so that it cannot be confused with a [`Timestamp`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimeDelta(pub i64);
 
 impl Timestamp {
-    /// The point in time `ms` milliseconds after zero, rounded to a microsecond.
+    /// The point in time `ms` milliseconds after the origin, rounded to a microsecond.
     pub fn from_millis_f64(ms: f64) -> Timestamp {
         Timestamp((ms * MICROS_PER_MILLI).round() as i64)
     }
 }
 
 impl TimeDelta {
-    /// A length of `ms` milliseconds, rounded to a microsecond.
+    /// A duration of `ms` milliseconds, rounded to a microsecond.
     pub fn from_millis_f64(ms: f64) -> TimeDelta {
         TimeDelta((ms * MICROS_PER_MILLI).round() as i64)
     }
 
-    /// This length in milliseconds.
+    /// This duration in milliseconds.
     pub fn as_millis_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_MILLI
     }
 
-    /// This length times a factor, rounded to a microsecond.
+    /// This duration times `factor`, rounded to a microsecond.
     #[must_use]
     pub fn mul_f64(self, factor: f64) -> TimeDelta {
         TimeDelta((self.0 as f64 * factor).round() as i64)
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -1,27 +1,27 @@
-//! The queue of timers: what is due at some time, in the order of time and then of scheduling.
+//! The timer queue.
 
 use crate::interface::JobId;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// What is due at some time.
+/// What the controller does when a timer fires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// Periodic maintenance.
+    /// Runs the periodic maintenance.
     Maintenance,
-    /// The endpoint list is to be asked for again.
+    /// Requests the endpoint list again.
     PollEndpointList,
-    /// The last moment for a job's final answer.
+    /// Gives a job its final answer, if it still has none.
     AnswerDeadline(JobId),
-    /// The last moment for the final answers of the jobs that were open when the shutdown began.
+    /// Gives a final answer to those of these jobs that still have none: they were open when the shutdown began.
     ShutdownDeadline(Vec<JobId>),
-    /// The next job of a key may run.
+    /// Tries the waiting jobs again because the next job of a key may run now.
     KeyAvailable,
-    /// The waiting jobs are to be tried again.
+    /// Tries the waiting jobs again because an engine may have capacity now.
     PlaceWaitingJobs,
 }
 
-/// Timers in the order in which they fire.
+/// Timers, ordered by their time and, at equal times, by the order of scheduling.
 #[derive(Default)]
 pub struct TimerQueue {
     timers: BTreeMap<(Timestamp, u64), Timer>,
@@ -29,19 +29,19 @@
 }
 
 impl TimerQueue {
-    /// Schedules a timer; those of one time fire in the order of scheduling.
+    /// Schedules a timer. Timers for the same time fire in the order of scheduling.
     pub fn schedule_at(&mut self, when: Timestamp, timer: Timer) {
         self.last_sequence += 1;
         self.timers.insert((when, self.last_sequence), timer);
     }
 
-    /// Takes the first timer that is due.
+    /// Removes and returns the first timer that is due.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<Timer> {
         let first = self.timers.first_entry().filter(|first| first.key().0 <= now)?;
         Some(first.remove())
     }
 
-    /// When the first timer is due.
+    /// When the first timer fires.
     pub fn next_at(&self) -> Option<Timestamp> {
         self.timers.keys().next().map(|(when, _)| *when)
     }
