--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,5 +1,5 @@
-//! One engine: its entry in the endpoint list and the settings, what is in flight there, and what was
-//! learnt of it. Nothing here decides.
+//! The state of one engine: its entry in the endpoint list, its size, what is in flight there, and what was learnt
+//! from its results. No decisions are made here.
 
 use crate::concurrency::EngineLimit;
 use crate::estimators::{DecayingAverage, SlidingWindow};
@@ -10,54 +10,57 @@
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Threads that use an engine fully, per core.
+/// Threads per core that use an engine fully.
 pub const THREADS_PER_CORE: f64 = 2.0;
 
+/// Minimum number of cores that an engine is presumed to have.
 const MIN_CORES: f64 = 0.1;
+/// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// What this gateway has in flight at an engine.
+/// Totals of this gateway's dispatches in flight at one engine.
 #[derive(Debug, Default)]
 pub struct InFlightTotals {
-    /// Threads.
+    /// Threads that the dispatches use.
     pub threads: f64,
-    /// Memory (MB).
+    /// Memory (MB) that is counted for the dispatches.
     pub memory_mb: f64,
-    /// Dispatches.
+    /// Number of dispatches.
     pub dispatches: u32,
-    /// Table groups of the bulk loads.
+    /// Table groups that the dispatches lock, one entry for each bulk load.
     locked_table_groups: Vec<u64>,
 }
 
-/// The load of an engine as it last reported it.
+/// The load that an engine last reported.
 #[derive(Debug, Default)]
 pub struct ReportedLoad {
-    /// When the last report came.
+    /// When the last report arrived.
     pub reported_at: Timestamp,
     /// Processor utilization, 1 at full use.
     pub processor: Option<f64>,
     /// Memory utilization, 1 at full use.
     pub memory: Option<f64>,
-    /// Jobs in flight of all gateways.
+    /// Jobs in flight from all gateways.
     pub jobs_in_flight: Option<f64>,
-    /// Threads that this gateway has sent since.
+    /// Threads of the jobs that this gateway has sent to the engine since the last report.
     pub threads_sent_since: f64,
 }
 
-/// An engine's health checks.
+/// State of an engine's health checks.
 #[derive(Debug, Default)]
 pub struct HealthCheckState {
-    /// One is in flight.
+    /// Whether a check is in flight.
     pub in_flight: bool,
-    /// When the last one was sent.
+    /// When the last check was sent.
     pub sent_at: Timestamp,
-    /// How long the last one took (ms), if the engine reported that it was not busy.
+    /// Elapsed time of the last check (ms), if the engine was not busy according to its report.
     pub idle_elapsed_ms: Option<f64>,
 }
 
 impl HealthCheckState {
-    /// Notes that a check is sent, unless one is in flight; returns whether it is sent.
+    /// Records that a check is sent now, unless one is in flight; returns whether it is to be sent.
     pub fn start(&mut self, now: Timestamp) -> bool {
         if self.in_flight {
             return false;
@@ -68,43 +71,45 @@
     }
 }
 
-/// One engine.
+/// The state of one engine.
 #[derive(Default)]
 pub struct Engine {
-    /// What the endpoint list says.
+    /// Its entry in the endpoint list.
     pub endpoint: Endpoint,
-    /// Hash of its name.
+    /// Hash of its name, the same at every gateway.
     pub name_hash: u64,
     /// Number of cores.
     pub cores: f64,
-    /// Memory (MB).
+    /// Memory (MB); infinite if the settings give none.
     pub memory_mb: f64,
-    /// Memory (MB) that one job gets at most.
+    /// Maximum memory (MB) counted for one job; 0 if the settings give no memory.
     pub max_job_memory_mb: f64,
-    /// Mean time that a dispatch of each class takes (ms).
+    /// Moving average of the time that a dispatch takes here (ms), by the position of the job's class.
     pub class_latency_ms: Vec<Option<f64>>,
-    /// What this gateway has in flight there.
+    /// Totals of this gateway's dispatches in flight.
     pub in_flight: InFlightTotals,
-    /// Its load as it last reported it.
+    /// The load that it last reported.
     pub reported: ReportedLoad,
     /// Its concurrency limit.
     pub limit: EngineLimit,
-    /// Its ejection as an outlier.
+    /// Its state of ejection as an outlier.
     pub ejection: Ejection,
     /// Its health checks.
     pub health_check: HealthCheckState,
-    /// When an answer or progress last came.
+    /// When it last sent a job's answer or progress; before that, when it was added.
     pub last_response_at: Timestamp,
-    /// Typical work sent recently, for the slow-start budget.
+    /// Work recently sent to it, in the typical work of each job's class, for the slow-start budget.
     pub slow_start_work: SlidingWindow,
-    /// Work sent recently (ms on one thread).
+    /// Estimated work recently sent to it (ms on a single thread).
     pub recent_work: DecayingAverage,
-    /// Table groups that a bulk load of another gateway is known to lock, and until when that is believed.
+    /// Table groups that a bulk load of another gateway locks, as shown by jobs that waited for it, and the time until
+    /// which the lock is presumed to last.
     pub locked_tables_until: BTreeMap<u64, Timestamp>,
 }
 
 impl Engine {
-    /// An engine as the list and the settings describe it; what is in flight there is kept from `previous`.
+    /// A new or restarted engine with this entry in the endpoint list. What this gateway has in flight there and has
+    /// recently sent is kept from `previous`.
     pub fn new(
         settings: &ControllerSettings,
         endpoint: Endpoint,
@@ -128,18 +133,19 @@
         }
     }
 
-    /// Threads that use it fully.
+    /// Number of threads that use the engine fully.
     pub fn thread_capacity(&self) -> f64 {
         self.cores * THREADS_PER_CORE
     }
 
-    /// Whether a bulk load is known to lock these tables here.
+    /// Whether a bulk load locks these tables here, as far as this gateway knows.
     pub fn has_locked_tables(&self, table_group: u64, now: Timestamp) -> bool {
-        let believed = || self.locked_tables_until.get(&table_group).is_some_and(|until| *until > now);
-        self.in_flight.locked_table_groups.contains(&table_group) || believed()
+        let locked_by_others =
+            || self.locked_tables_until.get(&table_group).is_some_and(|until| *until > now);
+        self.in_flight.locked_table_groups.contains(&table_group) || locked_by_others()
     }
 
-    /// Counts a job that goes out to it.
+    /// Adds a dispatch to the totals when it is sent.
     pub fn count_dispatch(&mut self, id: JobId, class: &JobClass, table_group: u64, memory_mb: f64) {
         self.in_flight.threads += class.settings.threads;
         self.reported.threads_sent_since += class.settings.threads;
@@ -151,7 +157,7 @@
         self.ejection.half_open_dispatch = self.ejection.half_open.then_some(id);
     }
 
-    /// Counts a job that comes back from it.
+    /// Removes a dispatch from the totals when its result has arrived.
     pub fn count_result(&mut self, id: JobId, class: &JobClass, table_group: u64, memory_mb: f64) {
         let in_flight = &mut self.in_flight;
         in_flight.threads = (in_flight.threads - class.settings.threads).max(0.0);
@@ -166,7 +172,8 @@
         self.ejection.half_open_dispatch = self.ejection.half_open_dispatch.filter(|job| *job != id);
     }
 
-    /// Notes a load report; values that it lacks stay as they were.
+    /// Records a load report. Values that it lacks are kept from earlier reports; missing processor utilization is
+    /// derived from the jobs in flight, as one core per job.
     pub fn note_load_report(&mut self, now: Timestamp, report: &LoadReport) {
         let jobs = report.jobs_in_flight.map(|jobs| jobs.max(0.0));
         let processor = report.processor_utilization.map(|utilization| utilization.max(0.0));
--- a/src/job.rs
+++ b/src/job.rs
@@ -1,55 +1,55 @@
-//! A job from its submission to its release: a typed state machine, and what is known of its dispatch in flight.
+//! A job from its submission to its release, as a state machine, and its dispatch in flight.
 
 use crate::interface::{EngineId, Job, ProgressUpdate};
 use crate::time::{TimeDelta, Timestamp};
 
-/// How a job runs, as far as its memory goes.
+/// Whether a job runs within its memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionMode {
-    /// It has the memory that it needs.
+    /// The job has the memory that it needs.
     InMemory,
-    /// It spills to disk.
+    /// The job spills to disk.
     Spilled,
 }
 
-/// What was known when an engine was chosen within a pair.
+/// The inputs of a choice between two engines, kept to learn from the result.
 #[derive(Clone, Copy, Debug)]
 pub struct PairChoice {
-    /// The two engines.
+    /// The engines compared; the scores compare the first one with the second.
     pub pair: [EngineId; 2],
-    /// The job's features x.
+    /// The job's features x, from which the Thompson residual is computed.
     pub features: [f64; 3],
-    /// The speed score's margin s.
+    /// The margin s of the speed score: log of the first engine's expected latency minus that of the second's.
     pub margin: f64,
 }
 
 /// A dispatch that is in flight.
 #[derive(Debug)]
 pub struct InFlightDispatch {
-    /// Where it was sent.
+    /// The engine that it was sent to.
     pub engine: EngineId,
     /// Its number among the job's dispatches, from 0.
     pub attempt: u32,
     /// When it was sent.
     pub sent_at: Timestamp,
-    /// How its engine was chosen, if there were two.
+    /// How its engine was chosen; `None` if there was only one candidate.
     pub choice: Option<PairChoice>,
-    /// Memory (MB) that it may take.
+    /// Memory (MB) that is counted for it at the engine: the grant, or the estimate if there is no grant.
     pub memory_mb: f64,
-    /// The fraction of the work that is known to be done.
+    /// Completed fraction of the work, as last reported.
     pub completed_fraction: f64,
-    /// When its engine last sent progress, or when it was sent.
+    /// When its engine last sent progress of it; before that, when it was sent.
     pub last_update_at: Timestamp,
-    /// It was cancelled.
+    /// Whether it was cancelled.
     pub cancelled: bool,
-    /// It waited for a bulk load.
+    /// Whether it has waited for a bulk load.
     pub waited_for_bulk_load: bool,
-    /// It has spilled to disk.
+    /// Whether it has spilled to disk.
     pub spilled: bool,
 }
 
 impl InFlightDispatch {
-    /// A dispatch that is sent now.
+    /// A dispatch sent now.
     pub fn new(engine: EngineId, attempt: u32, now: Timestamp) -> InFlightDispatch {
         InFlightDispatch {
             engine,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Notes progress that the engine sent.
+    /// Records progress that the engine sent.
     pub fn update(&mut self, now: Timestamp, progress: ProgressUpdate) {
         self.last_update_at = now;
         self.waited_for_bulk_load |= progress == ProgressUpdate::WaitingForBulkLoad;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// How the job runs, as far as its memory goes.
+    /// Whether the job runs within its memory.
     pub fn mode(&self) -> ExecutionMode {
         if self.spilled { ExecutionMode::Spilled } else { ExecutionMode::InMemory }
     }
@@ -86,77 +86,77 @@
     }
 }
 
-/// Where a job is on its way.
+/// The stage that a job has reached.
 #[derive(Debug, Default)]
 pub enum JobState {
-    /// It is about to be placed, or over.
+    /// The job is about to be placed, or it has ended.
     #[default]
     Ready,
-    /// It waits at this gateway for an engine.
+    /// The job waits at this gateway for an engine.
     Waiting,
-    /// It was dispatched and the result is outstanding.
+    /// The job was dispatched and has no result yet.
     InFlight(InFlightDispatch),
 }
 
-/// The first dispatch of a job that may have run.
+/// The first of a job's dispatches that may have run.
 #[derive(Clone, Copy, Debug)]
 pub struct PossibleRun {
-    /// Where it was sent.
+    /// The engine that it was sent to.
     pub engine: EngineId,
     /// When it was sent.
     pub sent_at: Timestamp,
 }
 
-/// What a job is estimated to need and to be worth.
+/// Estimated cost and value of a job.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JobEstimates {
-    /// Work, in milliseconds on one thread.
+    /// Work, in milliseconds on a single thread.
     pub work_ms: f64,
-    /// The same spread over its threads: how long it runs on an unloaded engine (ms).
+    /// Run time on an unloaded engine (ms): the work divided by the number of threads.
     pub run_ms: f64,
     /// Memory (MB).
     pub memory_mb: f64,
-    /// Value per second of its work.
+    /// Value (priority weight) per second of work.
     pub value_rate: f64,
 }
 
-/// A job's times.
+/// Submission time and deadlines of a job.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JobTimes {
-    /// When it was submitted.
+    /// When the job was submitted.
     pub submitted_at: Timestamp,
-    /// When its client stops waiting or the process ends.
+    /// When the client stops waiting, or the process ends if that is earlier.
     pub deadline: Timestamp,
-    /// When it misses its latency objective.
+    /// End of the job's latency objective.
     pub objective_deadline: Timestamp,
 }
 
-/// A job that was submitted and not yet released.
+/// A job that was submitted and is not yet released.
 #[derive(Debug)]
 pub struct PendingJob {
     /// The job as it was submitted.
     pub request: Job,
     /// When it was submitted.
     pub submitted_at: Timestamp,
-    /// When its client stops waiting or the process ends.
+    /// When its client stops waiting, or the process ends if that is earlier.
     pub deadline: Timestamp,
-    /// When it misses its latency objective.
+    /// End of its latency objective.
     pub objective_deadline: Timestamp,
-    /// Estimated work, in milliseconds on one thread.
+    /// Estimated work, in milliseconds on a single thread.
     pub work_ms: f64,
-    /// How long it runs on an unloaded engine (ms); exact once an engine has reported the work.
+    /// Estimated run time on an unloaded engine (ms); exact once an engine has reported the actual work.
     pub run_ms: f64,
-    /// Value per second of its work.
+    /// Estimated value (priority weight) per second of work.
     pub value_rate: f64,
     /// Estimated memory (MB).
     pub memory_mb: f64,
-    /// How often it was dispatched.
+    /// Number of its dispatches so far.
     pub dispatch_count: u32,
-    /// The first dispatch that may have run.
+    /// The first of its dispatches that may have run.
     pub possible_run: Option<PossibleRun>,
-    /// When a dispatch last ended without it being known whether it ran.
+    /// When a dispatch of it last ended with an unknown outcome: it may have run, or still run, at the engine.
     pub outcome_unknown_at: Option<Timestamp>,
-    /// The engine that it was last sent to.
+    /// The engine of its last dispatch.
     pub last_engine: Option<EngineId>,
     state: JobState,
     finished: bool,
@@ -183,17 +183,17 @@
         }
     }
 
-    /// It has its final answer, though a dispatch may still be in flight.
+    /// Whether it has its final answer or its client has left. A dispatch may still be in flight.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// It waits at this gateway and has no final answer.
+    /// Whether it waits at this gateway and is not finished.
     pub fn is_waiting(&self) -> bool {
         self.is_queued() && !self.finished
     }
 
-    /// It is among the waiting jobs.
+    /// Whether it is among the waiting jobs, finished or not.
     pub fn is_queued(&self) -> bool {
         matches!(self.state, JobState::Waiting)
     }
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Its dispatch in flight, to be changed.
+    /// Its dispatch in flight, for changes.
     pub fn in_flight_mut(&mut self) -> Option<&mut InFlightDispatch> {
         match &mut self.state {
             JobState::InFlight(dispatch) => Some(dispatch),
@@ -214,36 +214,36 @@
         }
     }
 
-    /// Its dispatch in flight, if it has no final answer.
+    /// Its dispatch in flight, unless the job is finished.
     pub fn active_dispatch(&self) -> Option<&InFlightDispatch> {
         self.in_flight().filter(|_| !self.finished)
     }
 
-    /// It has its final answer and nothing in flight.
+    /// Whether it is finished and has no dispatch in flight.
     pub fn is_releasable(&self) -> bool {
         self.finished && self.in_flight().is_none()
     }
 
-    /// It joins the waiting jobs; returns whether it was not among them before.
+    /// Marks it as waiting; returns whether it was not waiting before.
     pub fn start_waiting(&mut self) -> bool {
         let was_queued = self.is_queued();
         self.state = JobState::Waiting;
         !was_queued
     }
 
-    /// It leaves the waiting jobs, to be placed.
+    /// Marks it as no longer waiting, before another attempt to place it.
     pub fn stop_waiting(&mut self) {
         self.state = JobState::Ready;
     }
 
-    /// It was dispatched.
+    /// Records that it was dispatched.
     pub fn dispatched(&mut self, dispatch: InFlightDispatch) {
         self.dispatch_count += 1;
         self.last_engine = Some(dispatch.engine);
         self.state = JobState::InFlight(dispatch);
     }
 
-    /// The result of this attempt is there: takes the dispatch, if it is the one in flight.
+    /// Removes and returns the dispatch in flight if it is this attempt, whose result has arrived.
     pub fn take_dispatch(&mut self, attempt: u32) -> Option<InFlightDispatch> {
         match std::mem::take(&mut self.state) {
             JobState::InFlight(dispatch) if dispatch.attempt == attempt => Some(dispatch),
@@ -254,18 +254,18 @@
         }
     }
 
-    /// It has its final answer.
+    /// Records that it has its final answer or that its client has left.
     pub fn finish(&mut self) {
         self.finished = true;
     }
 
-    /// It has to be over by this time.
+    /// Moves deadlines after `end` to `end`, the end of the process.
     pub fn limit_deadline(&mut self, end: Timestamp) {
         self.deadline = self.deadline.min(end);
         self.objective_deadline = self.objective_deadline.min(end);
     }
 
-    /// The engines that its dispatches concern.
+    /// The engines that may not be forgotten while the job is open: of its dispatch in flight and its possible run.
     pub fn engines(&self) -> impl Iterator<Item = EngineId> {
         let in_flight = self.in_flight().map(|dispatch| dispatch.engine);
         in_flight.into_iter().chain(self.possible_run.map(|run| run.engine))
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,4 +1,4 @@
-//! The pool: all known engines, those that run, and each table group's hashed order of them.
+//! The pool: all known engines, the running ones, and the order in which each table group's jobs try them.
 
 use crate::engine::{Engine, THREADS_PER_CORE};
 use crate::estimators::mix64;
@@ -8,29 +8,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// All known engines.
+/// The known engines of the pool.
 #[derive(Default)]
 pub struct EnginePool {
-    /// The engines.
+    /// All known engines, including draining ones and those that are gone but not yet forgotten.
     pub engines: BTreeMap<EngineId, Engine>,
-    /// The running engines.
+    /// The engines that accept dispatches, by number.
     pub running: Vec<EngineId>,
-    /// Running engines that started not long ago and that gateways take turns at.
+    /// Running engines with a recent start, if so small that gateways take turns at them while they warm up.
     pub warming_up: Vec<EngineId>,
-    /// Cores of the running engines.
+    /// Total number of cores of the running engines.
     pub running_cores: f64,
     engine_orders: BTreeMap<u64, Rc<[EngineId]>>,
 }
 
-/// An equal share of an engine is less than a job and means nothing.
+/// Whether a gateway's equal share of an engine's threads is less than one, so that no job fits into it.
 ///
-/// Only what all gateways know alike counts, since they take turns at warming engines by it.
+/// Depends only on values that are the same at every gateway, since it decides whether gateways take turns at engines
+/// that are warming up.
 pub fn equal_share_is_below_one_thread(engine: &Engine, gateway_count: f64) -> bool {
     THREADS_PER_CORE * engine.cores < gateway_count
 }
 
 impl EnginePool {
-    /// Takes over what the endpoint list says of one engine; returns whether the engine is new or has restarted.
+    /// Applies one entry of the endpoint list; returns whether the engine is new or has restarted.
     pub fn update_endpoint(
         &mut self,
         settings: &ControllerSettings,
@@ -48,9 +49,9 @@
         let id = endpoint.engine;
         let previous = self.engines.remove(&id).unwrap_or_default();
         let mut engine = Engine::new(settings, endpoint, previous, now);
-        let reports_can_be_had = settings.permissions.health_checks && settings.reports.include_total_load;
+        let has_load_reports = settings.permissions.health_checks && settings.reports.include_total_load;
         engine.limit.covers_all_gateways =
-            reports_can_be_had && equal_share_is_below_one_thread(&engine, settings.gateway_count);
+            has_load_reports && equal_share_is_below_one_thread(&engine, settings.gateway_count);
         engine.limit.equal_share =
             if engine.limit.covers_all_gateways { 1.0 } else { 1.0 / settings.gateway_count };
         engine.limit.limit = engine.limit.equal_share;
@@ -58,13 +59,13 @@
         true
     }
 
-    /// Marks all engines as gone that a complete list does not name.
+    /// Marks the engines as gone that a complete endpoint list does not contain.
     pub fn mark_missing(&mut self, listed: &BTreeSet<EngineId>) {
         let missing = self.engines.iter_mut().filter(|(id, _)| !listed.contains(id));
         missing.for_each(|(_, engine)| engine.endpoint.lifecycle = LifecycleState::Gone);
     }
 
-    /// Rebuilds what follows from the list.
+    /// Recomputes all that depends on the endpoint list, after it has changed.
     pub fn rebuild(&mut self, gateway_count: f64) {
         let engines = &self.engines;
         let runs = |id: &EngineId| engines[id].endpoint.lifecycle == LifecycleState::Running;
@@ -88,17 +89,19 @@
         self.running_engines().map(|engine| engine.memory_mb).fold(0.0, f64::max)
     }
 
-    /// Threads that this gateway has in flight in all.
+    /// Total number of threads that this gateway has in flight.
     pub fn threads_in_flight(&self) -> f64 {
         self.engines.values().map(|engine| engine.in_flight.threads).sum()
     }
 
-    /// Whether the gateways are too many for each to have its own limit of an engine: limits cover all of them.
+    /// Whether the fleet of gateways is so large that an engine's limit covers all of them, as an equal share for each
+    /// would be less than a thread. The first running engine stands for all engines.
     pub fn fleet_is_large(&self) -> bool {
         self.running.first().is_some_and(|id| self.engines[id].limit.covers_all_gateways)
     }
 
-    /// The order in which a table group's jobs walk the running engines; the same at every gateway.
+    /// The order in which a table group's jobs try the running engines: by a hash of engine and group, and so the same
+    /// at every gateway.
     pub fn engine_order(&mut self, table_group: u64) -> Rc<[EngineId]> {
         let (running, engines) = (&self.running, &self.engines);
         let sorted = || {
@@ -109,8 +112,8 @@
         self.engine_orders.entry(table_group).or_insert_with(sorted).clone()
     }
 
-    /// Drops the engines that are gone, were not heard of within the retention period and that no open job
-    /// concerns; returns them.
+    /// Removes and returns the engines that are gone, have sent nothing within the retention period and are not in
+    /// `used`. Removes expired table locks too.
     pub fn evict_unused(
         &mut self,
         now: Timestamp,
@@ -130,12 +133,12 @@
         evicted
     }
 
-    /// Drops the orders of the table groups that are not wanted any more.
-    pub fn retain_engine_orders(&mut self, wanted: impl Fn(u64) -> bool) {
-        self.engine_orders.retain(|table_group, _| wanted(*table_group));
+    /// Removes the stored orders of all table groups but those for which `keep` returns true.
+    pub fn retain_engine_orders(&mut self, keep: impl Fn(u64) -> bool) {
+        self.engine_orders.retain(|table_group, _| keep(*table_group));
     }
 
-    /// Number of entries that may grow with use.
+    /// Number of entries in the collections that can grow with use.
     pub fn retained_entries(&self) -> usize {
         self.engines.len() + self.engine_orders.len()
     }
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -13,7 +13,7 @@
     PollEndpointList,
     /// Gives a job its final answer, if it still has none.
     AnswerDeadline(JobId),
-    /// Gives a final answer to those of these jobs that still have none: they were open when the shutdown began.
+    /// Gives a final answer to each of these jobs that still has none. They were open when the shutdown began.
     ShutdownDeadline(Vec<JobId>),
     /// Tries the waiting jobs again because the next job of a key may run now.
     KeyAvailable,
