--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,19 @@
-//! pebblevane decides when and on which engine a job runs, and whether it runs at all.
+//! pebblevane decides whether a job runs, when, and on which engine.
 //!
-//! [`interface`] holds the plain types that go in and out, [`controller`] routes events to the concerns that decide.
-//! The modules depend on each other in one direction: estimators and settings; jobs, classes and engines; one
-//! module a concern; the state that holds them together; the modules that carry a job through its life; the controller.
+//! [`interface`] contains the plain data types that callers use, and [`controller`] passes each event to the modules that
+//! decide on it. The modules have no cyclic dependencies. From the bottom up, they are: estimators and settings; the
+//! state of jobs, job classes and engines; one module for each kind of decision; the whole state; the handling of jobs
+//! and events; the controller.
 
 pub mod controller;
 pub mod interface;
 pub mod settings;
 pub mod time;
 
-// Arithmetic.
+// Arithmetic behind the decisions.
 mod estimators;
 
-// What is known: of jobs, of engines, of the stream of jobs.
+// State of jobs, job classes and engines, and statistics of the arriving jobs.
 mod engine;
 mod job;
 mod job_class;
@@ -23,7 +24,7 @@
 mod utilization;
 mod waiting;
 
-// What is decided, each with its own state.
+// One module for each kind of decision, with the state that it needs.
 mod concurrency;
 mod health;
 mod key_order;
@@ -34,10 +35,10 @@
 mod selection;
 mod slow_start;
 
-// All state together.
+// The whole state.
 mod state;
 
-// How a job is carried through its life.
+// Handling of jobs and events, acting on the whole state.
 mod admission;
 mod candidates;
 mod completion;
--- a/src/memory_factor.rs
+++ b/src/memory_factor.rs
@@ -1,15 +1,18 @@
-//! The memory that jobs of a class need over the memory that they are estimated to need.
+//! The factor by which the memory grants of a class exceed the estimates.
 
-/// The most that a grant may be of the estimate.
+/// Maximum ratio of a grant to the estimate.
 pub const MAX_MEMORY_FACTOR: f64 = 4.0;
 
+/// Factor before any job has run.
 const INITIAL_FACTOR: f64 = 1.25;
-/// The part of the way that a spill moves the factor, once there were many.
+/// Minimum fraction of the difference by which a spill moves the factor towards the multiple that was needed. The first
+/// spills move it further.
 const SPILL_STEP: f64 = 0.2;
-/// What a job without a spill leaves of the factor.
+/// Multiplier that each job without a spill applies to the factor.
 const DECAY_WITHOUT_SPILL: f64 = 0.99;
 
-/// The factor: it rises with spills, fast at first, and falls slowly otherwise.
+/// The factor by which memory grants exceed the estimates. It rises with spills, fast at first, and falls slowly
+/// otherwise.
 #[derive(Clone, Copy, Debug)]
 pub struct MemoryFactor {
     value: f64,
@@ -23,12 +26,12 @@
 }
 
 impl MemoryFactor {
-    /// The factor.
+    /// The current factor, at least 1.
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// A job spilled to disk and would have needed this multiple of its estimate.
+    /// Adds a job that spilled to disk; `needed` is the memory that would have avoided it, as a multiple of the estimate.
     pub fn observe_spill(&mut self, needed: f64) {
         let needed = needed.min(MAX_MEMORY_FACTOR);
         self.spill_count += 1.0;
@@ -36,7 +39,7 @@
         self.value += step * (needed - self.value).max(0.0);
     }
 
-    /// A job ended without a spill.
+    /// Adds a job that ended without a spill.
     pub fn observe_no_spill(&mut self) {
         self.value = (self.value * DECAY_WITHOUT_SPILL).max(1.0);
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! All that the controller remembers, each part in the hands of its own concern, with the reads that several
-//! concerns share.
+//! The controller's whole state, as one struct of the parts that the modules keep, with lookups that several modules
+//! need.
 
 use crate::concurrency::{GatewayConcurrency, LoadVisibility};
 use crate::estimators::Pcg32;
@@ -19,46 +19,46 @@
 use crate::waiting::WaitingJobs;
 use std::collections::BTreeMap;
 
-/// All that the controller remembers.
+/// The controller's whole state.
 pub struct ControllerState {
-    /// The settings.
+    /// The settings, unchanged since the start.
     pub settings: ControllerSettings,
-    /// The time of the event that is handled.
+    /// The time of the event that is being handled.
     pub now: Timestamp,
     /// When this process started.
     pub started_at: Timestamp,
-    /// When this process ends: every job has its final answer by then.
+    /// When this process ends; all jobs get their final answer before. `i64::MAX` until a shutdown begins.
     pub shutdown_at: Timestamp,
-    /// The generator of all random draws.
+    /// The random number generator of all decisions.
     pub random: Pcg32,
-    /// The job classes.
+    /// The job classes, by position in the settings.
     pub classes: Vec<JobClass>,
-    /// The engines.
+    /// The known engines.
     pub pool: EnginePool,
-    /// The jobs that were submitted and not yet released.
+    /// The jobs that were submitted and are not yet released.
     pub jobs: BTreeMap<JobId, PendingJob>,
     /// The jobs that wait at this gateway.
     pub waiting: WaitingJobs,
-    /// The queues of keys.
+    /// The queues of the classes that run the jobs of one key in order.
     pub key_order: KeyOrder,
-    /// The timers.
+    /// The timers that have not fired yet.
     pub timers: TimerQueue,
-    /// The stream of jobs.
+    /// Statistics of arriving jobs and dispatched work.
     pub traffic: Traffic,
-    /// The budget of retries.
+    /// The jobs and retries that count for the retry budget.
     pub retry_budget: RetryBudget,
-    /// What was learnt for the choice within a pair.
+    /// What the choice between two engines has learnt.
     pub selection: Selection,
-    /// The budget of health checks.
+    /// The budget of health checks and their usual elapsed times.
     pub health_checks: HealthChecks,
-    /// This gateway's own limit and the pool's saturation.
+    /// This gateway's concurrency limit and whether the pool is saturated.
     pub concurrency: GatewayConcurrency,
-    /// What the event has led to so far.
+    /// The actions that the current event has led to so far.
     pub actions: Actions,
 }
 
 impl ControllerState {
-    /// Nothing known but the settings.
+    /// The state at the start, without engines or jobs.
     pub fn new(now: Timestamp, seed: u64, settings: ControllerSettings) -> ControllerState {
         ControllerState {
             now,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Schedules a timer.
+    /// Schedules a timer that fires after `delay`.
     pub fn schedule_in(&mut self, delay: TimeDelta, timer: Timer) {
         self.timers.schedule_at(self.now + delay, timer);
     }
@@ -96,19 +96,19 @@
         &self.class_of(job).settings
     }
 
-    /// The key in whose order a job runs, if its class is ordered by key.
+    /// A job's key, if its class runs the jobs of one key in order.
     pub fn ordering_key(&self, job: &PendingJob) -> Option<u64> {
         job.request.key.filter(|_| self.class_settings_of(job).ordered_by_key)
     }
 
-    /// What this gateway can know of the load that other gateways cause.
+    /// What this gateway can know about the load that other gateways cause.
     pub fn visibility(&self) -> LoadVisibility {
         let fleet_is_large = self.pool.fleet_is_large();
         let lacks_load_reports = health::lacks_load_reports(&self.settings, fleet_is_large);
         LoadVisibility { fleet_is_large, lacks_load_reports }
     }
 
-    /// Read access for slow start.
+    /// The slow-start rules, applied to the present state.
     pub fn slow_start(&self) -> SlowStart<'_> {
         SlowStart {
             settings: &self.settings,
@@ -118,14 +118,14 @@
         }
     }
 
-    /// Ejects an engine as an outlier, if it is known and not ejected already.
+    /// Ejects an engine as an outlier. Does nothing if it is unknown or ejected already.
     pub fn eject(&mut self, engine: EngineId) {
         if let Some(engine) = self.pool.engines.get_mut(&engine) {
             engine.ejection.eject(self.now);
         }
     }
 
-    /// Sends a health check to an engine that is known and has none in flight; returns whether it did.
+    /// Sends a health check to an engine, unless it is unknown or has one in flight; returns whether it was sent.
     pub fn start_health_check(&mut self, id: EngineId) -> bool {
         let engine = self.pool.engines.get_mut(&id);
         let started = engine.is_some_and(|engine| engine.health_check.start(self.now));
@@ -135,9 +135,9 @@
         started
     }
 
-    /// Number of entries that may grow with use.
+    /// Number of entries in the collections that can grow with use.
     pub fn retained_entries(&self) -> usize {
-        let streams = self.traffic.retained_entries() + self.key_order.retained_entries();
-        self.pool.retained_entries() + self.jobs.len() + streams
+        let traffic_and_keys = self.traffic.retained_entries() + self.key_order.retained_entries();
+        self.pool.retained_entries() + self.jobs.len() + traffic_and_keys
     }
 }
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The stream of jobs that comes to this gateway and the work that it sends out.
+//! Statistics of the jobs that arrive at this gateway and of the work that it dispatches.
 
 use crate::estimators::DecayingAverage;
 use crate::job::PendingJob;
@@ -6,23 +6,24 @@
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// How far back the mix of jobs, and the work sent to the pool and to each engine, counts.
+/// Time constant of the decay of the mix of jobs, and of the work dispatched to the pool and to each engine.
 pub const WORK_TIME_CONSTANT: TimeDelta = TimeDelta(15_000_000);
-/// How far back the rate of arrivals counts.
+/// Time constant of the decay of the arrival rate.
 const ARRIVAL_TIME_CONSTANT: TimeDelta = TimeDelta(5_000_000);
 
-/// The jobs that were recently admitted and the work that was recently sent.
+/// Statistics of recently arrived jobs and recently dispatched work.
 ///
-/// Threads, memory and value are weighed by how long the jobs run, so that they are those of a job in flight.
+/// The means of threads and memory are weighted with the jobs' run time, so that they describe a typical job in flight.
+/// The mean value per work is weighted with the jobs' work.
 #[derive(Default)]
 pub struct Traffic {
-    /// Value of a job, whatever its work.
+    /// Mean priority weight of a job; all jobs count the same.
     pub priority_weight: DecayingAverage,
-    /// Value per second of work.
+    /// Mean value (priority weight) per second of work.
     pub value_rate: DecayingAverage,
-    /// Work sent to the pool (ms on one thread).
+    /// Work dispatched to the pool (ms on a single thread).
     pub dispatched_work: DecayingAverage,
-    /// Work of arriving jobs (ms on one thread).
+    /// Work of arriving jobs (ms on a single thread), lengthened by spilling as usual for their class.
     pub arrivals: DecayingAverage,
     threads: DecayingAverage,
     memory_mb: DecayingAverage,
@@ -32,12 +33,12 @@
 }
 
 impl Traffic {
-    /// Nothing seen yet.
+    /// Statistics without jobs, observed from `now` on.
     pub fn new(now: Timestamp) -> Traffic {
         Traffic { observed_since: now, ..Traffic::default() }
     }
 
-    /// Counts a job that is accepted.
+    /// Adds a job that has arrived and can be done in time.
     pub fn observe_arrival(&mut self, now: Timestamp, job: &PendingJob, class: &JobClass) {
         let (value, threads) = (class.settings.priority_weight, class.settings.threads);
         let memory = job.memory_mb * class.memory_factor.value();
@@ -52,51 +53,54 @@
         self.arrivals.add(now, ARRIVAL_TIME_CONSTANT, job.work_ms * class.spill_factor(), 1.0);
     }
 
-    /// Counts work that is sent out.
+    /// Adds work that is dispatched.
     pub fn observe_dispatch(&mut self, now: Timestamp, work_ms: f64) {
         self.dispatched_work.add(now, WORK_TIME_CONSTANT, work_ms, 1.0);
     }
 
-    /// Threads of the typical job in flight.
+    /// Mean number of threads of a job in flight.
     pub fn typical_threads(&self) -> f64 {
         self.threads.mean_or(1.0)
     }
 
-    /// Memory (MB) granted to the typical job in flight.
+    /// Mean memory (MB) granted to a job in flight.
     pub fn typical_memory_mb(&self) -> f64 {
         self.memory_mb.mean_or(0.0)
     }
 
-    /// A table group's share of the other jobs, drawn towards none as if `prior_jobs` had been seen.
+    /// Share of the recent jobs, without the present one, that belong to this table group. `prior_jobs` of other groups
+    /// are added to the total, so that the share is low while few jobs have arrived.
     pub fn share_of_table_group(&self, group: u64, prior_jobs: f64) -> f64 {
         let others = |own: &DecayingAverage| (own.weight() - 1.0).max(0.0);
         self.table_groups.get(&group).map_or(0.0, others) / (self.jobs.weight() + prior_jobs)
     }
 
-    /// Jobs that arrive per second.
+    /// Number of jobs that arrive per second, by the recent arrivals.
     pub fn update_arrival_rate(&mut self, now: Timestamp) -> f64 {
         self.arrivals.update_rate_per_second(now, ARRIVAL_TIME_CONSTANT)
     }
 
-    /// Threads that this gateway has in flight at a slowdown, by the work that arrives: rate times time.
+    /// Threads that the arriving work is expected to keep in flight at this slowdown, by Little's law: the rate of
+    /// arriving work, times the slowdown.
     pub fn expected_threads(&self, now: Timestamp, slowdown: f64) -> f64 {
         let time_constant = ARRIVAL_TIME_CONSTANT.as_millis_f64();
         let observed = (now - self.observed_since).as_millis_f64().max(1.0);
-        let seen = 1.0 - (-(observed / time_constant)).exp();
-        slowdown * self.arrivals.sum_at(now, ARRIVAL_TIME_CONSTANT) / (seen * time_constant)
+        // Soon after the start the decaying sum covers only a part of its time constant.
+        let covered_fraction = 1.0 - (-(observed / time_constant)).exp();
+        slowdown * self.arrivals.sum_at(now, ARRIVAL_TIME_CONSTANT) / (covered_fraction * time_constant)
     }
 
-    /// Whether jobs of this table group came recently.
+    /// Whether jobs of this table group have arrived within the retention period.
     pub fn is_active_table_group(&self, group: u64) -> bool {
         self.table_groups.contains_key(&group)
     }
 
-    /// Drops the table groups without a job within the retention period.
+    /// Removes the table groups without a job within the retention period.
     pub fn evict_unused(&mut self, now: Timestamp, retention: TimeDelta) {
         self.table_groups.retain(|_, group| now - group.updated_at() < retention);
     }
 
-    /// Number of entries that may grow with use.
+    /// Number of entries in the collections that can grow with use.
     pub fn retained_entries(&self) -> usize {
         self.table_groups.len()
     }
