--- a/src/engine.rs
+++ b/src/engine.rs
@@ -98,7 +98,8 @@
     pub health_check: HealthCheckState,
     /// When it last sent a job's answer or progress; before that, when it was added.
     pub last_response_at: Timestamp,
-    /// Work recently sent to it, in the typical work of each job's class, for the slow-start budget.
+    /// Work recently sent to it, for the slow-start budget: each dispatch counts with the typical work of its class (ms
+    /// on a single thread).
     pub slow_start_work: SlidingWindow,
     /// Estimated work recently sent to it (ms on a single thread).
     pub recent_work: DecayingAverage,
--- a/src/job.rs
+++ b/src/job.rs
@@ -15,7 +15,7 @@
 /// The inputs of a choice between two engines, kept to learn from the result.
 #[derive(Clone, Copy, Debug)]
 pub struct PairChoice {
-    /// The engines compared; the scores compare the first one with the second.
+    /// The engines compared; a positive score is in favour of the second one.
     pub pair: [EngineId; 2],
     /// The job's features x, from which the Thompson residual is computed.
     pub features: [f64; 3],
@@ -49,7 +49,7 @@
 }
 
 impl InFlightDispatch {
-    /// A dispatch sent now.
+    /// A dispatch that is sent at `now`, without progress yet.
     pub fn new(engine: EngineId, attempt: u32, now: Timestamp) -> InFlightDispatch {
         InFlightDispatch {
             engine,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether the job runs within its memory.
+    /// The execution mode, as far as reported.
     pub fn mode(&self) -> ExecutionMode {
         if self.spilled { ExecutionMode::Spilled } else { ExecutionMode::InMemory }
     }
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -79,7 +79,7 @@
         self.engine_orders.clear();
     }
 
-    /// The running engines.
+    /// The running engines, in the order of their numbers.
     pub fn running_engines(&self) -> impl Iterator<Item = &Engine> {
         self.running.iter().map(|id| &self.engines[id])
     }
