--- a/crates/server/src/client/admission.rs
+++ b/crates/server/src/client/admission.rs
@@ -8,7 +8,7 @@
 use crate::codec::sql;
 use crate::decision::RETRY_AFTER;
 use crate::engine::dispatch_ledger::DispatchLedger;
-use crate::job::{AdmittedJob, USUAL_RESULT_BYTES};
+use crate::job::{AdmittedJob, RESERVED_RESULT_BYTES};
 use crate::lifecycle::clock;
 use crate::limits::Permit;
 use crate::session::client_job_ids::ClientJobId;
@@ -108,7 +108,7 @@
     request: &ClientRequest,
 ) -> Option<JobPermits> {
     let job_slot = session.has_capacity().then(|| context.open_jobs.acquire(1)).flatten();
-    let memory = context.buffer_bytes.acquire(request.statement.len() + USUAL_RESULT_BYTES);
+    let memory = context.buffer_bytes.acquire(request.statement.len() + RESERVED_RESULT_BYTES);
     Some(JobPermits { job_slot: job_slot?, memory: memory? })
 }
 
--- a/crates/server/src/job/admitted_job.rs
+++ b/crates/server/src/job/admitted_job.rs
@@ -5,8 +5,9 @@
 use crate::session::responder::Responder;
 use std::sync::Arc;
 
-/// The bytes reserved for a result when its job is admitted. More are acquired as the pages of a longer one arrive.
-pub const USUAL_RESULT_BYTES: usize = 4_096;
+/// The number of bytes reserved for the result when a job is admitted. If the result is longer, more bytes are reserved
+/// as its pages arrive.
+pub const RESERVED_RESULT_BYTES: usize = 4_096;
 
 /// An admitted job: the data needed to dispatch and answer it, and its permits.
 pub struct AdmittedJob {
--- a/crates/server/src/job/mod.rs
+++ b/crates/server/src/job/mod.rs
@@ -12,7 +12,7 @@
 mod task;
 mod worker_pool;
 
-pub use admitted_job::{AdmittedJob, USUAL_RESULT_BYTES};
+pub use admitted_job::{AdmittedJob, RESERVED_RESULT_BYTES};
 pub use command::{DispatchCommand, JobCommand, JobReporter};
 pub use task::JobTask;
 pub use worker_pool::WorkerPool;
