--- a/crates/server/src/client/admission.rs
+++ b/crates/server/src/client/admission.rs
@@ -6,7 +6,7 @@
     ClientRequest, FailureReason, InvalidRequest, Message, ProtocolError, Reply, RequestId,
 };
 use crate::codec::sql;
-use crate::decision::RETRY_AFTER;
+use crate::decision::LOCAL_LIMIT_RETRY_DELAY;
 use crate::engine::dispatch_ledger::DispatchLedger;
 use crate::job::{AdmittedJob, RESERVED_RESULT_BYTES};
 use crate::lifecycle::clock;
@@ -115,7 +115,7 @@
 /// Rejects a job without asking the controller. This is the only decision that the server makes itself.
 fn reject_at_limit(session: &ClientSession, request_id: RequestId) -> Outcome {
     counters::LOCAL_LIMIT_REJECTIONS.increment();
-    session.write(request_id, &Reply::Rejected { retry_after: RETRY_AFTER });
+    session.write(request_id, &Reply::Rejected { retry_after: LOCAL_LIMIT_RETRY_DELAY });
     Outcome::Refused
 }
 
--- a/crates/server/src/decision/handle.rs
+++ b/crates/server/src/decision/handle.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 
 /// The retry delay for clients whose jobs are rejected by one of the program's own limits.
-pub const RETRY_AFTER: TimeDelta = TimeDelta(1_000_000);
+pub const LOCAL_LIMIT_RETRY_DELAY: TimeDelta = TimeDelta(1_000_000);
 
 /// The handle on the controller's thread.
 pub struct ControllerHandle {
@@ -55,7 +55,7 @@
         let event = ControllerEvent::JobSubmitted { id, job, arrived, admitted: Box::new(admitted) };
         if self.events.try_send(event).is_err() {
             self.open_jobs.fetch_sub(1, SeqCst);
-            responder.respond(&Reply::Rejected { retry_after: RETRY_AFTER });
+            responder.respond(&Reply::Rejected { retry_after: LOCAL_LIMIT_RETRY_DELAY });
             return false;
         }
         *next_job += 1;
--- a/crates/server/src/decision/mod.rs
+++ b/crates/server/src/decision/mod.rs
@@ -11,4 +11,4 @@
 mod open_job;
 mod start;
 
-pub use handle::{ControllerHandle, RETRY_AFTER};
+pub use handle::{ControllerHandle, LOCAL_LIMIT_RETRY_DELAY};
--- a/crates/server/src/decision/open_job.rs
+++ b/crates/server/src/decision/open_job.rs
@@ -1,7 +1,7 @@
 //! The jobs that the controller has not released yet.
 
 use crate::codec::client::{FailureReason, Reply};
-use crate::decision::handle::{ControllerHandle, RETRY_AFTER};
+use crate::decision::handle::{ControllerHandle, LOCAL_LIMIT_RETRY_DELAY};
 use crate::engine::dispatch_ledger::DispatchLedger;
 use crate::job::{AdmittedJob, JobCommand, JobTask, WorkerPool};
 use crate::session::responder::Responder;
@@ -91,7 +91,7 @@
                 tracing::warn!(job_number = id.0, reason = %e, "no thread for a job");
                 counters::LOCAL_LIMIT_REJECTIONS.increment();
                 self.answered = true;
-                self.responder.respond(&Reply::Rejected { retry_after: RETRY_AFTER });
+                self.responder.respond(&Reply::Rejected { retry_after: LOCAL_LIMIT_RETRY_DELAY });
                 JobState::Rejected
             }
         }
