--- a/crates/server/src/decision/actions.rs
+++ b/crates/server/src/decision/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions that the controller returns, in their order.
+//! Carries out the actions that the controller returns.
 
 use crate::decision::controller_thread::ControllerThread;
 use crate::engine::handle::HealthCheckResult;
@@ -11,8 +11,9 @@
 use std::sync::atomic::Ordering::SeqCst;
 
 impl ControllerThread {
-    /// Carries out what the controller decided at this time.
+    /// Carries out the actions that the controller returned at `now`.
     pub(super) fn carry_out(&mut self, now: Timestamp, actions: Actions) {
+        // Actions that only set the next timer are not logged.
         if actions != (Actions { next_timer: actions.next_timer, ..Actions::default() }) {
             tracing::trace!(?actions, "controller actions");
         }
@@ -35,9 +36,10 @@
             self.release(id);
         }
         for engine in actions.forgotten_engines {
-            self.endpoints.forget_id(engine);
+            self.endpoints.remove_id(engine);
         }
         self.next_timer = actions.next_timer;
+        // Reported last: the controller's reaction sets `next_timer` again.
         for dispatch in not_started {
             self.finish_unstarted(dispatch);
         }
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Hands a dispatch to its job's thread. One for a job or an engine that is not known is dropped.
+    /// Hands a dispatch to its job's thread. It is dropped if its job or its engine is unknown.
     ///
     /// # Errors
     /// The dispatch, if no thread could be created for its job.
@@ -69,7 +71,8 @@
         open.command(JobCommand::Dispatch(DispatchCommand {
             engine: engine.clone(),
             attempt,
-            // Counted from the decision, since the job's thread may start late and the client's timeout is running.
+            // The timeout starts at the controller's decision: the job's thread may start later, and the client's
+            // timeout is already running.
             deadline: now + dispatch.timeout,
             begin_by: dispatch.begin_by,
             priority: dispatch.options.map(|options| options.priority),
@@ -80,12 +83,12 @@
     /// Sends a health check. If the command queue is full or the engine is unknown, the check counts as timed out.
     fn check_health(&mut self, engine: EngineId) {
         let handle = self.handle.clone();
-        let finished = move |result: HealthCheckResult| {
+        let callback = move |result: HealthCheckResult| {
             let result = health_check_result(result.status, result.load_report, result.elapsed);
             handle.health_check_finished(engine, result);
         };
         let sent =
-            self.endpoints.engine(engine).is_some_and(|handle| handle.check_health(Box::new(finished)));
+            self.endpoints.engine(engine).is_some_and(|engine| engine.check_health(Box::new(callback)));
         if !sent {
             let result = health_check_result(DispatchStatus::TimedOut, None, TimeDelta::default());
             let now = clock::now();
@@ -101,7 +104,8 @@
         }
     }
 
-    /// Reports to the controller that a dispatch was never sent, and that its job has been answered.
+    /// Reports to the controller that a dispatch was never sent because its job got no thread, and that the job has
+    /// been answered with a rejection.
     fn finish_unstarted(&mut self, dispatch: DispatchId) {
         let result = DispatchResult {
             status: DispatchStatus::Unreachable,
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -19,10 +19,10 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::Duration;
 
-/// The longest wait for an event while no timer is set.
-const LONGEST_WAIT: Duration = Duration::from_hours(1);
+/// The maximum wait for an event while no timer is set.
+const MAX_IDLE_WAIT: Duration = Duration::from_hours(1);
 
-/// The state of the controller's thread.
+/// The controller, and what its thread needs to carry out the controller's actions.
 pub(super) struct ControllerThread {
     pub(super) controller: AdmissionController,
     pub(super) handle: Arc<ControllerHandle>,
@@ -34,7 +34,7 @@
 }
 
 impl ControllerThread {
-    /// A thread's state without any job or engine.
+    /// The state at the start of the thread, without jobs and engines.
     pub(super) fn new(
         settings: &Settings,
         seed: u64,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Passes the engines that are known at the start to the controller, as one list.
+    /// Passes the engines that are known at the start to the controller as one complete list.
     pub(super) fn load_initial_endpoints(&mut self, events: Vec<Event>) {
         let event = merge_initial_events(events);
         let now = clock::now();
@@ -60,7 +60,7 @@
         self.carry_out(now, actions);
     }
 
-    /// Handles events until the process ends, urgent ones first.
+    /// Handles events until the process ends, urgent events first.
     pub(super) fn run(
         mut self,
         events: &Receiver<ControllerEvent>,
@@ -74,7 +74,7 @@
             if let Some(event) = event {
                 self.handle_event(now, event);
             }
-            // A due timer fires even if more events are queued. Several due timers are handled by one call.
+            // A due timer fires even if more events are queued. One call handles all timers that are due.
             if self.next_timer.is_some_and(|due| due <= now) {
                 let actions = self.controller.timer_fired(now);
                 self.carry_out(now, actions);
@@ -88,7 +88,7 @@
         events: &Receiver<ControllerEvent>,
         urgent_events: &Receiver<ControllerEvent>,
     ) -> Option<ControllerEvent> {
-        let wait = self.next_timer.map_or(LONGEST_WAIT, clock::duration_until);
+        let wait = self.next_timer.map_or(MAX_IDLE_WAIT, clock::duration_until);
         urgent_events.try_recv().ok().or_else(|| {
             select! {
                 recv(urgent_events) -> event => event.ok(),
@@ -111,6 +111,7 @@
     fn handle_event(&mut self, now: Timestamp, event: ControllerEvent) {
         let actions = match event {
             ControllerEvent::JobSubmitted { id, mut job, arrived, admitted } => {
+                // Subtracts the time that the job has spent in the event queue.
                 job.time_left = job.time_left + (arrived - now);
                 self.job_submitted(now, id, job, admitted)
             }
@@ -130,7 +131,7 @@
             ControllerEvent::ShutdownBegun { deadline } => {
                 Some(self.controller.begin_shutdown(now, deadline))
             }
-            // Their jobs were handled before this event.
+            // `handle_disconnected_clients` has handled their jobs before this event.
             ControllerEvent::ClientsDisconnected => None,
         };
         if let Some(actions) = actions {
@@ -147,7 +148,7 @@
     ) -> Option<Actions> {
         let open = OpenJob::new(admitted);
         // The client disconnected while the job was queued, so it is not submitted to the controller.
-        if open.is_over() {
+        if open.is_finished() {
             self.handle.open_jobs.fetch_sub(1, SeqCst);
             return None;
         }
@@ -163,8 +164,8 @@
         mut result: DispatchResult,
     ) -> Option<Actions> {
         let open = self.jobs.get_mut(&id)?;
-        // After a disconnect no answer is due, even if the controller has not been notified yet.
-        if open.is_over() || result.status == DispatchStatus::Completed {
+        // After a disconnect, no answer is due, even if the controller has not been notified yet.
+        if open.is_finished() || result.status == DispatchStatus::Completed {
             open.mark_answered();
         }
         result.job_finished = open.is_answered();
--- a/crates/server/src/decision/endpoint_directory.rs
+++ b/crates/server/src/decision/endpoint_directory.rs
@@ -31,9 +31,9 @@
 /// When an engine started.
 #[derive(Clone, Copy)]
 struct EngineStart {
-    /// The timestamp in the endpoint list.
-    stamp: UnixTime,
-    /// The time on the program's own clock.
+    /// The start time in the endpoint list, in wall-clock time.
+    wall_time: UnixTime,
+    /// The start time on the program's own clock.
     at: Timestamp,
 }
 
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Records the wall clock's offset, so that its steps are known when the list reports an engine's start.
+    /// Records the current offset of the wall clock from the program's clock. The offsets before and after each step of
+    /// the wall clock are needed to convert the start times that the list reports.
     pub(super) fn observe_wall_clock(&mut self, now: Timestamp) {
         self.start_clock.observe(now, StartClock::wall());
     }
@@ -72,13 +73,13 @@
         self.engines.get(&id).map(|known| &known.handle)
     }
 
-    /// Forgets an engine's id, which is never assigned again: a later engine of the same name gets another one.
-    pub(super) fn forget_id(&mut self, id: EngineId) {
+    /// Removes an engine's id, which is never assigned again: a later engine of the same name gets another id.
+    pub(super) fn remove_id(&mut self, id: EngineId) {
         self.ids.remove(id);
     }
 
-    /// Applies a change of the endpoint list, and returns it in the controller's terms. `last_complete` is when the
-    /// list was last known to be complete before the change.
+    /// Applies a change of the endpoint list and returns the changed entries in the form that the controller expects.
+    /// `last_complete` is when the list was last known to be complete before the change.
     #[must_use]
     pub(super) fn apply(
         &mut self,
@@ -100,7 +101,7 @@
         endpoints
     }
 
-    /// Applies one entry; `None` if its address is malformed.
+    /// Applies one entry. Returns `None`, and ignores the entry, if its address is malformed.
     fn apply_entry(
         &mut self,
         now: Timestamp,
@@ -112,10 +113,11 @@
             return None;
         };
         let id = self.ids.assign(&entry.name);
-        let start = entry.started.map(|stamp| self.start_of(id, stamp, now, last_complete));
+        let start = entry.started.map(|wall_time| self.start_of(id, wall_time, now, last_complete));
         self.update_engine(id, address, entry.lifecycle, start);
         Some(Endpoint {
             engine: id,
+            // A machine type or location that the settings do not list gets a position that does not exist.
             machine_type: self.location_names.machine_type_index(&entry.machine_type).unwrap_or(usize::MAX),
             location: self.location_names.zone_index(&entry.zone).unwrap_or(usize::MAX),
             cell: entry.cell,
@@ -126,21 +128,23 @@
         })
     }
 
-    /// Converts a start timestamp to the program's clock. A timestamp that was converted before keeps its time.
+    /// Converts a start time to the program's clock. An engine whose listed start time has not changed keeps the result
+    /// of the earlier conversion.
     fn start_of(
         &self,
         id: EngineId,
-        stamp: UnixTime,
+        wall_time: UnixTime,
         now: Timestamp,
         last_complete: Option<Timestamp>,
     ) -> EngineStart {
         let known = self.engines.get(&id).and_then(|known| known.start);
-        known
-            .filter(|start| start.stamp == stamp)
-            .unwrap_or_else(|| EngineStart { stamp, at: self.start_clock.started(stamp, now, last_complete) })
+        known.filter(|start| start.wall_time == wall_time).unwrap_or_else(|| EngineStart {
+            wall_time,
+            at: self.start_clock.started(wall_time, now, last_complete),
+        })
     }
 
-    /// Updates the handle on an engine after a change of its entry.
+    /// Updates the handle on an engine after a change of its entry. An entry with another address is another engine.
     fn update_engine(
         &mut self,
         id: EngineId,
@@ -170,7 +174,7 @@
     ) {
         self.remove(id);
         if lifecycle == LifecycleState::Running {
-            // An engine that had this address before is gone, even if the list has not reported it yet.
+            // An engine that had this address before no longer exists, even if the list has not reported that yet.
             self.engines
                 .values()
                 .filter(|old| old.address == address)
@@ -188,7 +192,7 @@
         }
     }
 
-    /// Removes an engine: nothing more is sent to it, and dispatches in flight may still finish.
+    /// Removes an engine: no further dispatches are sent to it, but those in flight may still finish.
     fn remove(&mut self, id: EngineId) {
         if let Some(old) = self.engines.remove(&id) {
             old.handle.engine_removed();
@@ -198,8 +202,8 @@
 
 impl KnownEngine {
     fn update(&mut self, lifecycle: LifecycleState, start: Option<EngineStart>) {
-        let known_stamp = self.start.map(|start| start.stamp);
-        if let Some(start) = start.filter(|start| known_stamp != Some(start.stamp)) {
+        let known_wall_time = self.start.map(|start| start.wall_time);
+        if let Some(start) = start.filter(|start| known_wall_time != Some(start.wall_time)) {
             self.handle.engine_restarted(start.at);
         }
         (self.start, self.lifecycle) = (start, lifecycle);
--- a/crates/server/src/decision/event.rs
+++ b/crates/server/src/decision/event.rs
@@ -11,7 +11,7 @@
     JobSubmitted {
         id: JobId,
         job: Job,
-        /// When its request was read.
+        /// When the client's request was read.
         arrived: Timestamp,
         admitted: Box<AdmittedJob>,
     },
@@ -24,16 +24,16 @@
     /// The endpoint list has changed.
     EndpointsChanged {
         event: Event,
-        /// When the list was last known to be complete before that.
+        /// When the list was last known to be complete before the change.
         last_complete: Option<Timestamp>,
     },
     /// The connection to the event bus was lost.
     EndpointListUnavailable,
     /// A graceful shutdown has begun.
     ShutdownBegun {
-        /// When all jobs are to be answered.
+        /// The time by which all jobs must be answered.
         deadline: Timestamp,
     },
-    /// Clients have disconnected; the ids of their jobs are in the handle.
+    /// Clients have disconnected. The controller's handle holds the ids of their jobs.
     ClientsDisconnected,
 }
--- a/crates/server/src/decision/handle.rs
+++ b/crates/server/src/decision/handle.rs
@@ -1,11 +1,11 @@
-//! The handle on the controller's thread. Events reach the thread through one bounded channel, except that changes of
-//! the endpoint list, a graceful shutdown and disconnecting clients bypass it.
+//! The handle on the controller's thread. Events reach the thread through one bounded channel, which only changes of
+//! the endpoint list, a graceful shutdown and disconnects of clients bypass.
 
 use crate::codec::client::Reply;
 use crate::codec::event_bus::Event;
 use crate::decision::event::ControllerEvent;
 use crate::discovery::EndpointListener;
-use crate::job::{AdmittedJob, JobReporter};
+use crate::job::{AdmittedJob, DispatchListener};
 use crate::lifecycle::sync::lock;
 use crossbeam_channel::Sender;
 use pebblevane::interface::{DispatchResult, EngineId, Job, JobId, ProgressUpdate};
@@ -13,17 +13,17 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 
-/// The retry delay for clients whose jobs are rejected by one of the program's own limits.
+/// The retry delay that is sent to clients whose jobs are rejected because one of the program's own limits is reached.
 pub const LOCAL_LIMIT_RETRY_DELAY: TimeDelta = TimeDelta(1_000_000);
 
-/// The handle on the controller's thread.
+/// The handle on the controller's thread, through which other threads submit jobs and report events.
 pub struct ControllerHandle {
     events: Sender<ControllerEvent>,
     urgent_events: Sender<ControllerEvent>,
-    /// Jobs whose clients have disconnected. They bypass the bounded channel; there are no more of them than open jobs.
+    /// Jobs whose clients have disconnected. This list bypasses the bounded channel; the limit on open jobs bounds it.
     disconnected: Mutex<Vec<JobId>>,
     next_job: Mutex<u32>,
-    /// Jobs that were submitted and are not yet released.
+    /// The number of jobs that were submitted and are not released yet.
     pub open_jobs: AtomicUsize,
 }
 
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Submits a job, or rejects it if the event queue is full. Returns whether it was submitted; the controller then
-    /// has to answer it. Jobs are numbered in the order of submission. This never blocks on the controller, since the
-    /// thread that reads all clients calls it.
+    /// Submits a job, or rejects it if the event queue is full. Returns whether it was submitted; if so, the controller
+    /// has to answer it. Jobs are numbered in the order of submission. This never blocks on the controller's thread,
+    /// since it is called by the one thread that serves all clients.
     #[must_use]
     pub fn submit(&self, job: Job, arrived: Timestamp, admitted: AdmittedJob) -> bool {
         let responder = admitted.responder.clone();
@@ -62,24 +62,25 @@
         true
     }
 
-    /// The client of a job has disconnected. The job's token has been cancelled already.
+    /// Notifies the thread that the client of a job has disconnected. The job's cancellation token has been cancelled
+    /// already.
     pub fn client_disconnected(&self, id: JobId) {
         lock(&self.disconnected).push(id);
-        // If the event queue is full the thread is awake, and checks for disconnected clients before the next event.
+        // If the event queue is full, the thread is awake and handles disconnected clients before its next event.
         let _ = self.events.try_send(ControllerEvent::ClientsDisconnected);
     }
 
-    /// A graceful shutdown has begun: all jobs are to be answered by `deadline`.
+    /// Notifies the thread that a graceful shutdown has begun: all jobs must be answered by `deadline`.
     pub fn begin_shutdown(&self, deadline: Timestamp) {
         let _ = self.urgent_events.send(ControllerEvent::ShutdownBegun { deadline });
     }
 
-    /// A health check has ended.
+    /// Notifies the thread that a health check has ended.
     pub(super) fn health_check_finished(&self, engine: EngineId, result: DispatchResult) {
         self.send(ControllerEvent::HealthCheckFinished { engine, result });
     }
 
-    /// Takes the jobs whose clients have disconnected since this was last called.
+    /// Returns the jobs whose clients have disconnected since the last call.
     #[must_use]
     pub(super) fn take_disconnected(&self) -> Vec<JobId> {
         std::mem::take(&mut *lock(&self.disconnected))
@@ -91,7 +92,7 @@
     }
 }
 
-impl JobReporter for ControllerHandle {
+impl DispatchListener for ControllerHandle {
     fn dispatch_progress(&self, job: JobId, attempt: u32, update: ProgressUpdate) {
         self.send(ControllerEvent::DispatchProgress { id: job, attempt, update });
     }
--- a/crates/server/src/decision/mod.rs
+++ b/crates/server/src/decision/mod.rs
@@ -1,7 +1,8 @@
-//! The thread that owns the admission controller, and the handle by which others reach it.
+//! The thread that owns the admission controller, and the handle through which other threads send it events.
 //!
-//! The thread passes events to the controller in their order of arrival and carries out the actions that it returns
-//! before the next event. It makes no decisions itself.
+//! The thread passes one event at a time to the controller, urgent events first and the others in their order of
+//! arrival. It carries out the actions that the controller returns before it handles the next event, and makes no
+//! decisions itself.
 
 mod actions;
 mod controller_thread;
--- a/crates/server/src/decision/open_job.rs
+++ b/crates/server/src/decision/open_job.rs
@@ -10,24 +10,25 @@
 use pebblevane::interface::{FinalAnswer, JobId};
 use std::sync::Arc;
 
-/// Commands that may be queued for one job: more than the dispatches and cancellations of a job.
-const COMMAND_QUEUE_LENGTH: usize = 32;
+/// The capacity of one job's command queue: greater than the number of commands that a job receives.
+const COMMAND_QUEUE_CAPACITY: usize = 32;
 
-/// A job that is not released yet.
+/// A job that the controller has not released yet.
 pub(super) struct OpenJob {
     state: JobState,
     responder: Arc<Responder>,
     ledger: Arc<DispatchLedger>,
     answered: bool,
+    /// The number of dispatches so far.
     attempts: u32,
 }
 
 enum JobState {
-    /// Nothing has been dispatched yet, so that no thread is needed.
+    /// The job has not been dispatched yet, so it needs no thread.
     Pending(Box<AdmittedJob>),
-    /// Runs in a thread that receives commands through this channel.
+    /// A thread runs the job and receives commands through this channel.
     Running(Sender<JobCommand>),
-    /// No thread could be created for it, so it was rejected.
+    /// No thread could be created for the job, so it was rejected.
     Rejected,
 }
 
@@ -38,17 +39,18 @@
         OpenJob { state: JobState::Pending(admitted), responder, ledger, answered: false, attempts: 0 }
     }
 
-    /// Whether the job has been answered or its client has disconnected, even if the controller was not notified yet.
-    pub(super) fn is_over(&self) -> bool {
+    /// Whether the job has been answered or its client has disconnected, even if the controller has not been notified
+    /// yet.
+    pub(super) fn is_finished(&self) -> bool {
         self.responder.is_finished()
     }
 
-    /// Whether the controller's thread has recorded that no answer is due any more.
+    /// Whether this thread has recorded that the client expects no answer any more.
     pub(super) fn is_answered(&self) -> bool {
         self.answered
     }
 
-    /// Records that no answer is due any more.
+    /// Records that the client expects no answer any more.
     pub(super) fn mark_answered(&mut self) {
         self.answered = true;
     }
@@ -61,8 +63,8 @@
         attempt
     }
 
-    /// Starts a thread for the job, unless it has one; returns whether it has one now. If none can be created, the
-    /// job is rejected, which is safe since nothing of it has been sent.
+    /// Starts a thread for the job unless it has one, and returns whether it has one now. If no thread can be created,
+    /// the job is rejected, which is safe because nothing of it has been sent to an engine.
     #[must_use]
     pub(super) fn start(
         &mut self,
@@ -84,7 +86,7 @@
         workers: &WorkerPool,
         controller: Arc<ControllerHandle>,
     ) -> JobState {
-        let (commands, command_queue) = bounded(COMMAND_QUEUE_LENGTH);
+        let (commands, command_queue) = bounded(COMMAND_QUEUE_CAPACITY);
         match workers.start(JobTask::new(id, command_queue, admitted, controller)) {
             Ok(()) => JobState::Running(commands),
             Err(e) => {
@@ -113,8 +115,8 @@
         }
     }
 
-    /// Sends a command to the job's thread. The channel has capacity for all commands of a job, so this fails only if
-    /// the thread has ended, when no command is needed.
+    /// Sends a command to the job's thread. The channel has capacity for all commands of a job, so this can fail only
+    /// if the job has ended, and then the command has no effect anyway.
     pub(super) fn command(&self, command: JobCommand) {
         let JobState::Running(commands) = &self.state else { return };
         if commands.try_send(command).is_err() {
--- a/crates/server/src/decision/start.rs
+++ b/crates/server/src/decision/start.rs
@@ -10,10 +10,10 @@
 use std::io;
 use std::sync::Arc;
 
-/// Events that may be queued for the controller.
-const EVENT_QUEUE_LENGTH: usize = 1024;
-/// Changes of the endpoint list and of the lifecycle that may be queued for the controller.
-const URGENT_QUEUE_LENGTH: usize = 16;
+/// The number of events that may be queued for the controller.
+const EVENT_QUEUE_CAPACITY: usize = 1024;
+/// The number of urgent events (about the endpoint list or a shutdown) that may be queued for the controller.
+const URGENT_QUEUE_CAPACITY: usize = 16;
 const CONTROLLER_STACK_BYTES: usize = 512 * 1024;
 
 impl ControllerHandle {
@@ -28,8 +28,8 @@
         initial_events: Vec<Event>,
         registry: Arc<EngineRegistry>,
     ) -> io::Result<Arc<ControllerHandle>> {
-        let (events, event_queue) = bounded(EVENT_QUEUE_LENGTH);
-        let (urgent_events, urgent_queue) = bounded(URGENT_QUEUE_LENGTH);
+        let (events, event_queue) = bounded(EVENT_QUEUE_CAPACITY);
+        let (urgent_events, urgent_queue) = bounded(URGENT_QUEUE_CAPACITY);
         let handle = Arc::new(ControllerHandle::new(events, urgent_events));
         let (ready, started) = bounded(1);
         let thread_handle = handle.clone();
--- a/crates/server/src/engine/handle.rs
+++ b/crates/server/src/engine/handle.rs
@@ -102,9 +102,9 @@
         self.send_command(PoolCommand::FetchPage { id: self.id, page_number });
     }
 
-    /// Forbids sending from now on, whatever the dispatch's state. Returns whether it had not been claimed for sending
-    /// before.
-    pub fn forbid_sending(&self) -> bool {
+    /// Withholds the dispatch, whatever its state: it is not sent, or sent again, from now on. Returns false if it had
+    /// been claimed for sending before.
+    pub fn withhold(&self) -> bool {
         self.gate.withhold()
     }
 
@@ -135,7 +135,7 @@
 
 impl Drop for DispatchHandle {
     fn drop(&mut self) {
-        self.forbid_sending();
+        self.withhold();
         self.send_command(PoolCommand::Cancel { id: self.id, done: None });
     }
 }
--- a/crates/server/src/job/admitted_job.rs
+++ b/crates/server/src/job/admitted_job.rs
@@ -1,4 +1,4 @@
-//! An admitted job, as the client side hands it to the controller's thread.
+//! An admitted job, as the thread that serves clients passes it to the controller's thread.
 
 use crate::engine::dispatch_ledger::DispatchLedger;
 use crate::limits::Permit;
@@ -11,18 +11,18 @@
 
 /// An admitted job: the data needed to dispatch and answer it, and its permits.
 pub struct AdmittedJob {
-    /// The client's own id of the job, which is also used towards engines and in the log.
+    /// The client's id of the job, which is also sent to engines and logged.
     pub client_job_id: Box<str>,
-    /// The name of its class, as sent to engines.
+    /// The name of the job class, as sent to engines.
     pub class: Arc<str>,
-    /// The statement that an engine is to run.
+    /// The statement that an engine runs.
     pub statement: Arc<[u8]>,
     /// Answers the client, at most once.
     pub responder: Arc<Responder>,
     /// The record of the dispatches that were sent for this job.
     pub ledger: Arc<DispatchLedger>,
-    /// Covers the bytes of the statement and the result.
+    /// Reserves the bytes of the statement and the result.
     pub memory: Permit,
-    /// Counts it as an open job until it is dropped.
+    /// Counts the job as open until this permit is dropped.
     pub job_slot: Permit,
 }
--- a/crates/server/src/job/cancelled_dispatch.rs
+++ b/crates/server/src/job/cancelled_dispatch.rs
@@ -1,18 +1,19 @@
-//! The time between a cancellation and the report of the cancelled attempt.
+//! Delays the report of a cancelled attempt until its engine has read the cancellation.
 
 use crate::job::dispatch_end::FinishedDispatch;
 use crate::lifecycle::clock;
 use crossbeam_channel::{Receiver, never};
 use pebblevane::time::{TimeDelta, Timestamp};
 
-/// How long after the write an engine has read a cancellation, or the end of its connection.
-const CANCELLATION_READ_TIMEOUT: TimeDelta = TimeDelta(5_000);
-/// How long a job waits for a cancellation to be written.
+/// The time after which an engine is assumed to have read a cancellation that was written, or the end of its
+/// connection.
+const CANCELLATION_READ_DELAY: TimeDelta = TimeDelta(5_000);
+/// The maximum time that a job waits for a cancellation to be written.
 const CANCELLATION_WRITE_TIMEOUT: TimeDelta = TimeDelta(500_000);
 
-/// A finished attempt that is being cancelled at its engine, and is reported once the engine has read the cancellation.
-/// Writes to two engines are not ordered: without the wait, the next engine could receive the job before the
-/// cancellation takes effect.
+/// A finished attempt that is being cancelled at its engine. Its end is reported once the engine is assumed to have
+/// read the cancellation. Writes to different engines are not ordered: without the wait, the next engine could receive
+/// the job before the cancellation takes effect.
 pub(super) struct CancelledDispatch {
     /// Disconnects once the cancellation has been written.
     cancellation_written: Receiver<()>,
@@ -34,13 +35,13 @@
         &self.cancellation_written
     }
 
-    /// Records that the cancellation has been written: the end is reported once the engine has had time to read it.
-    pub(super) fn await_reading(&mut self) {
+    /// Records that the cancellation has been written. The end is reported once the engine has had time to read it.
+    pub(super) fn record_cancellation_written(&mut self) {
         self.cancellation_written = never();
-        self.report_at = clock::now() + CANCELLATION_READ_TIMEOUT;
+        self.report_at = clock::now() + CANCELLATION_READ_DELAY;
     }
 
-    /// When the end of the attempt is reported.
+    /// When the end of the attempt has to be reported.
     pub(super) fn report_at(&self) -> Timestamp {
         self.report_at
     }
--- a/crates/server/src/job/command.rs
+++ b/crates/server/src/job/command.rs
@@ -1,4 +1,4 @@
-//! The commands that a job receives, and the reports that it sends.
+//! The commands that a job receives, and the listener that it notifies.
 
 use crate::engine::handle::EngineHandle;
 use pebblevane::interface::{DispatchResult, JobId, ProgressUpdate};
@@ -9,33 +9,33 @@
 pub enum JobCommand {
     /// Send the job to an engine.
     Dispatch(DispatchCommand),
-    /// End this attempt, and withhold it if it has not been sent yet.
+    /// End this attempt. If it has not been sent yet, it must not be sent any more.
     Cancel {
         /// The number of the attempt within its job, from 0.
         attempt: u32,
     },
-    /// End the job: no dispatch is in flight and no answer is due.
+    /// End the job: no dispatch is in flight, and the client expects no answer.
     Release,
 }
 
 /// One attempt at a job.
 pub struct DispatchCommand {
-    /// Where to send it.
+    /// The engine to send it to.
     pub engine: Arc<EngineHandle>,
     /// The number of the attempt within its job, from 0.
     pub attempt: u32,
     /// When the attempt times out.
     pub deadline: Timestamp,
-    /// The attempt is withheld if its first byte was not sent before this time.
+    /// If the first byte has not been sent before this time, the attempt is withheld.
     pub begin_by: Timestamp,
     /// The priority that is sent to the engine, if any.
     pub priority: Option<u8>,
 }
 
-/// Receives what happens to a job's dispatches.
-pub trait JobReporter: Send + Sync {
+/// Is notified of the progress and the end of a job's dispatches.
+pub trait DispatchListener: Send + Sync {
     /// An attempt has made progress.
     fn dispatch_progress(&self, job: JobId, attempt: u32, update: ProgressUpdate);
-    /// An attempt has ended, and was cancelled at its engine if necessary.
+    /// An attempt has ended, and has been cancelled at its engine if necessary.
     fn dispatch_finished(&self, job: JobId, attempt: u32, result: DispatchResult);
 }
--- a/crates/server/src/job/dispatch_end.rs
+++ b/crates/server/src/job/dispatch_end.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::dispatch_ledger::{DispatchLedger, Execution};
 use crate::engine::handle::DispatchHandle;
-use crate::job::command::JobReporter;
+use crate::job::command::DispatchListener;
 use crate::job::in_flight_dispatch::InFlightDispatch;
 use crate::lifecycle::clock;
 use crossbeam_channel::Receiver;
@@ -24,16 +24,16 @@
     }
 
     /// The end of an attempt that was never sent, which is not the engine's fault.
-    pub(super) fn never_left() -> DispatchEnd {
+    pub(super) fn never_sent() -> DispatchEnd {
         DispatchEnd::new(DispatchStatus::Unreachable).engine_reachable(true)
     }
 
-    /// Sets whether the engine accepts connections in spite of this end.
+    /// Sets whether the engine is known to be reachable although the attempt ended this way.
     pub(super) fn engine_reachable(self, engine_reachable: bool) -> DispatchEnd {
         DispatchEnd { engine_reachable, ..self }
     }
 
-    /// Sets what the attempt cost, if the engine has reported it.
+    /// Sets what the job cost, if the engine has reported it.
     pub(super) fn actual_cost(self, actual_cost: Option<ActualCost>) -> DispatchEnd {
         DispatchEnd { actual_cost, ..self }
     }
@@ -55,7 +55,7 @@
     }
 }
 
-/// An attempt that has ended but is not reported yet.
+/// An attempt that has ended, but whose end has not been reported yet.
 #[must_use]
 pub(super) struct FinishedDispatch {
     handle: DispatchHandle,
@@ -65,7 +65,7 @@
 }
 
 impl FinishedDispatch {
-    /// Ends an attempt now.
+    /// An attempt that ends now.
     pub(super) fn new(dispatch: InFlightDispatch, end: &DispatchEnd) -> FinishedDispatch {
         let InFlightDispatch { handle, sent, attempt, .. } = dispatch;
         let result = DispatchResult {
@@ -94,9 +94,9 @@
         self.handle.cancel()
     }
 
-    /// Records the end in the job's ledger, drops the handle, which releases resources at the engine, and reports the
-    /// end.
-    pub(super) fn report(self, job: JobId, ledger: &DispatchLedger, reporter: &dyn JobReporter) {
+    /// Records the end in the job's ledger, drops the handle to release the attempt's resources at the engine, and
+    /// notifies the listener.
+    pub(super) fn report(self, job: JobId, ledger: &DispatchLedger, listener: &dyn DispatchListener) {
         let FinishedDispatch { handle, sent, attempt, result } = self;
         if handle.may_have_been_sent() {
             let never_ran = matches!(
@@ -107,6 +107,6 @@
             ledger.record_end(sent, execution);
         }
         drop(handle);
-        reporter.dispatch_finished(job, attempt, result);
+        listener.dispatch_finished(job, attempt, result);
     }
 }
--- a/crates/server/src/job/in_flight_dispatch.rs
+++ b/crates/server/src/job/in_flight_dispatch.rs
@@ -1,4 +1,4 @@
-//! An attempt that waits for the engine's answer.
+//! An attempt whose engine has not answered completely yet.
 
 use crate::engine::handle::{DispatchHandle, EngineRequest};
 use crate::job::admitted_job::AdmittedJob;
@@ -13,20 +13,21 @@
     pub(super) handle: DispatchHandle,
     /// The number of the attempt within its job.
     pub(super) attempt: u32,
-    /// When it was handed over.
+    /// When it was handed to the connections.
     pub(super) sent: Timestamp,
-    /// When it times out.
+    /// When the attempt times out.
     pub(super) deadline: Timestamp,
     /// The pages of the result received so far.
     pub(super) result: Option<ResultPages>,
-    /// Whether the engine has reported progress that only a running job makes.
+    /// Whether the engine has reported progress that shows that the job is running.
     progress_reported: bool,
-    /// The attempt is withheld if its first byte was not sent before this time. `None` once that has been checked.
+    /// If the first byte has not been sent before this time, the attempt is withheld. `None` once that has been
+    /// checked.
     begin_by: Option<Timestamp>,
 }
 
 impl InFlightDispatch {
-    /// Hands an attempt at this job over to the connections of its engine.
+    /// Hands an attempt at this job to the connections of its engine.
     #[must_use]
     pub(super) fn send(job: &AdmittedJob, command: &DispatchCommand) -> InFlightDispatch {
         let sent = clock::now();
@@ -51,29 +52,29 @@
         }
     }
 
-    /// Records whether this progress shows that the job runs at its engine.
-    pub(super) fn note_progress(&mut self, update: ProgressUpdate) {
+    /// Records whether this progress shows that the engine is running the job and not letting it wait.
+    pub(super) fn record_progress(&mut self, update: ProgressUpdate) {
         self.progress_reported |=
             matches!(update, ProgressUpdate::CompletedFraction(_) | ProgressUpdate::SpillingToDisk(_));
     }
 
-    /// Whether its engine has shown that the job runs or ran there.
+    /// Whether the engine has reported progress or a result that shows that the job has been running there.
     pub(super) fn has_run(&self) -> bool {
         self.progress_reported || self.result.is_some()
     }
 
-    /// When its `begin_by` or deadline has to be checked next.
+    /// The time of the next check: of `begin_by`, or of the deadline.
     pub(super) fn next_check(&self) -> Timestamp {
         self.begin_by.map_or(self.deadline, |begin_by| begin_by.min(self.deadline))
     }
 
-    /// Checks whether it still waits for a connection past its `begin_by`. If so, it will never be sent.
-    pub(super) fn missed_begin_by(&mut self) -> bool {
+    /// Withholds the attempt if its `begin_by` has passed while it waits for a connection. Returns whether it did.
+    pub(super) fn withhold_after_begin_by(&mut self) -> bool {
         let due = self.begin_by.take_if(|begin_by| *begin_by <= clock::now());
         due.is_some() && self.handle.withhold_if_queued()
     }
 
-    /// Whether it has timed out.
+    /// Whether the attempt has timed out.
     pub(super) fn is_overdue(&self) -> bool {
         self.deadline <= clock::now()
     }
--- a/crates/server/src/job/mod.rs
+++ b/crates/server/src/job/mod.rs
@@ -1,7 +1,6 @@
-//! The tasks that carry out jobs from their first dispatch, and the threads that run these tasks.
+//! The tasks that run jobs from their first dispatch to their release, and the threads for these tasks.
 //!
-//! A job does not depend on the admission controller. It receives [`JobCommand`]s and reports through
-//! [`JobReporter`].
+//! A job does not depend on the admission controller. It receives [`JobCommand`]s and notifies a [`DispatchListener`].
 
 mod admitted_job;
 mod cancelled_dispatch;
@@ -13,6 +12,6 @@
 mod worker_pool;
 
 pub use admitted_job::{AdmittedJob, RESERVED_RESULT_BYTES};
-pub use command::{DispatchCommand, JobCommand, JobReporter};
+pub use command::{DispatchCommand, DispatchListener, JobCommand};
 pub use task::JobTask;
 pub use worker_pool::WorkerPool;
--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -1,11 +1,11 @@
-//! A job's life in a thread of its own, from its first dispatch to its release.
+//! Runs one job in a thread of its own, from its first dispatch to its release.
 
 use crate::codec::client::Reply;
 use crate::codec::engine::EngineMessage;
 use crate::engine::handle::DispatchEvent;
 use crate::job::admitted_job::AdmittedJob;
 use crate::job::cancelled_dispatch::CancelledDispatch;
-use crate::job::command::{JobCommand, JobReporter};
+use crate::job::command::{DispatchListener, JobCommand};
 use crate::job::dispatch_end::{DispatchEnd, FinishedDispatch};
 use crate::job::in_flight_dispatch::InFlightDispatch;
 use crate::job::result_pages::ResultPages;
@@ -16,17 +16,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest wait for an event while nothing is due.
-const LONGEST_WAIT: Duration = Duration::from_hours(1);
+/// The maximum wait for an event while no check or report is scheduled.
+const MAX_IDLE_WAIT: Duration = Duration::from_hours(1);
 
-/// A job with at least one dispatch.
+/// A job that has been dispatched at least once.
 #[must_use]
 pub struct JobTask {
     in_flight: Option<InFlightDispatch>,
     id: JobId,
     commands: Receiver<JobCommand>,
     job: AdmittedJob,
-    reporter: Arc<dyn JobReporter>,
+    listener: Arc<dyn DispatchListener>,
+    /// An attempt that is being cancelled at its engine and is not reported yet.
     cancelled: Option<CancelledDispatch>,
 }
 
@@ -37,6 +38,7 @@
     Command(Option<JobCommand>),
     /// `None` once the engine's connections have dropped the dispatch.
     Engine(Option<DispatchEvent>),
+    /// A check of the attempt in flight, or the report of a cancelled one, is due.
     Due,
 }
 
@@ -46,18 +48,18 @@
         id: JobId,
         commands: Receiver<JobCommand>,
         job: AdmittedJob,
-        reporter: Arc<dyn JobReporter>,
+        listener: Arc<dyn DispatchListener>,
     ) -> JobTask {
-        JobTask { in_flight: None, id, commands, job, reporter, cancelled: None }
+        JobTask { in_flight: None, id, commands, job, listener, cancelled: None }
     }
 
-    /// Carries out commands until the job is released.
+    /// Runs the job until it is released.
     pub fn run(mut self) {
         loop {
             match self.next_event() {
                 TaskEvent::CancellationWritten => {
                     if let Some(cancelled) = &mut self.cancelled {
-                        cancelled.await_reading();
+                        cancelled.record_cancellation_written();
                     }
                 }
                 TaskEvent::Command(Some(JobCommand::Dispatch(command))) => {
@@ -78,7 +80,7 @@
             self.cancelled.as_ref().map_or(&no_cancellation, CancelledDispatch::cancellation_written);
         let next_check = self.in_flight.as_ref().map(InFlightDispatch::next_check);
         let due = next_check.or(self.cancelled.as_ref().map(CancelledDispatch::report_at));
-        let wait = due.map_or(LONGEST_WAIT, clock::duration_until);
+        let wait = due.map_or(MAX_IDLE_WAIT, clock::duration_until);
         select! {
             recv(cancellation_written) -> _ => TaskEvent::CancellationWritten,
             recv(self.commands) -> command => TaskEvent::Command(command.ok()),
@@ -87,26 +89,26 @@
         }
     }
 
-    /// Cancels an attempt, if it is the one in flight.
+    /// Cancels an attempt if it is the one in flight.
     fn cancel(&mut self, attempt: u32) {
         let Some(dispatch) = self.in_flight.take_if(|dispatch| dispatch.attempt == attempt) else { return };
-        let end = if dispatch.handle.forbid_sending() {
-            DispatchEnd::never_left()
+        let end = if dispatch.handle.withhold() {
+            DispatchEnd::never_sent()
         } else {
             DispatchEnd::new(DispatchStatus::Cancelled)
         };
         self.finish(dispatch, &end);
     }
 
-    /// Handles what has become due, one thing at a time.
+    /// Handles one check or report that is due. Any others are handled by later `Due` events.
     fn handle_due(&mut self) {
         let now = clock::now();
         if let Some(cancelled) = self.cancelled.take_if(|cancelled| cancelled.report_at() <= now) {
             self.report(cancelled.into_finished());
-        } else if let Some(dispatch) = self.in_flight.take_if(InFlightDispatch::missed_begin_by) {
-            self.finish(dispatch, &DispatchEnd::never_left());
+        } else if let Some(dispatch) = self.in_flight.take_if(InFlightDispatch::withhold_after_begin_by) {
+            self.finish(dispatch, &DispatchEnd::never_sent());
         } else if let Some(dispatch) = self.in_flight.take_if(|dispatch| dispatch.is_overdue()) {
-            let status = if dispatch.handle.forbid_sending() {
+            let status = if dispatch.handle.withhold() {
                 DispatchStatus::Unreachable
             } else {
                 DispatchStatus::TimedOut
@@ -156,12 +158,12 @@
     }
 
     fn report_progress(&self, dispatch: &mut InFlightDispatch, update: ProgressUpdate) {
-        dispatch.note_progress(update);
-        self.reporter.dispatch_progress(self.id, dispatch.attempt, update);
+        dispatch.record_progress(update);
+        self.listener.dispatch_progress(self.id, dispatch.attempt, update);
     }
 
-    /// Finishes an attempt that its engine claims not to have run. The claim is not trusted if the engine has shown
-    /// before that the job runs there: the attempt counts as failed then.
+    /// Finishes an attempt that its engine reports as not run. If earlier messages of the engine show that the job did
+    /// run, the attempt counts as failed instead.
     fn finish_unrun(
         &mut self,
         dispatch: InFlightDispatch,
@@ -172,14 +174,14 @@
         self.finish(dispatch, &DispatchEnd::new(status).load_report(report));
     }
 
-    /// Requests further pages, or answers the client once the last one was received. A result with a page missing
-    /// at the deadline, or with a malformed one, never completes a job.
+    /// Requests further pages, or answers the client if all pages have been received. A result of which a page is
+    /// malformed, or missing at the deadline, never completes a job.
     fn collect_result(&mut self, mut dispatch: InFlightDispatch) {
         let Some(result) = &mut dispatch.result else {
             self.in_flight = Some(dispatch);
             return;
         };
-        let memory_granted = self.job.memory.grow_to(self.job.statement.len() + result.held_bytes());
+        let memory_granted = self.job.memory.grow_to(self.job.statement.len() + result.received_bytes());
         if !memory_granted || result.exceeds_limits() {
             self.finish(dispatch, &DispatchEnd::new(DispatchStatus::Failed));
             return;
@@ -189,7 +191,7 @@
             self.in_flight = Some(dispatch);
             return;
         }
-        // The client is answered before the controller is notified. The responder passes on only one answer.
+        // The client is answered before the controller is notified. The responder sends only the first answer.
         if self.job.responder.respond(&Reply::Completed { rows: result.rows() }) {
             counters::JOBS_COMPLETED.increment();
         }
@@ -199,8 +201,8 @@
         self.finish(dispatch, &end);
     }
 
-    /// Ends an attempt. One that its engine may still be running is cancelled there before its end is reported. The job
-    /// handles commands in the meantime.
+    /// Ends an attempt. If its engine may still be running it, it is cancelled there before its end is reported; the
+    /// job handles commands in the meantime.
     fn finish(&mut self, dispatch: InFlightDispatch, end: &DispatchEnd) {
         let finished = FinishedDispatch::new(dispatch, end);
         tracing::debug!(job = %self.job.client_job_id, attempt = finished.attempt(), status = ?finished.status(), "dispatch finished");
@@ -212,6 +214,6 @@
     }
 
     fn report(&self, finished: FinishedDispatch) {
-        finished.report(self.id, &self.job.ledger, &*self.reporter);
+        finished.report(self.id, &self.job.ledger, &*self.listener);
     }
 }
--- a/crates/server/src/job/worker_pool.rs
+++ b/crates/server/src/job/worker_pool.rs
@@ -1,8 +1,8 @@
-//! Threads that carry out jobs. A thread whose job has finished waits for the next one for a while, since starting and
-//! ending a thread costs more processor time than the job does. The thread that has waited for the shortest time gets
-//! the next job, so that threads in excess of the load time out.
+//! The threads that run jobs. A thread whose job has finished waits for another one for a while, since starting and
+//! ending a thread costs more processor time than a job does. The next job goes to the thread that became idle last, so
+//! that threads that the current load does not need time out.
 //!
-//! These threads are not joined: each ends after it has been idle for a while, and the process may exit before.
+//! These threads are not joined: each ends after the idle timeout, and the process may exit before.
 
 use crate::job::task::JobTask;
 use crate::lifecycle::sync::lock;
@@ -13,13 +13,13 @@
 use std::thread::{self, ThreadId};
 use std::time::Duration;
 
-/// A thread without a job ends after this time.
+/// A thread that gets no job for this time ends.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The threads that carry out jobs. All clones are handles on the same pool.
+/// The threads that run jobs. All clones refer to the same pool.
 #[derive(Clone, Default)]
 pub struct WorkerPool {
-    /// Threads that wait for a job, in the order in which they began to wait.
+    /// The threads that wait for a job; the one that became idle last is at the end.
     idle: Arc<Mutex<Vec<IdleWorker>>>,
 }
 
@@ -29,10 +29,10 @@
 }
 
 impl WorkerPool {
-    /// Starts a job in a thread that waits for one, or in a new one.
+    /// Runs a job in an idle thread, or in a new one if none is idle.
     ///
     /// # Errors
-    /// The system's error if it refuses to create a thread. The job is dropped then, without a report.
+    /// The system's error if it refuses to create a thread. The job is dropped then, and its listener is not notified.
     pub fn start(&self, task: JobTask) -> io::Result<()> {
         let idle_worker = self.idle().pop();
         let task = match idle_worker {
@@ -74,7 +74,7 @@
             return None;
         }
         drop(idle);
-        // Another thread has removed it from the list to send it a job.
+        // Another thread has removed this one from the list to send it a job.
         receiver.recv().ok()
     }
 }
