--- a/crates/server/src/engine/command.rs
+++ b/crates/server/src/engine/command.rs
@@ -13,12 +13,11 @@
 pub(crate) enum RegistryMessage {
     /// A command for one pool.
     Command {
-        /// The pool that carries it out.
+        /// The pool that executes the command.
         pool: PoolId,
-        /// What it is to do.
         command: PoolCommand,
     },
-    /// There are endpoint updates to apply.
+    /// There are endpoint updates to apply. Sent only to wake the thread.
     Wakeup,
 }
 
@@ -28,9 +27,8 @@
     Send {
         /// The number of the dispatch at this engine.
         id: RequestId,
-        /// The dispatch itself.
         request: EngineRequest,
-        /// Whether it may still be sent.
+        /// Decides whether the dispatch may still be sent.
         gate: Arc<SendGate>,
         /// Receives the events of the dispatch.
         events: Sender<DispatchEvent>,
@@ -44,25 +42,20 @@
     },
     /// Fetch a further page of a dispatch's result.
     FetchPage {
-        /// The dispatch.
+        /// The number of the dispatch at this engine.
         id: RequestId,
-        /// Position of the page in the result.
+        /// The position of the page in the result, counted from 0.
         page_number: u32,
     },
     /// Cancel a dispatch.
     Cancel {
-        /// The dispatch.
+        /// The number of the dispatch at this engine.
         id: RequestId,
-        /// Dropped once the cancellation is written.
+        /// Dropped once the cancellation has been written.
         done: Option<Sender<()>>,
     },
     /// An attempt to connect has finished.
     Dialed(Result<DialedConnection, ConnectError>),
     /// A message was received on a connection, or the connection has ended.
-    ConnectionEvent {
-        /// The connection.
-        connection: ConnectionId,
-        /// The message, or why the connection has ended.
-        event: ConnectionEvent,
-    },
+    ConnectionEvent { connection: ConnectionId, event: ConnectionEvent },
 }
--- a/crates/server/src/engine/connection.rs
+++ b/crates/server/src/engine/connection.rs
@@ -10,14 +10,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A connection with this many retired ids takes no new requests.
+/// A connection with this many retired ids accepts no new requests.
 const MAX_RETIRED_IDS: usize = 64;
 
-/// A connection that an engine has accepted and that is not yet added to the socket poller.
+/// A connection that an engine has accepted, but that has not been added to the socket poller yet.
 pub(crate) struct DialedConnection {
-    /// The connection.
     pub(crate) stream: TcpStream,
-    /// Covers its descriptor.
+    /// Reserves its file descriptor.
     pub(crate) permit: Permit,
 }
 
@@ -28,24 +27,24 @@
     input: Arc<ConnectionInput>,
     /// The requests in flight, by their ids on the wire.
     pub(crate) requests: HashMap<Box<str>, RequestId>,
-    /// Ids of requests that ended without their final answer. A late answer may still arrive under them, so they are
-    /// not used again on this connection.
+    /// Ids of requests that ended without their final answer. A late answer with such an id may still arrive, so they
+    /// are not used again on this connection.
     retired_ids: HashSet<Box<str>>,
-    /// When it was made, last changed from idle to busy, or last finished a request.
+    /// When the connection was established, last changed from idle to busy, or last finished a request.
     pub(crate) last_change: Instant,
-    /// How long it had been idle before the requests now in flight; `None` on its first use.
+    /// How long the connection had been idle before it last became busy; `None` on its first use.
     pub(crate) idle_before_use: Option<Duration>,
     was_used: bool,
     /// When a message was last received on it.
     pub(crate) last_received: Instant,
-    /// When it was made, on the program's clock.
+    /// When the connection was established, on the program's clock.
     pub(crate) opened_at: Timestamp,
-    /// Covers its descriptor.
+    /// Reserves its file descriptor.
     _permit: Permit,
 }
 
 impl EngineConnection {
-    /// A connection that was made just now.
+    /// A connection that was established just now.
     pub(crate) fn new(
         stream: Arc<TcpStream>,
         input: Arc<ConnectionInput>,
@@ -66,36 +65,38 @@
         }
     }
 
-    /// Whether nothing is in flight on it.
+    /// Whether no request is in flight on the connection.
     pub(crate) fn is_idle(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Whether a new request may use this id: no late answer of an earlier request could be mistaken for its answer.
+    /// Whether a new request may use this id, because no late answer to an earlier request could be mistaken for its
+    /// answer.
     pub(crate) fn accepts_id(&self, id: &str) -> bool {
         self.retired_ids.len() < MAX_RETIRED_IDS
             && !self.retired_ids.contains(id)
             && !self.requests.contains_key(id)
     }
 
-    /// Whether its last change is recent enough for reuse: within `reuse_limit`, or `idle_timeout` if it was never
-    /// used.
+    /// Whether the last change is recent enough for reuse: within `reuse_limit`, or within `idle_timeout` if the
+    /// connection was never used.
     pub(crate) fn is_fresh(&self, reuse_limit: Duration, idle_timeout: Duration) -> bool {
         let limit = if self.was_used { reuse_limit } else { idle_timeout };
         self.last_change.elapsed() < limit
     }
 
-    /// Whether there is input that no request explains: an incomplete message, unread bytes, or the end of the stream.
+    /// Whether there is input that is not expected while the connection is idle: an incomplete message, unread bytes,
+    /// or the end of the stream.
     pub(crate) fn has_unexpected_input(&self) -> bool {
         !self.input.is_quiet()
     }
 
-    /// The time without a message from the engine, counted from the last change of the connection at the earliest.
+    /// The time since the last message from the engine, or since the last change of the connection if that was later.
     pub(crate) fn silent_for(&self) -> Duration {
         self.last_received.max(self.last_change).elapsed()
     }
 
-    /// Records that a request is about to be written to it.
+    /// Records that a request is about to be written to the connection.
     pub(crate) fn begin_request(&mut self, wire_id: Box<str>, id: RequestId) {
         if self.is_idle() {
             self.idle_before_use = self.was_used.then(|| self.last_change.elapsed());
@@ -105,13 +106,13 @@
         self.requests.insert(wire_id, id);
     }
 
-    /// Records that a request on it has ended.
+    /// Records that a request on the connection has ended.
     pub(crate) fn end_request(&mut self, wire_id: &str) {
         self.requests.remove(wire_id);
         self.last_change = Instant::now();
     }
 
-    /// Keeps new requests with this id off the connection.
+    /// Prevents new requests with this id from using the connection.
     pub(crate) fn retire_id(&mut self, wire_id: Box<str>) {
         self.retired_ids.insert(wire_id);
     }
@@ -131,9 +132,9 @@
         (&*self.stream).write_all(bytes)
     }
 
-    /// Ends both directions.
+    /// Shuts down both directions of the stream.
     pub(crate) fn shut_down(&self) {
-        // This fails if the connection has ended already, and has no effect then.
+        // Fails if the connection has already ended, and then nothing is left to do.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
--- a/crates/server/src/engine/connection_input.rs
+++ b/crates/server/src/engine/connection_input.rs
@@ -1,8 +1,8 @@
-//! The receiving side of a connection to an engine, which two threads look at: the socket poller reads it, and the pool
-//! asks before it reuses the connection.
+//! The receiving side of a connection to an engine. Two threads use it: the socket poller reads it, and the pool checks
+//! it for pending input before it reuses the connection.
 //!
-//! What was read and what became of it change together, under one lock: a byte is either still in the socket, or part of
-//! an incomplete message here, or in a message that the reader has to pass on.
+//! Bytes are read and parsed under one lock. Whenever the lock is free, each byte is either still in the socket, or in
+//! the buffer of an incomplete message, or in a message that the reader is about to pass on.
 
 use crate::codec::engine::{EngineMessage, parse_message};
 use crate::engine::connection_error::ConnectionLostReason;
@@ -13,22 +13,21 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Memory that a connection without an incomplete message keeps for the next one.
+/// The maximum buffer capacity that a connection retains while it has no incomplete message.
 const RETAINED_BUFFER_BYTES: usize = 4096;
 
 /// A message that was read.
 pub(crate) struct ReceivedMessage {
-    /// The id on the wire of the request that it answers.
+    /// The id, as sent on the wire, of the request that it answers.
     pub(crate) wire_id: String,
-    /// The message itself.
     pub(crate) message: EngineMessage,
     /// When it was read.
     pub(crate) read_at: Instant,
 }
 
-/// What one read has returned.
+/// The result of one read.
 pub(crate) struct ReadResult {
-    /// The messages that are now complete.
+    /// The messages that this read has completed.
     pub(crate) messages: Vec<ReceivedMessage>,
     /// Whether there may be more to read, or why the connection has ended.
     pub(crate) progress: Result<ReadProgress, ConnectionLostReason>,
@@ -58,18 +57,18 @@
 }
 
 impl ConnectionInput {
-    /// The receiving side of a non-blocking connection of which nothing has been read.
+    /// The receiving side of a non-blocking connection from which nothing has been read yet.
     pub(crate) fn new(stream: Arc<TcpStream>) -> ConnectionInput {
         let state = InputState { buffer: Vec::new(), last_read: Instant::now(), has_ended: false };
         ConnectionInput { stream, state: Mutex::new(state) }
     }
 
-    /// The descriptor, to be polled.
+    /// The file descriptor to poll.
     pub(crate) fn descriptor(&self) -> RawFd {
         self.stream.as_raw_fd()
     }
 
-    /// Reads once. The caller passes the messages on, after the lock has been released.
+    /// Reads once. The lock is released before the caller passes the messages on.
     pub(crate) fn read(&self, read_buffer: &mut [u8]) -> ReadResult {
         let mut state = lock(&self.state);
         let mut messages = Vec::new();
@@ -78,8 +77,8 @@
         ReadResult { messages, progress }
     }
 
-    /// Whether nothing has been received since the last complete message, and the connection has not ended. A read that
-    /// is in progress is waited for.
+    /// Whether nothing has been received since the last complete message, and the connection has not ended. Waits for a
+    /// read that is in progress.
     pub(crate) fn is_quiet(&self) -> bool {
         let state = lock(&self.state);
         !state.has_ended && state.buffer.is_empty() && self.has_nothing_unread()
--- a/crates/server/src/engine/dialer.rs
+++ b/crates/server/src/engine/dialer.rs
@@ -1,4 +1,4 @@
-//! Making connections. Each has a thread of its own, since connecting waits for the engine.
+//! Connects to engines. Each attempt has a thread of its own, since it blocks until the engine accepts.
 
 use crate::engine::command::{PoolCommand, RegistryMessage};
 use crate::engine::connection::DialedConnection;
@@ -13,27 +13,26 @@
 
 /// The engine to connect to.
 pub(crate) struct DialTarget<'a> {
-    /// The pool that receives the result.
+    /// The pool that the result is sent to.
     pub(crate) pool: PoolId,
-    /// The engine's name, which becomes part of the thread's name.
+    /// The engine's name, which is part of the thread's name.
     pub(crate) name: &'a str,
-    /// Where the engine listens.
+    /// The address that the engine listens on.
     pub(crate) address: SocketAddr,
 }
 
 /// Starts a thread for each new connection, and sends the result to the pool.
 pub(crate) struct Dialer {
-    /// Starts a thread.
     pub(crate) spawn_thread: SpawnThread,
-    /// How long to wait for an engine to accept.
+    /// The maximum time to wait for an engine to accept.
     pub(crate) timeout: Duration,
-    /// Receives the results.
+    /// Where results are sent.
     pub(crate) messages: Sender<RegistryMessage>,
 }
 
 impl Dialer {
-    /// Starts to connect; the pool gets a [`PoolCommand::Dialed`] within the timeout. The thread is not joined: it
-    /// ends after sending that command.
+    /// Starts to connect. The pool receives a [`PoolCommand::Dialed`] with the result within the timeout. The thread is
+    /// not joined: it ends after sending that command.
     ///
     /// # Errors
     /// The system's error if it refuses the thread. The permit is released then.
@@ -44,7 +43,7 @@
             let stream = TcpStream::connect_timeout(&address, timeout);
             let dialed = stream.map(|stream| DialedConnection { stream, permit }).map_err(ConnectError::Dial);
             let command = PoolCommand::Dialed(dialed);
-            // The receiver lives as long as the program.
+            // The `engines` thread ends only with the program.
             let _ = messages.send(RegistryMessage::Command { pool, command });
         };
         (self.spawn_thread)(&format!("dial {}", target.name), STACK_BYTES, Box::new(connect))
--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -1,5 +1,6 @@
-//! A job's record of the dispatches that were sent for it. It is kept by the connections to engines and checked before
-//! the first byte of each dispatch, independently of the admission controller, whose faults it thereby detects.
+//! A job's record of the dispatches that were sent for it. The engine's pool checks it before the first byte of each
+//! dispatch. Since it does not depend on the admission controller, it detects violations of the invariants that are due
+//! to the controller's faults.
 
 use crate::config::retry_semantics::{IdempotencyScope, RetrySemantics};
 use crate::lifecycle::sync::lock;
@@ -7,19 +8,19 @@
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::Mutex;
 
-/// How much later than the client's timeout a dispatch's deadline may be.
+/// The maximum time by which a dispatch's deadline may exceed the end of the client's timeout.
 const DEADLINE_SLACK: TimeDelta = TimeDelta(150_000);
 
-/// Whether an engine may have run a dispatch that was sent to it.
+/// Whether an engine may have run a dispatch that was sent to it and has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// Its end proves that it never ran.
+    /// The way it ended proves that it never ran.
     NeverRan,
     /// It may have run, at least in part.
     MayHaveRun,
 }
 
-/// The record of one job.
+/// One job's record of the dispatches that were sent for it.
 pub struct DispatchLedger {
     id: Box<str>,
     semantics: RetrySemantics,
@@ -30,10 +31,10 @@
 
 #[derive(Default)]
 struct Entries {
-    /// Dispatches that were sent and have not ended.
+    /// The number of dispatches that were sent and have not ended.
     in_flight: u32,
-    /// When the first dispatch was sent that may have run.
-    first_run: Option<Timestamp>,
+    /// When the first of the dispatches that may have run was sent.
+    first_possible_run: Option<Timestamp>,
 }
 
 impl DispatchLedger {
@@ -42,18 +43,18 @@
         DispatchLedger { id: id.into(), semantics, deadline, entries: Mutex::default() }
     }
 
-    /// Records a dispatch that is about to be sent with this deadline. Returns whether it may be: one that would
-    /// violate an invariant is counted as a violation instead.
+    /// Records a dispatch that is about to be sent with this deadline, and returns whether it may be sent. A dispatch
+    /// that would violate an invariant is counted as a violation and not recorded.
     #[must_use]
     pub fn try_record_send(&self, now: Timestamp, deadline: Timestamp) -> bool {
         let mut entries = lock(&self.entries);
-        let first_run = entries.first_run;
+        let first_possible_run = entries.first_possible_run;
         let violation = match self.semantics {
             _ if entries.in_flight > 0 => Some(Invariant::SingleDispatchInFlight),
             _ if deadline > self.deadline + DEADLINE_SLACK => Some(Invariant::DeadlineWithinClientTimeout),
-            RetrySemantics::RunOnce if first_run.is_some() => Some(Invariant::RunOnceNotRetried),
+            RetrySemantics::RunOnce if first_possible_run.is_some() => Some(Invariant::RunOnceNotRetried),
             RetrySemantics::IdempotencyKey { window, .. }
-                if first_run.is_some_and(|first| now >= first + window) =>
+                if first_possible_run.is_some_and(|first| now >= first + window) =>
             {
                 Some(Invariant::KeyedRetryWithinWindow)
             }
@@ -66,7 +67,7 @@
         violation.is_none()
     }
 
-    /// Removes a recorded dispatch of which no byte was sent.
+    /// Removes a dispatch from the record because no byte of it was sent.
     pub fn record_unsent(&self) {
         let mut entries = lock(&self.entries);
         entries.in_flight = entries.in_flight.saturating_sub(1);
@@ -77,21 +78,21 @@
         let mut entries = lock(&self.entries);
         entries.in_flight = entries.in_flight.saturating_sub(1);
         if execution == Execution::MayHaveRun {
-            entries.first_run.get_or_insert(sent);
+            entries.first_possible_run.get_or_insert(sent);
         }
     }
 
-    /// Checks that the job may be answered as rejected, since clients retry rejected jobs. A violation is counted, but
-    /// the answer is sent all the same.
+    /// Checks that the job may be rejected: clients retry rejected jobs, so another run must be harmless if the job may
+    /// have run. A violation is counted, but the rejection is sent anyway.
     pub fn check_rejection(&self) {
         let entries = lock(&self.entries);
-        let may_have_run = entries.in_flight > 0 || entries.first_run.is_some();
-        let harmless = match self.semantics {
+        let may_have_run = entries.in_flight > 0 || entries.first_possible_run.is_some();
+        let retry_is_harmless = match self.semantics {
             RetrySemantics::Restartable => true,
             RetrySemantics::IdempotencyKey { scope, .. } => scope == IdempotencyScope::Pool,
             RetrySemantics::RunOnce => false,
         };
-        if may_have_run && !harmless {
+        if may_have_run && !retry_is_harmless {
             invariants::violated(Invariant::RejectedOnlyIfHarmless, &self.id);
         }
     }
--- a/crates/server/src/engine/endpoint_updates.rs
+++ b/crates/server/src/engine/endpoint_updates.rs
@@ -12,27 +12,27 @@
 pub(crate) struct AddedEndpoint {
     /// The engine's name, for the log.
     pub(crate) name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub(crate) address: SocketAddr,
-    /// Whether dispatches may be sent there; shared with the engine's handle.
+    /// Whether dispatches may be sent to it; shared with the engine's handle.
     pub(crate) accepts_dispatches: Arc<AtomicBool>,
 }
 
 /// The changes of one engine since its pool last applied them.
 #[derive(Default)]
 pub(crate) struct EndpointUpdate {
-    /// The engine is new.
+    /// The engine was added to the endpoint list.
     pub(crate) added: Option<AddedEndpoint>,
-    /// The engine has restarted at this time: connections that were made before are closed.
+    /// The engine has restarted at this time: connections that were established before are closed.
     pub(crate) restarted_at: Option<Timestamp>,
-    /// No dispatches may be sent any more.
+    /// No further dispatches may be sent.
     pub(crate) draining: bool,
-    /// The engine is not on the list any more.
+    /// The engine was removed from the endpoint list.
     pub(crate) removed: bool,
 }
 
-/// The pending updates of all engines. There is one entry for each engine, so that recording an update needs no bounded
-/// queue: no update is lost, and recording one waits for no other thread's work.
+/// The pending updates of all engines. Updates of one engine are merged into one entry, so that no bounded queue is
+/// needed: no update is lost, and recording one never waits until another thread has processed earlier ones.
 #[derive(Default)]
 pub(crate) struct EndpointUpdates {
     pending: Mutex<BTreeMap<PoolId, EndpointUpdate>>,
@@ -47,13 +47,14 @@
         self.changed.store(true, SeqCst);
     }
 
-    /// Whether a change was recorded since the last call.
+    /// Whether a change was recorded since the last call of this function.
     pub(crate) fn take_changed(&self) -> bool {
         self.changed.swap(false, SeqCst)
     }
 
-    /// Takes the updates that are still to be applied. The lock is released before the first is applied: that may call
-    /// back with the result of a health check, which may wait for a thread that records an update.
+    /// Takes the pending updates. The lock is released before the caller applies them. Applying one may call back with
+    /// the result of a health check, and the callback may block until the controller's thread makes progress, while
+    /// that thread waits for this lock to record an update: with the lock held, that would be a deadlock.
     pub(crate) fn take(&self) -> BTreeMap<PoolId, EndpointUpdate> {
         std::mem::take(&mut *lock(&self.pending))
     }
--- a/crates/server/src/engine/handle.rs
+++ b/crates/server/src/engine/handle.rs
@@ -1,5 +1,5 @@
-//! Handles on engines and dispatches, by which other threads send to an engine, cancel, and receive the events of a
-//! dispatch. The engine's pool carries this out in the `engines` thread.
+//! Handles on engines and dispatches, through which other threads send dispatches and health checks to an engine,
+//! cancel dispatches, and receive their events. The engine's pool executes the commands in the `engines` thread.
 
 pub use crate::engine::request::{DispatchEvent, EngineRequest, HealthCheckCallback, HealthCheckResult};
 
@@ -14,9 +14,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 
-/// Events that may be queued for one job. A bounded channel occupies memory for its full capacity after some use, so
-/// this is no larger than a burst requires.
-const EVENTS_CAPACITY: usize = 32;
+/// The number of events that may be queued for one dispatch. After some use, a bounded channel occupies memory for its
+/// full capacity, so this is no larger than a burst requires.
+const EVENT_QUEUE_CAPACITY: usize = 32;
 
 /// The handle on one engine.
 pub struct EngineHandle {
@@ -27,7 +27,8 @@
     next_request: AtomicU64,
 }
 
-/// A job's handle on its dispatch. Dropping it cancels the dispatch, or releases the result that the engine retains.
+/// A job's handle on its dispatch. Dropping it cancels the dispatch, or releases the result that the engine still
+/// stores.
 #[must_use = "dropping the handle cancels the dispatch"]
 pub struct DispatchHandle {
     id: RequestId,
@@ -38,7 +39,7 @@
 }
 
 impl EngineHandle {
-    /// Adds an engine at this address, which accepts dispatches from now on. `name` is for the log.
+    /// Adds an engine at this address, to which dispatches may be sent from now on. `name` is for the log.
     pub fn new(registry: &Arc<EngineRegistry>, name: &str, address: SocketAddr) -> Arc<EngineHandle> {
         let pool = registry.next_pool_id();
         let accepts_dispatches = Arc::new(AtomicBool::new(true));
@@ -53,31 +54,31 @@
         })
     }
 
-    /// Sets whether dispatches may be sent. If not, those that wait for a connection fail at once.
+    /// Sets whether dispatches may be sent. If not, those that wait for a connection fail immediately.
     pub fn set_accepts_dispatches(&self, accepts: bool) {
         if self.accepts_dispatches.swap(accepts, SeqCst) && !accepts {
             self.registry.update_endpoint(self.pool, |update| update.draining = true);
         }
     }
 
-    /// Queues a dispatch, which is sent as soon as there is a connection. Blocks while the command queue is full.
+    /// Queues a dispatch, which is sent as soon as a connection is available. Blocks while the command queue is full.
     pub fn send(self: &Arc<Self>, request: EngineRequest) -> DispatchHandle {
-        let (event_sender, events) = bounded(EVENTS_CAPACITY);
+        let (event_sender, events) = bounded(EVENT_QUEUE_CAPACITY);
         let (id, gate) = (self.next_request_id(), Arc::new(SendGate::default()));
         let command = PoolCommand::Send { id, request, gate: gate.clone(), events: event_sender };
         self.registry.send_command(self.pool, command);
         DispatchHandle { id, engine: self.clone(), gate, events }
     }
 
-    /// Queues a health check; the callback receives its result. Returns false, and never calls back, if the command
-    /// queue is full.
+    /// Queues a health check, whose result is passed to the callback. Returns false, and never calls back, if the
+    /// command queue is full.
     #[must_use]
     pub fn check_health(&self, callback: HealthCheckCallback) -> bool {
         let id = self.next_request_id();
         self.registry.try_send_command(self.pool, PoolCommand::CheckHealth { id, callback })
     }
 
-    /// Closes the connections that were made before the engine restarted at this time.
+    /// Closes the connections that were established before the engine restarted at this time.
     pub fn engine_restarted(&self, at: Timestamp) {
         self.registry.update_endpoint(self.pool, |update| update.restarted_at = Some(at));
     }
@@ -97,7 +98,7 @@
 }
 
 impl DispatchHandle {
-    /// Asks for a further page of the result, which comes as an event.
+    /// Requests a further page of the result, which is received as an event.
     pub fn fetch_page(&self, page_number: u32) {
         self.send_command(PoolCommand::FetchPage { id: self.id, page_number });
     }
@@ -108,7 +109,7 @@
         self.gate.withhold()
     }
 
-    /// Withholds the dispatch if it is still waiting for a connection. Returns whether it was.
+    /// Withholds the dispatch if it still waits for a connection. Returns whether it did wait.
     #[must_use]
     pub fn withhold_if_queued(&self) -> bool {
         self.gate.withhold_if_queued()
@@ -119,8 +120,8 @@
         self.gate.may_have_been_sent()
     }
 
-    /// Cancels the dispatch. The receiver is disconnected once the cancellation has been written: the job's next
-    /// dispatch must not overtake it.
+    /// Cancels the dispatch. The receiver is disconnected once the cancellation has been written. The job's next
+    /// dispatch has to wait for that, so that it is not sent before the cancellation.
     #[must_use = "the job's next dispatch has to wait for it"]
     pub fn cancel(&self) -> Receiver<()> {
         let (done, cancelled) = bounded(0);
--- a/crates/server/src/engine/mod.rs
+++ b/crates/server/src/engine/mod.rs
@@ -1,8 +1,8 @@
-//! Engines: the pool of connections to each, and the threads that serve them.
+//! The pools of connections to engines, and the threads that serve them.
 //!
 //! [`handle`] is what the rest of the program uses. A handle sends commands to the `engines` thread, which owns all
 //! pools (`registry_loop`, `pool`) and writes to their connections. A second thread reads all connections
-//! (`socket_poller`); each connection that is being made has a short-lived thread (`dialer`).
+//! (`socket_poller`), and each attempt to connect has a short-lived thread (`dialer`).
 
 mod command;
 mod connection;
--- a/crates/server/src/engine/pool/connecting.rs
+++ b/crates/server/src/engine/pool/connecting.rs
@@ -1,4 +1,4 @@
-//! Making connections to the engine.
+//! Establishes connections to the engine.
 
 use super::{EnginePool, PoolContext};
 use crate::engine::command::{PoolCommand, RegistryMessage};
@@ -13,7 +13,8 @@
 use std::sync::Arc;
 
 impl EnginePool {
-    /// Starts to make a connection for each waiting request, within the limits.
+    /// Starts an attempt to connect for each waiting request, within the limits. If none is in progress then, requests
+    /// share the existing connections.
     pub(super) fn dial_for_waiting(&mut self, context: &PoolContext) {
         let allowed = context.settings.max_connections.saturating_sub(self.connections.len());
         while self.dials_in_progress < self.waiting.len().min(allowed) && self.start_dial(context) {}
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Starts to make one more connection. Returns false if no descriptor or thread is available.
+    /// Starts one attempt to connect. Returns false if no descriptor or thread is available.
     pub(super) fn start_dial(&mut self, context: &PoolContext) -> bool {
         let Some(permit) = context.descriptors.acquire(1) else { return false };
         let target = DialTarget { pool: self.id, name: &self.name, address: self.address };
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Handles the end of an attempt to connect.
+    /// Handles the result of an attempt to connect.
     pub(super) fn dialed(&mut self, dialed: Result<DialedConnection, ConnectError>, context: &PoolContext) {
         self.dials_in_progress -= 1;
         let engine_reachable = dialed.is_ok();
@@ -86,7 +87,7 @@
         let (pool, messages) = (self.id, context.messages.clone());
         let on_event = Box::new(move |event| {
             let command = PoolCommand::ConnectionEvent { connection, event };
-            // The receiver lives as long as the program.
+            // The `engines` thread ends only with the program.
             let _ = messages.send(RegistryMessage::Command { pool, command });
         });
         PolledConnection { input, stall_timeout: context.settings.dial_timeout, on_event }
--- a/crates/server/src/engine/pool/connection_choice.rs
+++ b/crates/server/src/engine/pool/connection_choice.rs
@@ -1,10 +1,10 @@
-//! Which connection a waiting request gets.
+//! Chooses connections for waiting requests.
 
 use super::{EnginePool, PoolContext};
 use crate::engine::connection::EngineConnection;
 use crate::engine::ids::ConnectionId;
 
-/// Whether a request may use a connection on which another one is in flight.
+/// Whether a request may use a connection on which other requests are in flight.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Sharing {
     Allowed,
@@ -12,7 +12,8 @@
 }
 
 impl EnginePool {
-    /// Sends waiting requests in their order, as long as connections are available, and starts to make more if needed.
+    /// Sends waiting requests in their order while connections are available for them, and starts to connect for the
+    /// rest.
     pub(crate) fn assign_waiting(&mut self, context: &PoolContext) {
         if self.waiting.is_empty() {
             return;
@@ -30,13 +31,13 @@
         self.dial_for_waiting(context);
     }
 
-    /// Connections are shared once the engine's quota of them is used up.
+    /// Requests may share connections if the engine has the maximum number of connections.
     fn sharing(&self, context: &PoolContext) -> Sharing {
         let is_full = self.connections.len() + self.dials_in_progress >= context.settings.max_connections;
         if is_full { Sharing::Allowed } else { Sharing::Forbidden }
     }
 
-    /// Sends waiting requests on connections in use, since no further one can be made.
+    /// Sends waiting requests on connections that are already in use, since no new one can be established.
     pub(super) fn share_connections(&mut self, context: &PoolContext) {
         while let Some(&id) = self.waiting.front() {
             let Some(request) = self.in_flight.get(&id) else { return };
@@ -47,8 +48,9 @@
         }
     }
 
-    /// The connection with the fewest requests in flight, and of several the one on which a message was received most
-    /// recently. Those on which a late answer could be mistaken for the answer to this id are left out.
+    /// Returns the connection with the fewest requests in flight, and among equals the one on which a message was
+    /// received most recently. Connections on which a late answer could be mistaken for the answer to this request are
+    /// left out.
     pub(super) fn choose_connection(
         &self,
         wire_id: &str,
--- a/crates/server/src/engine/pool/in_flight.rs
+++ b/crates/server/src/engine/pool/in_flight.rs
@@ -1,4 +1,4 @@
-//! One dispatch or health check that is in flight, or waits for a connection.
+//! A dispatch or health check that is in flight, or waits for a connection.
 
 use crate::engine::ids::ConnectionId;
 use crate::engine::request::{DispatchEvent, EngineRequest, HealthCheckCallback};
@@ -7,31 +7,31 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A request waits this fraction of the dial timeout for a connection of its own, then shares one.
+/// A request waits for a connection of its own for the dial timeout divided by this, and then shares one.
 const EXCLUSIVE_WAIT_DIVISOR: u32 = 8;
-/// A request fails after this many connections ended before a byte of it was sent.
+/// A request fails after this many connections have ended before a byte of it was sent.
 const MAX_FAILED_CONNECTIONS: u32 = 4;
 
-/// A dispatch or health check of this engine.
+/// A dispatch or health check at this engine.
 pub(super) struct InFlightRequest {
     pub(super) kind: RequestKind,
-    /// Its id on the wire.
+    /// The request's id on the wire.
     pub(super) wire_id: Box<str>,
-    /// The connection that it was written to; `None` while it waits for one.
+    /// The connection that the request was written to; `None` while it waits for one.
     pub(super) connection: Option<ConnectionId>,
-    /// The first page of the result was received; only further pages are due.
+    /// The first page of the result was received; only further pages are still expected.
     pub(super) has_first_page: bool,
-    /// It has waited long enough to share a connection.
+    /// The request has waited long enough to share a connection.
     pub(super) may_share: bool,
-    /// Connections that ended before a byte of it was sent.
+    /// The number of connections that ended before a byte of the request was sent.
     failed_connections: u32,
-    /// When it was last written to a connection, or began to wait.
+    /// When the request was last written to a connection, or began to wait for its first one.
     pub(super) sent_at: Instant,
-    /// When it times out in the pool, if it does: see [`InFlightRequest::deadline`].
+    /// When the request times out, if the pool enforces its timeout: see [`InFlightRequest::deadline`].
     pub(super) due: Instant,
 }
 
-/// The kind of a request, and where its result goes.
+/// The kind of a request, and where its result is sent.
 pub(super) enum RequestKind {
     Dispatch {
         request: EngineRequest,
@@ -58,26 +58,27 @@
         }
     }
 
-    /// When it times out in the pool: while it waits for a connection, or if it is a health check. The timeout of a
-    /// dispatch that was sent is enforced by its job.
+    /// The timeout that the pool enforces: of a request that waits for a connection, and of a health check. The timeout
+    /// of a dispatch that was sent is enforced by its job.
     pub(super) fn deadline(&self) -> Option<Instant> {
         let is_health_check = matches!(self.kind, RequestKind::HealthCheck(_));
         (self.connection.is_none() || is_health_check).then_some(self.due)
     }
 
-    /// Whether it has timed out in the pool.
+    /// Whether the timeout that the pool enforces has passed.
     pub(super) fn has_timed_out(&self, now: Instant) -> bool {
         self.deadline().is_some_and(|deadline| deadline <= now)
     }
 
-    /// Records that it is about to be written to this connection.
+    /// Records that the request is about to be written to this connection.
     pub(super) fn begin_on(&mut self, connection: ConnectionId, dial_timeout: Duration) {
         self.sent_at = Instant::now();
         self.connection = Some(connection);
         self.due = self.sent_at + dial_timeout;
     }
 
-    /// Records that its connection ended before a byte of it was sent. Returns whether it may be sent on another one.
+    /// Records that the connection ended before a byte of the request was sent. Returns whether it may be sent on
+    /// another connection.
     pub(super) fn record_failed_connection(&mut self) -> bool {
         self.connection = None;
         self.failed_connections += 1;
--- a/crates/server/src/engine/pool/mod.rs
+++ b/crates/server/src/engine/pool/mod.rs
@@ -1,14 +1,14 @@
-//! The pool of connections to one engine: the requests in flight on each, those waiting for one, and the connections
-//! being made.
+//! The pool of connections to one engine: the requests in flight on each connection, those that wait for a connection,
+//! and the attempts to connect.
 //!
-//! No function of a pool blocks. A dispatch has a connection to itself as long as the descriptors allow it, since the
-//! loss of a connection ends every request in flight on it. This module routes commands; each concern has its own:
+//! No function of a pool blocks. Each dispatch has a connection to itself while enough descriptors are available, since
+//! the loss of a connection ends every request in flight on it. This module routes commands to its submodules:
 //!
-//! - `connection_choice`: which connection a waiting request gets;
-//! - `connecting`: making connections;
-//! - `sending`: the last check before the first byte, and writing;
-//! - `results`: messages, cancelled requests and lost connections;
-//! - `timeouts`: requests that wait too long, idle and silent connections.
+//! - `connection_choice` chooses connections for waiting requests;
+//! - `connecting` establishes connections;
+//! - `sending` checks requests before their first byte and writes them;
+//! - `results` handles messages, cancelled requests and lost connections;
+//! - `timeouts` handles requests that wait too long, and idle and silent connections.
 
 mod connecting;
 mod connection_choice;
@@ -42,19 +42,18 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::Instant;
 
-/// What all pools share.
+/// The settings and resources that all pools share.
 pub(crate) struct PoolContext {
-    /// The settings of connections.
     pub(crate) settings: ConnectionSettings,
-    /// The connections that all pools together may have.
+    /// Limits the total number of connections of all pools.
     pub(crate) descriptors: Arc<ResourceBudget>,
     /// Reads all connections.
     pub(crate) poller: Arc<SocketPoller>,
     /// Reads the program's clock.
     pub(crate) now: fn() -> Timestamp,
-    /// Makes connections.
+    /// Establishes connections.
     pub(crate) dialer: Dialer,
-    /// Receives the events of connections.
+    /// Where the events of connections are sent.
     pub(crate) messages: Sender<RegistryMessage>,
 }
 
@@ -67,13 +66,13 @@
     accepts_dispatches: Arc<AtomicBool>,
     /// Requests that are in flight or wait for a connection.
     in_flight: HashMap<RequestId, InFlightRequest>,
-    /// Requests that wait for a connection, in the order in which they get one.
+    /// Requests that wait for a connection, in the order in which they are served.
     waiting: VecDeque<RequestId>,
     connections: BTreeMap<ConnectionId, EngineConnection>,
     last_connection: ConnectionId,
     dials_in_progress: usize,
-    /// Dispatches that ended with their connection. They are reported once it is known whether the engine accepts a
-    /// new connection.
+    /// Dispatches whose connections were lost. They are reported once it is known whether the engine accepts a new
+    /// connection.
     lost_dispatches: Vec<Sender<DispatchEvent>>,
     /// The engine is no longer on the endpoint list.
     removed: bool,
@@ -106,12 +105,12 @@
         !self.connections.is_empty()
     }
 
-    /// Whether the pool can be removed: its engine is, and no request or report is outstanding.
+    /// Whether the pool can be removed: its engine was removed, and no request or report is outstanding.
     pub(crate) fn is_finished(&self) -> bool {
         self.removed && self.in_flight.is_empty() && self.lost_dispatches.is_empty()
     }
 
-    /// Whether a request waits for a connection that can't be made because no descriptor is left.
+    /// Whether a request waits for a connection that can't be established because no descriptor is available.
     pub(crate) fn lacks_descriptor(&self, context: &PoolContext) -> bool {
         !self.waiting.is_empty()
             && self.dials_in_progress == 0
@@ -119,7 +118,7 @@
             && context.descriptors.acquire(1).is_none()
     }
 
-    /// Since when the longest idle connection has been idle; `None` if no connection is.
+    /// Since when the connection that has been idle longest is idle; `None` if no connection is idle.
     pub(crate) fn longest_idle_since(&self) -> Option<Instant> {
         self.longest_idle().map(|(since, _)| since)
     }
@@ -163,7 +162,7 @@
         }
     }
 
-    /// Carries out a command, then assigns the connections that it freed to waiting requests.
+    /// Executes a command, and then assigns the connections that it made available to waiting requests.
     pub(crate) fn handle_command(&mut self, command: PoolCommand, context: &PoolContext) {
         match command {
             PoolCommand::Send { id, request, gate, events } => {
@@ -194,8 +193,8 @@
         }
     }
 
-    /// Queues a request. A dispatch that was handed over after its engine began to drain fails at once: no later event
-    /// would end its wait for a connection.
+    /// Queues a request. A dispatch that is received after its engine began to drain fails immediately, since no later
+    /// event would end its wait for a connection.
     fn enqueue(&mut self, id: RequestId, wire_id: Box<str>, kind: RequestKind, context: &PoolContext) {
         let is_withheld = self.withhold_if_draining(&kind);
         let request = InFlightRequest::waiting(wire_id, kind, context.settings.dial_timeout);
@@ -208,7 +207,7 @@
         }
     }
 
-    /// Withholds a dispatch if its engine accepts none any more. Returns whether it did.
+    /// Withholds a dispatch if its engine does not accept dispatches any more. Returns whether it was withheld.
     fn withhold_if_draining(&self, kind: &RequestKind) -> bool {
         let RequestKind::Dispatch { request, gate, .. } = kind else { return false };
         let is_draining = !self.accepts_dispatches.load(SeqCst);
--- a/crates/server/src/engine/pool/results.rs
+++ b/crates/server/src/engine/pool/results.rs
@@ -1,4 +1,4 @@
-//! How requests end: by a message of the engine, by cancellation, or with their connection.
+//! Ends requests: by a message of the engine, by cancellation, or by the loss of their connection.
 
 use super::in_flight::{InFlightRequest, RequestKind};
 use super::{EnginePool, PoolContext};
@@ -13,15 +13,15 @@
 use pebblevane::time::TimeDelta;
 use std::time::{Duration, Instant};
 
-/// A connection that ends within this time of becoming busy, without any message, is considered to have been stale
-/// before. Most answers take longer.
-const STALE_WITHIN: Duration = Duration::from_millis(20);
+/// If a connection ends within this time after it became busy, without any message, it is assumed to have been stale
+/// before that. Most answers take longer.
+const STALE_DETECTION_WINDOW: Duration = Duration::from_millis(20);
 
 /// Whether the id of a request that has ended may be used again on its connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum IdUse {
     Reusable,
-    /// A late answer may still arrive under it.
+    /// A late answer with this id may still arrive.
     Retired,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Removes a request from its connection, or from the queue.
+    /// Removes a request from its connection, or from the queue if it waits for one.
     pub(super) fn remove_request(&mut self, id: RequestId, id_use: IdUse) -> Option<InFlightRequest> {
         let request = self.in_flight.remove(&id)?;
         match request.connection.and_then(|connection| self.connections.get_mut(&connection)) {
@@ -60,8 +60,9 @@
         Some(request)
     }
 
-    /// Cancels a dispatch, or releases its result if the first page was received. If the engine has been silent on the
-    /// connection for a while it may not read a cancellation, so the connection is closed instead.
+    /// Cancels a dispatch, or releases its result at the engine if the first page was received. If the engine has been
+    /// silent on the connection for a while, it may not read a cancellation, so the connection is closed instead,
+    /// unless other requests are in flight on it.
     pub(super) fn cancel(&mut self, id: RequestId, context: &PoolContext) {
         let Some(request) = self.in_flight.get(&id) else { return };
         let Some(connection) = request.connection else {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Ends a request whose connection was lost, or that got none.
+    /// Ends a request whose connection was lost, or that was never sent on one.
     pub(super) fn fail_request(&mut self, id: RequestId) {
         let Some(request) = self.remove_request(id, IdUse::Retired) else { return };
         let had_connection = request.connection.is_some();
@@ -123,7 +124,7 @@
         connection.shut_down();
         counters::ENGINE_CONNECTIONS_LOST.increment();
         if !connection.is_idle() {
-            self.learn_from_stale(&connection);
+            self.lower_reuse_limit_if_stale(&connection);
             self.fault_log.report(&self.name, "connection lost", connection.requests.len(), reason);
         }
         let mut requests: Vec<RequestId> = connection.requests.into_values().collect();
@@ -134,17 +135,18 @@
         self.probe_after_loss(context);
     }
 
-    /// Lowers the reuse limit after a stale connection, since others that have been idle for as long may be stale too.
-    fn learn_from_stale(&mut self, connection: &EngineConnection) {
+    /// Lowers the reuse limit if the connection was stale, since others that have been idle for as long may be stale
+    /// too.
+    fn lower_reuse_limit_if_stale(&mut self, connection: &EngineConnection) {
         let was_silent = connection.last_received <= connection.last_change;
-        let ended_at_once = was_silent && connection.last_change.elapsed() < STALE_WITHIN;
+        let ended_at_once = was_silent && connection.last_change.elapsed() < STALE_DETECTION_WINDOW;
         if let Some(idle_before_use) = connection.idle_before_use.filter(|_| ended_at_once) {
             self.reuse_limit.lower(idle_before_use);
         }
     }
 
-    /// Connects to the engine after a loss, to distinguish the failure of a connection from that of the engine: an
-    /// engine that has crashed accepts no connections.
+    /// Connects to the engine after the loss of a connection, to distinguish a failure of the connection from a failure
+    /// of the engine: an engine that has crashed accepts no connections.
     fn probe_after_loss(&mut self, context: &PoolContext) {
         let needs_probe = !self.lost_dispatches.is_empty() && self.dials_in_progress == 0;
         if needs_probe && !self.start_dial(context) {
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Reports the dispatches that ended with their connection, and whether the engine accepts a new one.
+    /// Reports the dispatches whose connections were lost, and whether the engine accepts a new connection.
     pub(super) fn report_lost_dispatches(&mut self, engine_reachable: bool) {
         for events in std::mem::take(&mut self.lost_dispatches) {
             let lost = DispatchEvent::Lost { status: DispatchStatus::ConnectionLost, engine_reachable };
@@ -164,7 +166,7 @@
 }
 
 impl InFlightRequest {
-    /// Passes on the result of a health check. Returns whether its id may be used again, if the check has ended.
+    /// Passes on the result of a health check. If the check has ended, returns whether its id may be used again.
     fn health_check_message(&mut self, message: &EngineMessage, read_at: Instant) -> Option<IdUse> {
         let (status, load_report) = match message {
             EngineMessage::Healthy(report) => (DispatchStatus::Completed, *report),
@@ -187,7 +189,8 @@
         }
     }
 
-    /// Passes on a message about a dispatch. Returns whether its id may be used again, if the dispatch has ended.
+    /// Passes on a message about a dispatch to its job. If the dispatch has ended, returns whether its id may be used
+    /// again.
     fn dispatch_message(&mut self, message: EngineMessage) -> Option<IdUse> {
         let RequestKind::Dispatch { events, .. } = &self.kind else { return None };
         let ended = match &message {
@@ -203,7 +206,8 @@
             EngineMessage::Progress(Some(_)) | EngineMessage::FurtherPage { .. } => None,
             _ => Some(IdUse::Retired),
         };
-        // If the engine floods the channel the job misses messages, and its own timeout ends the dispatch.
+        // If the engine sends more messages than the channel can hold, the job misses some, and its timeout ends the
+        // dispatch.
         if events.try_send(DispatchEvent::Message(message)).is_err() {
             counters::UNEXPECTED_ENGINE_MESSAGES.increment();
         }
--- a/crates/server/src/engine/pool/reuse_limit.rs
+++ b/crates/server/src/engine/pool/reuse_limit.rs
@@ -1,14 +1,14 @@
-//! How long a connection may have been idle and still be reused: one that has been idle for longer may have been closed
-//! by something on the way, without any notice.
+//! Limits how long a connection may have been idle and still be reused. After a longer idle time, a device between the
+//! program and the engine may have dropped the connection without notifying either.
 
 use std::time::{Duration, Instant};
 
-/// The lower bound of the limit: a connection does not become stale within this idle time.
+/// The minimum of the limit: connections are assumed not to become stale within this idle time.
 const MIN_LIMIT: Duration = Duration::from_millis(20);
-/// The limit is doubled whenever no connection was stale for this time.
+/// The limit is doubled whenever no connection was found stale for this time.
 const RAISE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The limit of one engine, adapted to the connections that turned out to be stale.
+/// The limit for connections to one engine, adapted to the idle times of connections that were stale.
 pub(super) struct ReuseLimit {
     limit: Duration,
     changed_at: Instant,
@@ -20,12 +20,12 @@
         ReuseLimit { limit: Duration::MAX, changed_at: Instant::now() }
     }
 
-    /// The limit, `idle_timeout` at most.
+    /// The limit, which is never longer than `idle_timeout`.
     pub(super) fn get(&self, idle_timeout: Duration) -> Duration {
         self.limit.min(idle_timeout)
     }
 
-    /// Lowers the limit to half of the idle time of a connection that was stale.
+    /// Lowers the limit to half of the idle time of a stale connection, if it is longer than that.
     pub(super) fn lower(&mut self, idle_before_use: Duration) {
         self.limit = self.limit.min((idle_before_use / 2).max(MIN_LIMIT));
         self.changed_at = Instant::now();
--- a/crates/server/src/engine/pool/sending.rs
+++ b/crates/server/src/engine/pool/sending.rs
@@ -1,4 +1,4 @@
-//! Writing to connections, and the last check before a request's first byte.
+//! Writes to connections, after a last check before the first byte of each request.
 
 use super::in_flight::RequestKind;
 use super::{EnginePool, PoolContext};
@@ -13,7 +13,7 @@
 use std::sync::atomic::Ordering::SeqCst;
 
 impl EnginePool {
-    /// Writes a request to this connection, if it may still be sent.
+    /// Writes a request to this connection if it may still be sent.
     pub(super) fn send_on(&mut self, id: RequestId, connection_id: ConnectionId, context: &PoolContext) {
         if self.is_stale(connection_id) {
             self.connection_lost(connection_id, &ConnectionLostReason::UnexpectedInput, context);
@@ -33,16 +33,17 @@
         }
     }
 
-    /// Whether the connection is idle, and has ended or received unexpected input. A request written to a connection
-    /// that has ended is lost, and whether it ran can't be known; the rest of a partial message would corrupt the
-    /// answer.
+    /// Whether the connection is idle, and has ended or received unexpected input. A request that is written to a
+    /// connection that has ended is lost, and it is unknown whether it ran. The rest of an incomplete message would
+    /// corrupt the answer.
     fn is_stale(&self, id: ConnectionId) -> bool {
         let is_stale =
             |connection: &EngineConnection| connection.is_idle() && connection.has_unexpected_input();
         self.connections.get(&id).is_some_and(is_stale)
     }
 
-    /// The bytes of a request; `None` if it may no longer be sent.
+    /// Returns the bytes of a request, and claims it for sending if it is a dispatch; `None` if it may no longer be
+    /// sent.
     fn encode_if_permitted(
         &self,
         id: RequestId,
@@ -73,11 +74,12 @@
         }
     }
 
-    /// Claims a dispatch for sending. Returns false, and withholds it, if it may not be sent any more: its client no
-    /// longer waits, its `begin_by` has passed, the engine is draining, or the job or the job's ledger forbids it.
+    /// Claims a dispatch for sending. Returns false, and withholds it, if it may no longer be sent: its client no
+    /// longer waits, its `begin_by` has passed, the engine is draining, the job has withheld it, or the job's ledger
+    /// does not permit it.
     fn claim_dispatch(&self, request: &EngineRequest, gate: &SendGate, now: Timestamp) -> bool {
-        let is_over = !request.liveness.is_waiting() || now >= request.begin_by;
-        if is_over || !self.accepts_dispatches.load(SeqCst) || !gate.try_begin_send() {
+        let is_obsolete = !request.liveness.is_waiting() || now >= request.begin_by;
+        if is_obsolete || !self.accepts_dispatches.load(SeqCst) || !gate.try_begin_send() {
             tracing::debug!(job = %request.id, engine = %self.name, "dispatch withheld");
             gate.withhold_if_queued();
             return false;
@@ -105,7 +107,8 @@
         connection.write_some(bytes)
     }
 
-    /// Queues a request of which nothing was sent for another connection, or fails it after too many attempts.
+    /// Queues a request of which nothing was sent for another connection, or fails it after too many failed
+    /// connections.
     fn retry_unsent(
         &mut self,
         id: RequestId,
@@ -140,7 +143,7 @@
         self.write_for(id, |wire_id| encode_fetch(wire_id, page_number), context);
     }
 
-    /// Writes a line about a request to its connection, if it has one.
+    /// Writes a protocol line about a request to its connection, if it has one.
     pub(super) fn write_for(
         &mut self,
         id: RequestId,
--- a/crates/server/src/engine/pool/timeouts.rs
+++ b/crates/server/src/engine/pool/timeouts.rs
@@ -1,4 +1,4 @@
-//! Requests that wait too long, and connections that are idle or silent.
+//! Handles requests that wait too long, and closes idle and silent connections.
 
 use super::connection_choice::Sharing;
 use super::in_flight::{InFlightRequest, RequestKind};
@@ -10,11 +10,11 @@
 use pebblevane::interface::DispatchStatus;
 use std::time::{Duration, Instant};
 
-/// A connection counts as silent after this many progress intervals without a message.
+/// A connection counts as silent after this number of progress intervals without a message.
 const SILENT_AFTER_INTERVALS: f64 = 2.5;
 
 impl EnginePool {
-    /// When the next request times out here.
+    /// The earliest of the requests' timeouts that the pool enforces.
     pub(crate) fn next_deadline(&self) -> Option<Instant> {
         self.in_flight.values().filter_map(InFlightRequest::deadline).min()
     }
@@ -29,12 +29,12 @@
 
     fn handle_timeout(&mut self, id: RequestId, now: Instant, context: &PoolContext) {
         let Some(request) = self.in_flight.get_mut(&id) else { return };
-        // To handle another one may have sent it meanwhile.
+        // Handling another request may have sent this one in the meantime.
         if !request.has_timed_out(now) {
             return;
         }
         if request.connection.is_none() && !request.may_share {
-            // Connecting takes long, so the request shares a connection that exists.
+            // Connecting takes too long, so the request shares an existing connection.
             request.may_share = true;
             request.due = now + context.settings.dial_timeout;
             return self.share_connection(id, context);
@@ -74,8 +74,8 @@
         });
     }
 
-    /// Closes the connections on which progress updates are due and nothing is received, while the engine sends on
-    /// others. If all are silent the engine itself may have failed, which the admission controller decides.
+    /// Closes the connections on which progress updates are expected but nothing is received, while the engine sends on
+    /// others. If all are silent, the engine itself may have failed; the admission controller decides that.
     fn close_silent(&mut self, context: &PoolContext) {
         let Some(interval) = context.settings.progress_interval else { return };
         let is_engine_active =
--- a/crates/server/src/engine/registry.rs
+++ b/crates/server/src/engine/registry.rs
@@ -1,5 +1,5 @@
-//! The handle on the `engines` thread, which owns the pools of all engines. With a thread for each engine, hundreds of
-//! gateways on one machine would exhaust its thread ids.
+//! The handle on the `engines` thread, which owns the pools of all engines. One thread serves them all, because with a
+//! thread for each engine, hundreds of gateways on one machine would exhaust its thread ids.
 
 use crate::config::connection_settings::ConnectionSettings;
 use crate::engine::command::{PoolCommand, RegistryMessage};
@@ -17,11 +17,11 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
 
-/// Messages that may be queued for the `engines` thread. A bounded channel occupies memory for its full capacity after
-/// some use, so this is no larger than a burst requires.
-const MESSAGES_CAPACITY: usize = 2048;
+/// The number of messages that may be queued for the `engines` thread. After some use, a bounded channel occupies
+/// memory for its full capacity, so this is no larger than a burst requires.
+const MESSAGE_QUEUE_CAPACITY: usize = 2048;
 
-/// The handle on the `engines` thread.
+/// The handle on the `engines` thread, through which engines are added and commands are sent to their pools.
 pub struct EngineRegistry {
     messages: Sender<RegistryMessage>,
     updates: Arc<EndpointUpdates>,
@@ -31,8 +31,8 @@
 impl EngineRegistry {
     /// Starts the threads that serve engines. They run to the program's end and are not joined.
     ///
-    /// `descriptors` bounds the connections to all engines together; `now` reads the program's clock; `spawn_thread`
-    /// starts the threads that connect.
+    /// `descriptors` limits the total number of connections to all engines, `now` reads the program's clock, and
+    /// `spawn_thread` starts the threads that connect.
     ///
     /// # Errors
     /// The system's error if it refuses a thread or a poller.
@@ -42,7 +42,7 @@
         now: fn() -> Timestamp,
         spawn_thread: SpawnThread,
     ) -> io::Result<Arc<EngineRegistry>> {
-        let (messages, inbox) = bounded(MESSAGES_CAPACITY);
+        let (messages, inbox) = bounded(MESSAGE_QUEUE_CAPACITY);
         let updates = Arc::new(EndpointUpdates::default());
         let dialer = Dialer { spawn_thread, timeout: settings.dial_timeout, messages: messages.clone() };
         let poller = SocketPoller::start()?;
@@ -52,7 +52,7 @@
         Ok(Arc::new(EngineRegistry { messages, updates, next_pool: AtomicU64::new(0) }))
     }
 
-    /// A number for a new engine's pool.
+    /// Returns the number for a new engine's pool.
     pub(crate) fn next_pool_id(&self) -> PoolId {
         PoolId(self.next_pool.fetch_add(1, SeqCst))
     }
@@ -69,10 +69,10 @@
         self.messages.try_send(RegistryMessage::Command { pool, command }).is_ok()
     }
 
-    /// Records a change of the endpoint list. It takes effect before any command that is queued later.
+    /// Records a change of the endpoint list, which takes effect before any command that is queued later.
     pub(crate) fn update_endpoint(&self, pool: PoolId, change: impl FnOnce(&mut EndpointUpdate)) {
         self.updates.record(pool, change);
-        // If the queue is full the thread is awake, and applies updates before it handles the next message.
+        // If the queue is full, the thread is awake and applies updates before it handles its next message.
         let _ = self.messages.try_send(RegistryMessage::Wakeup);
     }
 }
--- a/crates/server/src/engine/registry_loop.rs
+++ b/crates/server/src/engine/registry_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop of the `engines` thread: hands commands, endpoint updates and timeouts to the pools.
+//! The event loop of the `engines` thread, which passes commands, endpoint updates and timeouts to the pools.
 
 use crate::engine::command::{PoolCommand, RegistryMessage};
 use crate::engine::endpoint_updates::{EndpointUpdate, EndpointUpdates};
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often idle and silent connections are closed.
+/// The interval at which idle and silent connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The state of the `engines` thread.
+/// The pools of all engines, and what the `engines` thread needs to run them.
 pub(crate) struct RegistryLoop {
     pools: BTreeMap<PoolId, EnginePool>,
     deadlines: Deadlines,
@@ -26,7 +26,7 @@
 }
 
 impl RegistryLoop {
-    /// A loop without pools; updates add them.
+    /// A loop without pools; endpoint updates add them.
     pub(crate) fn new(
         updates: Arc<EndpointUpdates>,
         inbox: Receiver<RegistryMessage>,
@@ -61,8 +61,8 @@
         }
     }
 
-    /// The time of the next timeout or sweep. Without connections there is nothing to sweep, so that an idle program
-    /// sleeps until a message arrives.
+    /// The time of the next timeout or sweep. Without connections no sweep is scheduled, so that an idle program sleeps
+    /// until a message arrives.
     fn next_wakeup(&self) -> Option<Instant> {
         let has_connections = self.pools.values().any(EnginePool::has_connections);
         let sweep = has_connections.then_some(self.next_sweep);
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Closes the longest idle connection to another engine, so that this pool can use its descriptor.
+    /// Of the connections to other engines, closes the one that has been idle longest, so that this pool can use its
+    /// descriptor.
     fn reclaim_descriptor(&mut self, id: PoolId) {
         let others = self.pools.iter().filter(|(other, _)| **other != id);
         let idle = others.filter_map(|(other, pool)| Some((pool.longest_idle_since()?, *other)));
--- a/crates/server/src/engine/request.rs
+++ b/crates/server/src/engine/request.rs
@@ -1,4 +1,4 @@
-//! Dispatches and health checks as other parts of the program hand them to an engine's pool, and their results.
+//! Dispatches and health checks as they are passed to an engine's pool, and their results.
 
 use crate::codec::engine::EngineMessage;
 use crate::engine::dispatch_ledger::DispatchLedger;
@@ -11,13 +11,13 @@
 pub struct EngineRequest {
     /// The client's id of the job, which is also its id on the wire.
     pub id: Box<str>,
-    /// Name of the job's class.
+    /// The name of the job class.
     pub class: Arc<str>,
     /// When the dispatch times out.
     pub deadline: Timestamp,
-    /// The dispatch is withheld if its first byte was not sent before this time.
+    /// If the first byte has not been sent before this time, the dispatch is withheld.
     pub begin_by: Timestamp,
-    /// Whether the client still waits for the job.
+    /// Whether the client still waits for the answer.
     pub liveness: Arc<dyn ClientLiveness>,
     /// The job's record of earlier dispatches.
     pub ledger: Arc<DispatchLedger>,
@@ -32,12 +32,12 @@
 pub enum DispatchEvent {
     /// A message of the engine.
     Message(EngineMessage),
-    /// The dispatch ended with its connection, or was never sent.
+    /// The dispatch ended because its connection was lost, or it was never sent.
     Lost {
         /// `ConnectionLost` or `Unreachable`.
         status: DispatchStatus,
-        /// Not the engine's fault: it has accepted a new connection since, or the dispatch was withheld by this
-        /// program.
+        /// The engine is not at fault: it has accepted a new connection since, or this program has withheld the
+        /// dispatch.
         engine_reachable: bool,
     },
 }
@@ -49,16 +49,16 @@
     pub status: DispatchStatus,
     /// The engine's load, if it reported one.
     pub load_report: Option<LoadReport>,
-    /// Time from the first byte written to the last one read; zero without an answer.
+    /// The time from the first byte written to the last byte read; zero if there was no answer.
     pub elapsed: TimeDelta,
 }
 
 impl HealthCheckResult {
-    /// The result of a check that got no answer.
+    /// The result of a health check that was not answered.
     pub fn unanswered(status: DispatchStatus) -> HealthCheckResult {
         HealthCheckResult { status, load_report: None, elapsed: TimeDelta::default() }
     }
 }
 
-/// Is called once with the result of a health check.
+/// Called once with the result of a health check.
 pub type HealthCheckCallback = Box<dyn FnOnce(HealthCheckResult) + Send>;
--- a/crates/server/src/engine/send_gate.rs
+++ b/crates/server/src/engine/send_gate.rs
@@ -1,4 +1,5 @@
-//! The state that a dispatch's job and its engine's pool share: whether the dispatch may still be sent.
+//! Whether a dispatch may still be sent: a state shared by the job, which withholds it, and the engine's pool, which
+//! sends it.
 
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering::SeqCst};
 
@@ -6,15 +7,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 enum SendState {
-    /// It waits for a connection.
+    /// The dispatch waits for a connection.
     Queued = 0,
-    /// Its first byte is being written, or has been.
+    /// The pool has claimed the dispatch: its first byte is about to be written, or has been.
     Sent = 1,
-    /// It must not be sent, or sent again, from now on.
+    /// The dispatch must not be sent, or sent again, from now on.
     Withheld = 2,
 }
 
-/// Decides atomically whether a dispatch is sent or withheld; the first of both sides to change the state wins.
+/// Decides atomically whether a dispatch is sent or withheld, according to which side changes the state first.
 #[derive(Default)]
 pub(crate) struct SendGate {
     /// A [`SendState`].
@@ -24,29 +25,29 @@
 }
 
 impl SendGate {
-    /// Claims the dispatch for sending. Returns whether it still was in the queue.
+    /// Claims the dispatch for sending. Returns whether it was still queued.
     #[must_use]
     pub(crate) fn try_begin_send(&self) -> bool {
         self.change(SendState::Queued, SendState::Sent)
     }
 
-    /// Withholds a dispatch that is in the queue, and changes nothing otherwise. Returns whether it was.
+    /// Withholds the dispatch if it is queued. Returns whether it was.
     pub(crate) fn withhold_if_queued(&self) -> bool {
         self.change(SendState::Queued, SendState::Withheld)
     }
 
-    /// Withholds the dispatch, whatever its state. Returns whether it had not been claimed for sending before.
+    /// Withholds the dispatch, whatever its state. Returns false if it had been claimed for sending before.
     pub(crate) fn withhold(&self) -> bool {
         self.state.swap(SendState::Withheld as u8, SeqCst) != SendState::Sent as u8
     }
 
-    /// Returns a dispatch of which nothing was sent to the queue, unless it has been withheld meanwhile.
+    /// Queues a claimed dispatch again because nothing of it was sent, unless it has been withheld in the meantime.
     pub(crate) fn requeue_unsent(&self) {
         self.change(SendState::Sent, SendState::Queued);
         self.may_have_been_sent.store(false, SeqCst);
     }
 
-    /// Withholds a dispatch that was claimed and of which nothing was sent.
+    /// Withholds a claimed dispatch of which nothing was sent.
     pub(crate) fn withhold_unsent(&self) {
         self.change(SendState::Sent, SendState::Withheld);
         self.may_have_been_sent.store(false, SeqCst);
@@ -57,7 +58,7 @@
         self.state.load(SeqCst) == SendState::Withheld as u8
     }
 
-    /// Records that the first byte is written next.
+    /// Records that the first byte is about to be written.
     pub(crate) fn record_write(&self) {
         self.may_have_been_sent.store(true, SeqCst);
     }
--- a/crates/server/src/engine/socket_poller.rs
+++ b/crates/server/src/engine/socket_poller.rs
@@ -1,5 +1,5 @@
-//! Reads all connections to engines in one thread. Where the scheduler throttles the process to a fraction of a core,
-//! it is stopped and continued many times a second, and each time a thread for each connection would be woken.
+//! Reads all connections to engines in one thread. If the process is limited to a fraction of a core, the scheduler
+//! stops and resumes it many times a second; with a thread for each connection, all of these would be woken each time.
 
 use crate::engine::connection_error::ConnectionLostReason;
 use crate::engine::connection_input::{ConnectionInput, ReadProgress, ReadResult, ReceivedMessage};
@@ -14,20 +14,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// New connections that may be queued for the thread.
-const NEW_CONNECTIONS_CAPACITY: usize = 256;
-/// Events that one wait returns at most.
-const EVENTS_CAPACITY: usize = 256;
+/// The number of new connections that may be queued for the thread.
+const NEW_CONNECTION_QUEUE_CAPACITY: usize = 256;
+/// The maximum number of events that one poll returns.
+const MAX_EVENTS_PER_POLL: usize = 256;
+/// Marks events that only wake the thread.
 const WAKE_TOKEN: Token = Token(usize::MAX);
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Reads from one connection before others are served.
-const READS_PER_TURN: usize = 4;
+/// The maximum number of consecutive reads from one connection before the others are read.
+const MAX_CONSECUTIVE_READS: usize = 4;
 
 /// An event on a connection, for its pool.
 pub(crate) enum ConnectionEvent {
     /// A message of the engine.
     Message(ReceivedMessage),
-    /// The connection has ended; there are no further events.
+    /// The connection has ended. No further events follow.
     Ended(ConnectionLostReason),
 }
 
@@ -35,16 +36,16 @@
 pub(crate) struct PolledConnection {
     /// Its receiving side.
     pub(crate) input: Arc<ConnectionInput>,
-    /// The connection ends if an incomplete message is not continued within this time.
+    /// The connection is ended if nothing more of an incomplete message is received for this time.
     pub(crate) stall_timeout: Duration,
-    /// Is called in the poller's thread.
+    /// Called in the poller's thread.
     pub(crate) on_event: Box<dyn Fn(ConnectionEvent) + Send>,
 }
 
 impl PolledConnection {
     /// Reads what is available and passes on complete messages.
     fn read(&self, read_buffer: &mut [u8]) -> Result<ReadProgress, ConnectionLostReason> {
-        for _ in 0..READS_PER_TURN {
+        for _ in 0..MAX_CONSECUTIVE_READS {
             let ReadResult { messages, progress } = self.input.read(read_buffer);
             for message in messages {
                 (self.on_event)(ConnectionEvent::Message(message));
@@ -65,7 +66,7 @@
     }
 }
 
-/// The handle on the thread that reads.
+/// The handle on the thread that reads all connections.
 pub(crate) struct SocketPoller {
     new_connections: Sender<PolledConnection>,
     waker: Waker,
@@ -78,7 +79,7 @@
     /// The system's error if it refuses the thread or a poller.
     pub(crate) fn start() -> io::Result<Arc<SocketPoller>> {
         let poll = retry_transient_errors(Poll::new)?;
-        let (new_connections, added) = bounded(NEW_CONNECTIONS_CAPACITY);
+        let (new_connections, added) = bounded(NEW_CONNECTION_QUEUE_CAPACITY);
         let waker = retry_transient_errors(|| Waker::new(poll.registry(), WAKE_TOKEN))?;
         let poll_loop = PollLoop { poll, added, connections: HashMap::new(), next_token: 0 };
         spawn_required("engine reader", STACK_BYTES, move || poll_loop.run())?;
@@ -88,8 +89,8 @@
     /// Reads this connection from now on.
     ///
     /// # Errors
-    /// If too many new connections are queued, or the thread can't be woken. The thread may still read the connection
-    /// later, so the caller has to shut it down.
+    /// If too many new connections are queued, or the thread can't be woken. The thread may still begin to read the
+    /// connection later, so the caller has to shut it down.
     pub(crate) fn add(&self, connection: PolledConnection) -> io::Result<()> {
         let added = self.new_connections.try_send(connection);
         added.map_err(|_| io::Error::other("too many new connections"))?;
@@ -97,7 +98,7 @@
     }
 }
 
-/// The state of the thread.
+/// The connections, and what the thread needs to read them.
 struct PollLoop {
     poll: Poll,
     added: Receiver<PolledConnection>,
@@ -107,11 +108,11 @@
 
 impl PollLoop {
     fn run(mut self) {
-        let mut events = Events::with_capacity(EVENTS_CAPACITY);
+        let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
         let mut read_buffer = vec![0; READ_BUFFER_BYTES];
         loop {
             let timeout = self.connections.values().filter_map(PolledConnection::time_until_stalled).min();
-            // An interrupted wait is one without events.
+            // An interrupted poll counts as one without events.
             let _ = self.poll.poll(&mut events, timeout);
             self.register_added();
             let mut ended = self.read_ready(&events, &mut read_buffer);
@@ -143,7 +144,7 @@
             match connection.read(read_buffer) {
                 Ok(ReadProgress::Drained) => {}
                 Ok(ReadProgress::MoreAvailable) => {
-                    // Events are edge-triggered: registering again reports what is still there.
+                    // Events are edge-triggered: registering again causes another event for the remaining input.
                     let fd = connection.input.descriptor();
                     let _ = self.poll.registry().reregister(&mut SourceFd(&fd), token, Interest::READABLE);
                 }
