--- a/crates/server/src/decision/handle.rs
+++ b/crates/server/src/decision/handle.rs
@@ -13,7 +13,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 
-/// The retry delay that is sent to clients whose jobs are rejected because one of the program's own limits is reached.
+/// The retry delay, 1 s, that is sent to clients whose jobs are rejected because one of the program's own limits is
+/// reached.
 pub const LOCAL_LIMIT_RETRY_DELAY: TimeDelta = TimeDelta(1_000_000);
 
 /// The handle on the controller's thread, through which other threads submit jobs and report events.
--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -8,7 +8,7 @@
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::Mutex;
 
-/// The maximum time by which a dispatch's deadline may exceed the end of the client's timeout.
+/// The maximum time by which a dispatch's deadline may exceed the end of the client's timeout: 150 ms.
 const DEADLINE_SLACK: TimeDelta = TimeDelta(150_000);
 
 /// Whether an engine may have run a dispatch that was sent to it and has ended.
--- a/crates/server/src/job/in_flight_dispatch.rs
+++ b/crates/server/src/job/in_flight_dispatch.rs
@@ -13,7 +13,7 @@
     pub(super) handle: DispatchHandle,
     /// The number of the attempt within its job.
     pub(super) attempt: u32,
-    /// When it was handed to the connections.
+    /// When it was handed to the connections, which may be earlier than its first byte.
     pub(super) sent: Timestamp,
     /// When the attempt times out.
     pub(super) deadline: Timestamp,
--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -147,9 +147,9 @@
                 self.collect_result(dispatch);
             }
             EngineMessage::Overloaded(report) => {
-                self.finish_unrun(dispatch, DispatchStatus::Overloaded, report);
+                self.finish_not_run(dispatch, DispatchStatus::Overloaded, report);
             }
-            EngineMessage::Expired(report) => self.finish_unrun(dispatch, DispatchStatus::Expired, report),
+            EngineMessage::Expired(report) => self.finish_not_run(dispatch, DispatchStatus::Expired, report),
             EngineMessage::Failed(report) => {
                 self.finish(dispatch, &DispatchEnd::new(DispatchStatus::Failed).load_report(report));
             }
@@ -164,7 +164,7 @@
 
     /// Finishes an attempt that its engine reports as not run. If earlier messages of the engine show that the job did
     /// run, the attempt counts as failed instead.
-    fn finish_unrun(
+    fn finish_not_run(
         &mut self,
         dispatch: InFlightDispatch,
         status: DispatchStatus,
