--- a/crates/server/tests/server/engine_connections.rs
+++ b/crates/server/tests/server/engine_connections.rs
@@ -263,7 +263,7 @@
         Program::start_with_faults(ProgramConfig::new(&engines, &bus.address));
     let mut client = program.connect();
 
-    faults.set_rate(FaultKind::InterruptLocal, 0.95).unwrap();
+    faults.set_rate(FaultKind::InterruptNonTcp, 0.95).unwrap();
     let mut done = 0;
     for message in 1..=8 {
         client.submit(message, "load", 9000);
--- a/crates/server/tests/server/shutdown.rs
+++ b/crates/server/tests/server/shutdown.rs
@@ -273,11 +273,11 @@
     let FaultyProgram { mut program, faults } =
         Program::start_with_faults(ProgramConfig::new(&engines, &bus.address));
 
-    faults.set_rate(FaultKind::InterruptLocal, 1.0).unwrap();
+    faults.set_rate(FaultKind::InterruptNonTcp, 1.0).unwrap();
     program.signal("TERM");
     // The handler has run by then.
     std::thread::sleep(Duration::from_millis(100));
-    faults.set_rate(FaultKind::InterruptLocal, 0.0).unwrap();
+    faults.set_rate(FaultKind::InterruptNonTcp, 0.0).unwrap();
 
     program.wait_for_log("graceful shutdown started");
     assert!(program.wait_for_exit().success());
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -215,8 +215,8 @@
         (FaultKind::Short, share),
         (FaultKind::Break, share / 20.0),
         (FaultKind::Thread, share / 2.0),
-        (FaultKind::Interrupt, share),
-        (FaultKind::InterruptLocal, share),
+        (FaultKind::InterruptTcp, share),
+        (FaultKind::InterruptNonTcp, share),
     ];
     fail_for(testbed, gateways, &rates, time).await;
 }
--- a/crates/syscall-faults/shim/faults.c
+++ b/crates/syscall-faults/shim/faults.c
@@ -7,13 +7,13 @@
  *   socket              SOCKET: EMFILE, ENFILE, ENOBUFS, ENOMEM
  *   connect             CONNECT: EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT, EINTR
  *   epoll_wait, poll    WAIT: EINTR
- *   recv, send on TCP   INTERRUPT: EINTR; SHORT: one byte is transferred
+ *   recv, send on TCP   INTERRUPT_TCP: EINTR; SHORT: one byte is transferred
  *     ... connected     BREAK: the connection ends for both sides, with ECONNRESET, ETIMEDOUT, EHOSTUNREACH or EPIPE;
  *                       DELAY_READ: recv returns its data 20 ms late
  *     ... accepted      ACCEPTED_PEEK, ACCEPTED_READ, ACCEPTED_WRITE: ETIMEDOUT, EHOSTUNREACH, ENETDOWN or ENETUNREACH,
  *                       told once, while the connection stays open
  *   recv, send, read, write on anything else
- *                       INTERRUPT_LOCAL: EINTR
+ *                       INTERRUPT_NON_TCP: EINTR
  *   pthread_create      THREAD: EAGAIN
  */
 
@@ -41,11 +41,11 @@
     SHORT,
     BREAK,
     THREAD,
-    INTERRUPT,
+    INTERRUPT_TCP,
     ACCEPTED_PEEK,
     ACCEPTED_READ,
     ACCEPTED_WRITE,
-    INTERRUPT_LOCAL,
+    INTERRUPT_NON_TCP,
     DELAY_READ,
     FAULTS
 };
@@ -174,10 +174,10 @@
     REAL(recv);
     enum origin origin = origin_of(file);
     if (origin == OTHER) {
-        if (happens(INTERRUPT_LOCAL)) return FAILS(EINTR);
+        if (happens(INTERRUPT_NON_TCP)) return FAILS(EINTR);
         return real(file, buffer, length, flags);
     }
-    if (happens(INTERRUPT)) return FAILS(EINTR);
+    if (happens(INTERRUPT_TCP)) return FAILS(EINTR);
     if (origin == ACCEPTED && happens(flags & MSG_PEEK ? ACCEPTED_PEEK : ACCEPTED_READ))
         return FAILS(ETIMEDOUT, EHOSTUNREACH, ENETDOWN, ENETUNREACH);
     if (!(flags & MSG_PEEK) && breaks(file)) return FAILS(ECONNRESET, ETIMEDOUT, EHOSTUNREACH);
@@ -191,10 +191,10 @@
     REAL(send);
     enum origin origin = origin_of(file);
     if (origin == OTHER) {
-        if (happens(INTERRUPT_LOCAL)) return FAILS(EINTR);
+        if (happens(INTERRUPT_NON_TCP)) return FAILS(EINTR);
         return real(file, buffer, length, flags);
     }
-    if (happens(INTERRUPT)) return FAILS(EINTR);
+    if (happens(INTERRUPT_TCP)) return FAILS(EINTR);
     if (origin == ACCEPTED && happens(ACCEPTED_WRITE)) return FAILS(ETIMEDOUT, EHOSTUNREACH, ENETDOWN, ENETUNREACH);
     if (breaks(file)) return FAILS(EPIPE, ECONNRESET, ETIMEDOUT, EHOSTUNREACH);
     if (length > 1 && happens(SHORT)) length = 1;
@@ -203,13 +203,13 @@
 
 ssize_t read(int file, void *buffer, size_t length) {
     REAL(read);
-    if (origin_of(file) == OTHER && happens(INTERRUPT_LOCAL)) return FAILS(EINTR);
+    if (origin_of(file) == OTHER && happens(INTERRUPT_NON_TCP)) return FAILS(EINTR);
     return real(file, buffer, length);
 }
 
 ssize_t write(int file, const void *buffer, size_t length) {
     REAL(write);
-    if (origin_of(file) == OTHER && happens(INTERRUPT_LOCAL)) return FAILS(EINTR);
+    if (origin_of(file) == OTHER && happens(INTERRUPT_NON_TCP)) return FAILS(EINTR);
     return real(file, buffer, length);
 }
 
--- a/crates/syscall-faults/src/lib.rs
+++ b/crates/syscall-faults/src/lib.rs
@@ -37,7 +37,7 @@
     /// No thread can be created.
     Thread = 6,
     /// A TCP read or write is interrupted.
-    Interrupt = 7,
+    InterruptTcp = 7,
     /// A read-ahead (`MSG_PEEK`) on an accepted connection fails; the connection stays open.
     AcceptedPeek = 8,
     /// A read on an accepted connection fails; the connection stays open.
@@ -45,7 +45,7 @@
     /// A write on an accepted connection fails; the connection stays open.
     AcceptedWrite = 10,
     /// A read or write on anything but a TCP connection is interrupted: Unix sockets, event descriptors.
-    InterruptLocal = 11,
+    InterruptNonTcp = 11,
     /// A TCP read of the program's own connections returns its data late, by [`READ_DELAY`].
     DelayRead = 12,
 }
