--- a/crates/soak/src/bus.rs
+++ b/crates/soak/src/bus.rs
@@ -67,8 +67,8 @@
     pub fn publish(&self, testbed: &Testbed, changes: Vec<Change>) {
         for change in &changes {
             let (engine, run) = (change.engine, change.run);
-            testbed.history.event(match change.lifecycle {
-                Lifecycle::InService => Event::StartListed { engine, run },
+            testbed.history.record_event(match change.lifecycle {
+                Lifecycle::InService => Event::ListedInService { engine, run },
                 Lifecycle::Terminating | Lifecycle::Terminated => Event::Drained { engine, run },
             });
         }
@@ -146,7 +146,7 @@
 fn tell(testbed: &Testbed, to: GatewayRun, changes: &[Change]) {
     for change in changes {
         let drained = change.lifecycle != Lifecycle::InService;
-        testbed.history.event(Event::Told { to, engine: change.engine, run: change.run, drained });
+        testbed.history.record_event(Event::Notified { to, engine: change.engine, run: change.run, drained });
     }
 }
 
--- a/crates/soak/src/checker/closes.rs
+++ b/crates/soak/src/checker/closes.rs
@@ -1,86 +1,105 @@
-//! Requests whose connection ended before their answer: which of these ends the protocol allows.
+//! Checks requests whose connection ended before their answer: the protocol allows this only in a few situations.
 
-use super::{Checker, Rule, SLACK};
-use crate::history::{At, Dispatch, Request};
+use super::{Checker, Rule, TOLERANCE_US};
+use crate::history::{Dispatch, Micros, Request};
 use crate::schedule::Fault;
 
-/// A request that crosses the end of a used connection within this time is sent again by its client.
-const CROSSING: At = 50_000;
-/// Requests may come this long after SIGTERM: on used connections, and on fresh ones.
-const COMING: At = 700_000;
-const COMING_FRESH: At = 1_500_000;
-/// A request that comes later than that meets the end of its connection within this time, where it gets no answer.
-const AT_ONCE: At = 100_000;
-/// Whatever a fault has done shows within this time of the fault's end.
-const AFTERMATH: At = 1_000_000;
+/// If a used connection closes this soon after a request, the request may have been sent before the client noticed;
+/// clients of the protocol then send it again.
+const CLOSE_RACE_US: Micros = 50_000;
+/// How long after SIGTERM a gateway must still answer requests on connections that have carried requests.
+const USED_CONNECTION_GRACE_US: Micros = 700_000;
+/// The same for the first request on a connection.
+const FIRST_REQUEST_GRACE_US: Micros = 1_500_000;
+/// A connection on which a later request comes must be closed within this time if the request is not answered.
+const LATE_CLOSE_TIMEOUT_US: Micros = 100_000;
+/// Effects of a fault may show until this long after the fault's end.
+const FAULT_EFFECT_DELAY_US: Micros = 1_000_000;
 
 impl Checker<'_> {
     /// Checks a request whose connection ended at this time.
-    pub(super) fn closed(&mut self, request: &Request, dispatches: &[&Dispatch], at: At, reset: bool) {
-        if self.runs.killed.get(&request.to).is_some_and(|killed| *killed < at + SLACK) {
-            self.verdict.killed += 1;
+    pub(super) fn check_close(
+        &mut self,
+        request: &Request,
+        dispatches: &[&Dispatch],
+        at: Micros,
+        reset: bool,
+    ) {
+        if self.processes.killed.get(&request.to).is_some_and(|killed| *killed < at + TOLERANCE_US) {
+            self.verdict.at_killed_gateways += 1;
             return;
         }
-        if self.is_broken(request, at) {
+        if self.may_have_failing_calls(request, at) {
             self.verdict.broken_connections += 1;
             return;
         }
-        let coming = if request.fresh { COMING_FRESH } else { COMING };
-        let too_late = |stopping: &At| request.sent > stopping + coming;
-        if self.runs.stopping.get(&request.to).is_some_and(too_late) {
-            return self.closed_after_stop(request, dispatches, at);
+        let grace =
+            if request.is_first_on_connection { FIRST_REQUEST_GRACE_US } else { USED_CONNECTION_GRACE_US };
+        let is_too_late = |stopping: &Micros| request.sent_at > stopping + grace;
+        if self.processes.stopping.get(&request.to).is_some_and(is_too_late) {
+            return self.check_late_close(request, dispatches, at);
         }
-        let crossed = !request.fresh && !reset && at.saturating_sub(request.sent) <= CROSSING + SLACK / 2;
-        if crossed || request.fresh && self.is_flooded(request.to.gateway, request.sent) {
-            self.verdict.crossings += 1;
+        let is_close_race = !request.is_first_on_connection
+            && !reset
+            && at.saturating_sub(request.sent_at) <= CLOSE_RACE_US + TOLERANCE_US / 2;
+        let is_flooded =
+            request.is_first_on_connection && self.is_flooded(request.to.gateway, request.sent_at);
+        if is_close_race || is_flooded {
+            self.verdict.close_races += 1;
             return;
         }
-        let after = (at - request.sent) / 1000;
+        let after_ms = (at - request.sent_at) / 1000;
         let how = if reset { "reset" } else { "closed" };
-        self.found(Rule::Lost, at, Some(&request.id), true, format!("{how} with no answer after {after} ms"));
+        let description = format!("{how} with no answer after {after_ms} ms");
+        self.report(Rule::Lost, at, Some(&request.id), true, description);
     }
 
-    /// A request that comes after the last moment of a stop may meet the end of its connection, at once and unsent.
-    fn closed_after_stop(&mut self, request: &Request, dispatches: &[&Dispatch], at: At) {
-        self.verdict.after_stop += 1;
-        let silent_for = at.saturating_sub(request.sent);
-        if silent_for > AT_ONCE + SLACK {
-            let what = format!("late in a stop: closed after {} ms of silence", silent_for / 1000);
-            self.found(Rule::Lost, at, Some(&request.id), true, what);
+    /// Checks a request that was sent after the grace of a stop. Its connection may be closed, but without delay and
+    /// only if the request was not dispatched.
+    fn check_late_close(&mut self, request: &Request, dispatches: &[&Dispatch], at: Micros) {
+        self.verdict.late_in_stop += 1;
+        let silence = at.saturating_sub(request.sent_at);
+        if silence > LATE_CLOSE_TIMEOUT_US + TOLERANCE_US {
+            let description = format!("late in a stop: closed after {} ms of silence", silence / 1000);
+            self.report(Rule::Lost, at, Some(&request.id), true, description);
         }
-        if let Some(sent) = dispatches.first() {
-            let what = format!("late in a stop: sent to engine {}, then closed with no answer", sent.engine);
-            self.found(Rule::Lost, at, Some(&request.id), false, what);
+        if let Some(dispatch) = dispatches.first() {
+            let description =
+                format!("late in a stop: sent to engine {}, then closed with no answer", dispatch.engine);
+            self.report(Rule::Lost, at, Some(&request.id), false, description);
         }
     }
 
-    /// Whether a call on the request's connection may have been made to fail. Its client is owed the end in its own time.
-    fn is_broken(&self, request: &Request, at: At) -> bool {
-        let in_time = at <= request.sent + request.patience_ms * 1000 + SLACK;
-        let breaks_clients = |fault: &Fault| match fault {
+    /// Whether an injected fault may have made a call on the request's connection fail. The gateway must then close the
+    /// connection by the request's timeout.
+    fn may_have_failing_calls(&self, request: &Request, at: Micros) -> bool {
+        let is_in_time = at <= request.sent_at + request.timeout_ms * 1000 + TOLERANCE_US;
+        let fails_client_calls = |fault: &Fault| match fault {
             Fault::FailClientCalls { gateways, for_ms, .. } if gateways.contains(&request.to.gateway) => {
                 Some(*for_ms)
             }
             _ => None,
         };
-        in_time && self.overlaps(request.sent, at, breaks_clients)
+        is_in_time && self.overlaps_fault(request.sent_at, at, fails_client_calls)
     }
 
-    /// Whether idle connections hold a gateway's descriptors: new connections may be shut unread then.
-    fn is_flooded(&self, gateway: usize, at: At) -> bool {
+    /// Whether idle connections may have used up a gateway's descriptors. It may then close new connections unread.
+    fn is_flooded(&self, gateway: usize, at: Micros) -> bool {
         let floods = |fault: &Fault| match fault {
             Fault::IdleFlood { gateways, for_ms, .. } if gateways.contains(&gateway) => Some(*for_ms),
             _ => None,
         };
-        self.overlaps(at, at, floods)
+        self.overlaps_fault(at, at, floods)
     }
 
-    /// Whether a fault that lasts for `duration_ms`, or its aftermath, falls into this time.
-    fn overlaps(&self, from: At, to: At, duration_ms: impl Fn(&Fault) -> Option<u64>) -> bool {
+    /// Whether a fault for which `duration_ms` returns a duration has effects between these times.
+    fn overlaps_fault(&self, from: Micros, to: Micros, duration_ms: impl Fn(&Fault) -> Option<u64>) -> bool {
         self.schedule.faults.iter().any(|scheduled| {
-            let begins = scheduled.at_ms * 1000;
-            let lasts = duration_ms(&scheduled.fault);
-            lasts.is_some_and(|lasts| begins <= to && from < begins + lasts * 1000 + AFTERMATH)
+            let start = scheduled.at_ms * 1000;
+            let duration_ms = duration_ms(&scheduled.fault);
+            duration_ms.is_some_and(|duration_ms| {
+                start <= to && from < start + duration_ms * 1000 + FAULT_EFFECT_DELAY_US
+            })
         })
     }
 }
--- a/crates/soak/src/checker/dispatches.rs
+++ b/crates/soak/src/checker/dispatches.rs
@@ -1,150 +1,160 @@
-//! Each dispatch by itself, and beside the earlier ones of its request: rules 1, 2, 3 and 6.
+//! Checks each dispatch by itself and against the earlier dispatches of its request: rules 1, 2, 3 and 6.
 
-use super::{Checker, Rule, SLACK, micros, proves_unrun};
-use crate::history::{At, Dispatch, Event, GatewayRun, Records, Request, RequestEnd};
+use super::{Checker, Notifications, Rule, TOLERANCE_US, micros, proves_not_run};
+use crate::history::{Dispatch, Event, Micros, Records, Request, RequestEnd};
 use crate::schedule::{Group, Semantics};
 use std::collections::BTreeMap;
 
-/// An attempt may begin this long after its client has left.
-const LEFT_FOR: At = 100_000;
-/// An engine may be told so much more time than the client has left.
-const DEADLINE_SLACK: At = 150_000;
-/// What the bus has counts as told after this time.
-const TOLD_AFTER: At = 7_000_000;
+/// A dispatch may still be sent this long after its client has abandoned the request.
+const ABANDONED_GRACE_US: Micros = 100_000;
+/// A dispatch's time limit may exceed the time left until the client's timeout by this much.
+const TIME_LIMIT_TOLERANCE_US: Micros = 150_000;
+/// This long after a drain was published, a gateway is expected to know of it even if the bus has not notified it.
+const DRAIN_NOTIFICATION_TIMEOUT_US: Micros = 7_000_000;
 
 impl Checker<'_> {
-    /// Checks all dispatches.
-    pub(super) fn dispatches(&mut self) {
+    pub(super) fn check_dispatches(&mut self) {
         let records = self.records;
-        let mut by_id: BTreeMap<&str, Vec<&Dispatch>> = BTreeMap::new();
+        let mut dispatches_by_id: BTreeMap<&str, Vec<&Dispatch>> = BTreeMap::new();
         for dispatch in &records.dispatches {
-            by_id.entry(&dispatch.id).or_default().push(dispatch);
+            dispatches_by_id.entry(&dispatch.id).or_default().push(dispatch);
         }
         let drains = Drains::read(records);
-        for (id, mut all) in by_id {
-            all.sort_by_key(|dispatch| dispatch.at);
-            let Some(request) = self.by_id.get(id).copied() else {
-                self.found(
+        for (id, mut dispatches) in dispatches_by_id {
+            dispatches.sort_by_key(|dispatch| dispatch.received_at);
+            let Some(request) = self.requests_by_id.get(id).copied() else {
+                self.report(
                     Rule::UnknownRequest,
-                    all[0].at,
+                    dispatches[0].received_at,
                     Some(id),
                     false,
-                    "no client asked for it".to_string(),
+                    "no client sent this request".to_string(),
                 );
                 continue;
             };
-            for (position, dispatch) in all.iter().enumerate() {
-                self.one_dispatch(request, dispatch, &drains);
-                self.repeat(request, &all[..position], dispatch);
+            for (position, dispatch) in dispatches.iter().enumerate() {
+                self.check_dispatch(request, dispatch, &drains);
+                self.check_repeat(request, &dispatches[..position], dispatch);
             }
         }
     }
 
-    fn one_dispatch(&mut self, request: &Request, dispatch: &Dispatch, drains: &Drains) {
-        let (id, at) = (Some(request.id.as_str()), dispatch.at);
-        let due = request.sent + request.patience_ms * 1000;
+    fn check_dispatch(&mut self, request: &Request, dispatch: &Dispatch, drains: &Drains) {
+        let (id, at) = (Some(request.id.as_str()), dispatch.received_at);
+        let deadline = request.sent_at + request.timeout_ms * 1000;
         match &request.end {
-            Some((left, RequestEnd::Left)) if at > left + LEFT_FOR + SLACK / 2 => {
-                let late = (at - left) / 1000;
-                self.found(
+            Some((abandoned, RequestEnd::Abandoned))
+                if at > abandoned + ABANDONED_GRACE_US + TOLERANCE_US / 2 =>
+            {
+                let late_ms = (at - abandoned) / 1000;
+                self.report(
                     Rule::SentAfterClientLeft,
                     at,
                     id,
                     true,
-                    format!("{late} ms after its client left"),
+                    format!("{late_ms} ms after its client abandoned it"),
                 );
             }
-            Some((answered, end)) if *end != RequestEnd::Left && at > answered + SLACK => {
-                self.found(Rule::SentAfterAnswer, at, id, true, format!("{end:?} at {answered}"));
+            Some((answered, end)) if *end != RequestEnd::Abandoned && at > answered + TOLERANCE_US => {
+                self.report(Rule::SentAfterAnswer, at, id, true, format!("{end:?} at {answered}"));
             }
             _ => {}
         }
-        if at > due + SLACK {
-            self.found(Rule::SentAfterDeadline, at, id, true, format!("{} ms after", (at - due) / 1000));
+        if at > deadline + TOLERANCE_US {
+            let late_ms = (at - deadline) / 1000;
+            self.report(Rule::SentAfterDeadline, at, id, true, format!("{late_ms} ms after"));
         }
-        let left = due.saturating_sub(at);
-        if dispatch.limit_ms * 1000 > left + DEADLINE_SLACK + SLACK {
-            let what = format!("told {} ms with {} ms left", dispatch.limit_ms, left / 1000);
-            self.found(Rule::DeadlineTooLong, at, id, true, what);
+        let time_left = deadline.saturating_sub(at);
+        if dispatch.limit_ms * 1000 > time_left + TIME_LIMIT_TOLERANCE_US + TOLERANCE_US {
+            let description =
+                format!("time limit {} ms with {} ms left", dispatch.limit_ms, time_left / 1000);
+            self.report(Rule::DeadlineTooLong, at, id, true, description);
         }
         let class = &self.schedule.classes[request.class];
-        if self.knows(dispatch)
+        if self.knows_engine(dispatch)
             && class.zone.is_some_and(|zone| zone != self.schedule.zone_of(dispatch.engine))
         {
-            self.found(
+            self.report(
                 Rule::Placement,
                 at,
                 id,
                 false,
-                format!("class {} on {}", class.name, dispatch.engine),
+                format!("class {} on engine {}", class.name, dispatch.engine),
             );
         }
-        let until = drains.until(dispatch, micros(self.schedule.rules.drain_grace));
-        if let Some(until) = until.filter(|until| at > until + SLACK) {
-            let late = (at - until) / 1000;
-            let what = format!("to draining engine {}, {late} ms past its grace", dispatch.engine);
-            self.found(Rule::Drain, at, id, true, what);
+        let grace_end = drains.grace_end(dispatch, micros(self.schedule.rules.drain_grace));
+        if let Some(grace_end) = grace_end.filter(|grace_end| at > grace_end + TOLERANCE_US) {
+            let late_ms = (at - grace_end) / 1000;
+            let description = format!("to draining engine {}, {late_ms} ms past its grace", dispatch.engine);
+            self.report(Rule::Drain, at, id, true, description);
         }
     }
 
-    /// Whether the gateway had been told which engine listens where it sent this: before, it can't know that another one
-    /// has taken the address.
-    fn knows(&self, dispatch: &Dispatch) -> bool {
-        let told = self.told.get(&(dispatch.from, dispatch.engine, dispatch.engine_run));
-        told.is_some_and(|told| told + SLACK / 2 <= dispatch.at)
+    /// Whether the gateway had been notified which engine listens at the address of this dispatch. Before that, it can't
+    /// know that another engine has taken over the address.
+    fn knows_engine(&self, dispatch: &Dispatch) -> bool {
+        let engine_run = (dispatch.from, dispatch.engine, dispatch.engine_run);
+        let notified = self.in_service_notifications.get(&engine_run);
+        notified.is_some_and(|notified| notified + TOLERANCE_US / 2 <= dispatch.received_at)
     }
 
-    fn repeat(&mut self, request: &Request, before: &[&Dispatch], dispatch: &Dispatch) {
-        let (id, at) = (Some(request.id.as_str()), dispatch.at);
-        if let Some(out) = before.iter().find(|other| other.end.is_none_or(|(end, _)| end > at + SLACK / 2)) {
-            let what = format!("on engine {} beside one on engine {}", dispatch.engine, out.engine);
-            self.found(Rule::TwoOut, at, id, true, what);
+    fn check_repeat(&mut self, request: &Request, earlier: &[&Dispatch], dispatch: &Dispatch) {
+        let (id, at) = (Some(request.id.as_str()), dispatch.received_at);
+        let is_in_flight = |other: &&&Dispatch| other.end.is_none_or(|(end, _)| end > at + TOLERANCE_US / 2);
+        if let Some(in_flight) = earlier.iter().find(is_in_flight) {
+            let description =
+                format!("on engine {} while in flight on engine {}", dispatch.engine, in_flight.engine);
+            self.report(Rule::TwoOut, at, id, true, description);
         }
-        let Some(ran) = before.iter().find(|other| !proves_unrun(other)) else { return };
+        let Some(first) = earlier.iter().find(|other| !proves_not_run(other)) else { return };
         match self.schedule.classes[request.class].semantics {
             Semantics::Restartable => {}
             Semantics::RunOnce => {
-                let what =
-                    format!("engine {} ended it {:?}, then engine {}", ran.engine, ran.end, dispatch.engine);
-                self.found(Rule::RunOnceAgain, at, id, false, what);
+                let description = format!(
+                    "sent to engine {}, ended {:?}, then sent to engine {}",
+                    first.engine, first.end, dispatch.engine
+                );
+                self.report(Rule::RunOnceAgain, at, id, false, description);
             }
             Semantics::Keyed => {
-                if at > ran.at + micros(self.schedule.rules.dedup_window) + SLACK {
-                    let late = (at - ran.at) / 1000;
-                    self.found(Rule::KeyedOutsideWindow, at, id, true, format!("{late} ms after the first"));
+                if at > first.received_at + micros(self.schedule.rules.dedup_window) + TOLERANCE_US {
+                    let late_ms = (at - first.received_at) / 1000;
+                    let description = format!("{late_ms} ms after the first");
+                    self.report(Rule::KeyedOutsideWindow, at, id, true, description);
                 }
-                let group = |engine: usize| match self.schedule.group {
+                let group_of = |engine: usize| match self.schedule.group {
                     Group::Zone => self.schedule.zone_of(engine),
                     Group::Cell => self.schedule.cell_of(engine),
                     Group::All => 0,
                 };
-                if group(ran.engine) != group(dispatch.engine) && self.knows(dispatch) {
-                    let what = format!("engine {} after engine {}", dispatch.engine, ran.engine);
-                    self.found(Rule::KeyedOutsideGroup, at, id, false, what);
+                if group_of(first.engine) != group_of(dispatch.engine) && self.knows_engine(dispatch) {
+                    let description = format!("engine {} after engine {}", dispatch.engine, first.engine);
+                    self.report(Rule::KeyedOutsideGroup, at, id, false, description);
                 }
             }
         }
     }
 }
 
-/// When drains were in the bus, and when each gateway was told.
+/// When engines began to drain.
 struct Drains {
-    published: BTreeMap<(usize, u32), At>,
-    told: BTreeMap<(GatewayRun, usize, u32), At>,
+    /// When the drain of an engine's run was published on the event bus.
+    published: BTreeMap<(usize, u32), Micros>,
+    notified: Notifications,
 }
 
 impl Drains {
     fn read(records: &Records) -> Drains {
-        let mut drains = Drains { published: BTreeMap::new(), told: BTreeMap::new() };
+        let mut drains = Drains { published: BTreeMap::new(), notified: BTreeMap::new() };
         for (at, event) in &records.events {
             match event {
                 Event::Drained { engine, run } => {
                     drains.published.entry((*engine, *run)).or_insert(*at);
                 }
-                // One that is listed as in service again no longer drains.
-                Event::StartListed { engine, run } => drop(drains.published.remove(&(*engine, *run))),
-                Event::Told { to, engine, run, drained: true } => {
-                    drains.told.entry((*to, *engine, *run)).or_insert(*at);
+                // An engine that is listed as in service again no longer drains.
+                Event::ListedInService { engine, run } => drop(drains.published.remove(&(*engine, *run))),
+                Event::Notified { to, engine, run, drained: true } => {
+                    drains.notified.entry((*to, *engine, *run)).or_insert(*at);
                 }
                 _ => {}
             }
@@ -152,10 +162,10 @@
         drains
     }
 
-    /// Until when a gateway may send there, if it drains.
-    fn until(&self, dispatch: &Dispatch, grace: At) -> Option<At> {
+    /// Until when the gateway may send to the dispatch's engine; none if the engine doesn't drain.
+    fn grace_end(&self, dispatch: &Dispatch, grace: Micros) -> Option<Micros> {
         let published = self.published.get(&(dispatch.engine, dispatch.engine_run))?;
-        let told = self.told.get(&(dispatch.from, dispatch.engine, dispatch.engine_run));
-        Some(told.copied().unwrap_or(At::MAX).min(published + TOLD_AFTER) + grace)
+        let notified = self.notified.get(&(dispatch.from, dispatch.engine, dispatch.engine_run));
+        Some(notified.copied().unwrap_or(Micros::MAX).min(published + DRAIN_NOTIFICATION_TIMEOUT_US) + grace)
     }
 }
--- a/crates/soak/src/checker/windows.rs
+++ b/crates/soak/src/checker/windows.rs
@@ -1,90 +1,110 @@
-//! What holds for many dispatches within a window of time: rules 4 and 7.
+//! Checks the number of dispatches within time windows: rules 4 and 7.
 
 use super::{Checker, Rule, micros};
-use crate::history::{At, Dispatch, Event, GatewayRun};
+use crate::history::{Dispatch, Event, GatewayRun, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A dispatch may wait this long for a connection between the gateway's count and the engine's.
-const CONNECTING: At = 300_000;
+/// A dispatch may wait this long for a connection between its count in the gateway and its arrival at the engine.
+const CONNECT_DELAY_US: Micros = 300_000;
 
 impl Checker<'_> {
-    /// Dispatches beyond a job's first, by gateway, in every window.
-    pub(super) fn budgets(&mut self) {
+    /// Checks that in every window each gateway process keeps to its budget of dispatches beyond a job's first.
+    pub(super) fn check_retry_budgets(&mut self) {
         let records = self.records;
-        let window = micros(self.schedule.rules.budget_window);
+        let window = micros(self.schedule.rules.retry_budget_window);
         let mut seen: BTreeSet<&str> = BTreeSet::new();
-        let mut extras: BTreeMap<GatewayRun, Vec<At>> = BTreeMap::new();
+        let mut retries_by_run: BTreeMap<GatewayRun, Vec<Micros>> = BTreeMap::new();
         let mut sorted: Vec<&Dispatch> = records.dispatches.iter().collect();
-        sorted.sort_by_key(|dispatch| dispatch.at);
+        sorted.sort_by_key(|dispatch| dispatch.received_at);
         for dispatch in sorted {
             if !seen.insert(&dispatch.id) {
-                extras.entry(dispatch.from).or_default().push(dispatch.at);
+                retries_by_run.entry(dispatch.from).or_default().push(dispatch.received_at);
             }
         }
-        for (run, extras) in extras {
-            let jobs: Vec<At> = records
+        for (run, retries) in retries_by_run {
+            let jobs: Vec<Micros> = records
                 .requests
                 .iter()
                 .filter(|request| request.to == run)
-                .map(|request| request.sent)
+                .map(|request| request.sent_at)
                 .collect();
-            for at in &extras {
-                // What counts is when they were sent; a connection may have taken a while to come up.
-                let near = extras
+            for at in &retries {
+                // The gateway counts a retry when it sends it, which is up to `CONNECT_DELAY_US` before the engine
+                // receives it. Only those count here that were sent within one window in any case.
+                let in_window = retries
                     .iter()
-                    .filter(|extra| (at + CONNECTING..=at + window).contains(&(**extra + window)));
-                let count = near.count() as f64;
-                let from = at.saturating_sub(window + CONNECTING);
-                let taken = jobs.iter().filter(|job| (from..=*at).contains(job)).count() as f64;
-                let most = self.schedule.rules.spare_attempts + self.schedule.rules.extra_ratio * taken;
-                if count > most + 1e-9 {
-                    let what = format!("{run:?}: {count} further dispatches where {most:.1} are allowed");
-                    self.found(Rule::Budget, *at, None, true, what);
+                    .filter(|retry| (at + CONNECT_DELAY_US..=at + window).contains(&(**retry + window)));
+                let count = in_window.count() as f64;
+                let from = at.saturating_sub(window + CONNECT_DELAY_US);
+                let job_count = jobs.iter().filter(|job| (from..=*at).contains(job)).count() as f64;
+                let rules = &self.schedule.rules;
+                let allowed = rules.min_retries + rules.retries_per_job * job_count;
+                if count > allowed + 1e-9 {
+                    let description =
+                        format!("{run:?}: {count} further dispatches where {allowed:.1} are allowed");
+                    self.report(Rule::Budget, *at, None, true, description);
                 }
             }
         }
     }
 
-    /// Dispatches to engines that have just started: in no window more than the settings allow and chance may add.
-    pub(super) fn cold_engines(&mut self) {
+    /// Checks that engines which have just started get, in any window, no more dispatches than the settings allow plus
+    /// a margin for random variation.
+    pub(super) fn check_cold_engines(&mut self) {
         let records = self.records;
         let (rules, schedule) = (&self.schedule.rules, self.schedule);
-        let work: u64 = schedule.classes.iter().map(|class| class.work_ms).sum();
-        let mean_work = work as f64 / schedule.classes.len() as f64;
-        let (warm, window) = (micros(rules.warm_after), micros(rules.overload_for));
-        let mut broken = vec![];
+        let total_work_ms: u64 = schedule.classes.iter().map(|class| class.work_ms).sum();
+        let mean_work_ms = total_work_ms as f64 / schedule.classes.len() as f64;
+        let (warm_up, window) = (micros(rules.warm_up_time), micros(rules.warm_up_window));
+        let mut violations = vec![];
         for (started, event) in &records.events {
             let Event::EngineStarted { engine, run } = event else { continue };
+            // Engines that start with the play count as warm.
             if *run == 0 && *engine < schedule.engines {
                 continue;
             }
-            let mut came: Vec<&Dispatch> = records.dispatches.iter().collect();
-            came.retain(|d| d.engine == *engine && d.engine_run == *run && d.at < started + warm);
-            came.sort_by_key(|dispatch| dispatch.at);
-            let knows = |dispatch: &&&Dispatch| {
-                let told = self.told.get(&(dispatch.from, *engine, *run));
-                told.is_some_and(|told| *told <= dispatch.at)
+            let mut received: Vec<&Dispatch> = records.dispatches.iter().collect();
+            received
+                .retain(|d| d.engine == *engine && d.engine_run == *run && d.received_at < started + warm_up);
+            received.sort_by_key(|dispatch| dispatch.received_at);
+            let is_from_notified = |dispatch: &&&Dispatch| {
+                let notified = self.in_service_notifications.get(&(dispatch.from, *engine, *run));
+                notified.is_some_and(|notified| *notified <= dispatch.received_at)
             };
-            for last in &came {
-                let within: Vec<&&Dispatch> =
-                    came.iter().filter(|d| d.at <= last.at && d.at + window > last.at).collect();
-                let age = (last.at - started) as f64 / warm as f64;
-                let share = rules.start_capacity + (1.0 - rules.start_capacity) * age.min(1.0);
-                let n = rules.fall_multiple * schedule.cores * share * (window as f64 / 1000.0) / mean_work;
-                let most = if n < 30.0 { n + 3.0 * n.sqrt() + 3.0 } else { n + 2.0 * n.sqrt() + 2.0 };
-                let known = within.iter().filter(|d| knows(d)).count();
-                if within.len() as f64 > most && known * 3 > within.len() * 2 {
-                    let what = format!(
-                        "engine {engine} run {run}: {} dispatches of {most:.1}, {known} told",
-                        within.len()
+            for last in &received {
+                let in_window: Vec<&&Dispatch> = received
+                    .iter()
+                    .filter(|d| {
+                        d.received_at <= last.received_at && d.received_at + window > last.received_at
+                    })
+                    .collect();
+                let age = (last.received_at - started) as f64 / warm_up as f64;
+                let initial = rules.initial_capacity_fraction;
+                let capacity = initial + (1.0 - initial) * age.min(1.0);
+                let allowed =
+                    rules.warm_up_overload_factor * schedule.cores * capacity * (window as f64 / 1000.0)
+                        / mean_work_ms;
+                let limit = if allowed < 30.0 {
+                    allowed + 3.0 * allowed.sqrt() + 3.0
+                } else {
+                    allowed + 2.0 * allowed.sqrt() + 2.0
+                };
+                // Gateways that have not been notified of the start can't hold back; a violation needs more than two
+                // thirds of the dispatches from notified ones.
+                let notified = in_window.iter().filter(|d| is_from_notified(d)).count();
+                if in_window.len() as f64 > limit && notified * 3 > in_window.len() * 2 {
+                    let description = format!(
+                        "engine {engine} run {run}: {} dispatches where {limit:.1} are allowed, {notified} from \
+                         notified gateways",
+                        in_window.len()
                     );
-                    broken.push((last.at, what));
+                    violations.push((last.received_at, description));
                     break;
                 }
             }
         }
-        for (at, what) in broken {
-            self.found(Rule::ColdEngine, at, None, true, what);
+        for (at, description) in violations {
+            self.report(Rule::ColdEngine, at, None, true, description);
         }
     }
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -73,7 +73,7 @@
     }
 
     async fn think(&mut self) {
-        let mean = self.testbed.schedule.think_ms_of(self.gateway);
+        let mean = self.testbed.schedule.think_time_ms(self.gateway);
         let pause = self.chance.random_range(mean / 3..=mean * 2);
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
@@ -165,18 +165,18 @@
 
     fn request(&mut self, to: GatewayRun, fresh: bool) -> Request {
         let class = self.chance.random_range(0..self.testbed.schedule.classes.len());
-        let [least, most] = self.testbed.schedule.classes[class].patience_ms;
+        let [least, most] = self.testbed.schedule.classes[class].timeout_ms;
         Request {
             id: format!("{:08x}{:08x}", self.testbed.schedule.seed as u32, IDS.fetch_add(1, SeqCst) as u32),
             to,
             class,
-            patience_ms: if self.chance.random_bool(0.06) {
+            timeout_ms: if self.chance.random_bool(0.06) {
                 self.chance.random_range(SHORT_PATIENCE)
             } else {
                 self.chance.random_range(least..=most)
             },
-            sent: 0,
-            fresh,
+            sent_at: 0,
+            is_first_on_connection: fresh,
             end: None,
             further_answers: 0,
         }
@@ -199,7 +199,7 @@
         let rest = if slow { &bytes[bytes.len() - 1..] } else { &bytes[..] };
         if let Err(e) = connection.writer.write_all(rest).await {
             // It was never taken whole: nothing is owed.
-            self.testbed.history.request_ended(entry, RequestEnd::Left);
+            self.testbed.history.record_request_end(entry, RequestEnd::Abandoned);
             return Err(e);
         }
         Ok((message, entry))
@@ -263,8 +263,8 @@
         if open.ended {
             return Err(std::io::ErrorKind::BrokenPipe.into());
         }
-        request.sent = testbed.history.now();
-        let entry = testbed.history.request(request);
+        request.sent_at = testbed.history.now();
+        let entry = testbed.history.record_request(request);
         open.entries.insert(message, entry);
         Ok(entry)
     }
@@ -277,7 +277,7 @@
         let mut bytes = b"\x93\x02\xa6forget\x91".to_vec();
         encode::write_uint(&mut bytes, message.into()).map_err(|e| std::io::Error::other(e.to_string()))?;
         self.writer.write_all(&bytes).await?;
-        testbed.history.request_ended(entry, RequestEnd::Left);
+        testbed.history.record_request_end(entry, RequestEnd::Abandoned);
         Ok(())
     }
 
@@ -285,7 +285,7 @@
     fn leave(self, testbed: &Testbed) {
         self.reader.abort();
         for (_, entry) in locked(&self.open).entries.drain() {
-            testbed.history.request_ended(entry, RequestEnd::Left);
+            testbed.history.record_request_end(entry, RequestEnd::Abandoned);
         }
     }
 
@@ -309,7 +309,7 @@
 
 fn encode_request(testbed: &Testbed, message: u32, request: &Request) -> Vec<u8> {
     let class = &testbed.schedule.classes[request.class];
-    let patience = request.patience_ms.to_string();
+    let patience = request.timeout_ms.to_string();
     let fields = [("i", request.id.as_str()), ("d", &patience), ("h", "20.0"), ("mem", "16")];
     let mut bytes = vec![0x94, 0];
     // A Vec takes every write.
@@ -339,14 +339,14 @@
             let entry = locked(&open).entries.remove(&message).or_else(|| answered.get(&message).copied());
             if let Some(entry) = entry {
                 answered.insert(message, entry);
-                testbed.history.request_ended(entry, end);
+                testbed.history.record_request_end(entry, end);
             }
         }
     };
     let mut open = locked(&open);
     open.ended = true;
     for (_, entry) in open.entries.drain() {
-        testbed.history.request_ended(entry, RequestEnd::Closed { reset });
+        testbed.history.record_request_end(entry, RequestEnd::Closed { reset });
     }
 }
 
@@ -374,7 +374,7 @@
         let length = decode::read_str_len(&mut from).ok()?;
         match text(&mut from, length)? {
             why if why == "Busy" => RequestEnd::Busy,
-            why => RequestEnd::Failed { why },
+            reason => RequestEnd::Failed { reason },
         }
     };
     for _ in 0..2 * decode::read_map_len(&mut from).ok()? {
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -132,7 +132,7 @@
     /// The process ends: connections are reset and new ones refused.
     pub fn die(&self, testbed: &Testbed) {
         locked(&self.state).alive = false;
-        testbed.history.event(Event::EngineDied { engine: self.index, run: self.run() });
+        testbed.history.record_event(Event::EngineDied { engine: self.index, run: self.run() });
         self.runs.send_modify(|run| *run += 1);
     }
 
@@ -151,7 +151,7 @@
             let mut state = locked(&self.state);
             (state.port, state.alive) = (listener.local_addr()?.port(), true);
         }
-        testbed.history.event(Event::EngineStarted { engine: self.index, run: self.run() });
+        testbed.history.record_event(Event::EngineStarted { engine: self.index, run: self.run() });
         let (engine, testbed, run) = (self.clone(), testbed.clone(), self.run());
         tokio::spawn(async move {
             let mut runs = engine.runs.subscribe();
@@ -222,7 +222,7 @@
         }
         for (_, job) in link.open.drain() {
             job.given_up.store(true, SeqCst);
-            link.testbed.history.dispatch_ended(job.entry, DispatchEnd::Disconnected);
+            link.testbed.history.record_dispatch_end(job.entry, DispatchEnd::Disconnected);
         }
         writing.abort();
     }
@@ -272,7 +272,7 @@
                 ["STOP" | "END", id] => {
                     if let Some(job) = self.open.remove(id) {
                         job.given_up.store(true, SeqCst);
-                        self.testbed.history.dispatch_ended(job.entry, DispatchEnd::Stopped);
+                        self.testbed.history.record_dispatch_end(job.entry, DispatchEnd::Stopped);
                     }
                 }
                 ["FETCH", id, page] => self.fetch(id, page.parse().unwrap_or(0)),
@@ -290,13 +290,13 @@
             fields.into_iter().find(|(told, _)| *told == name).map_or("", |(_, value)| value)
         };
         let class = field("cls").to_string();
-        let entry = self.testbed.history.dispatch(Dispatch {
+        let entry = self.testbed.history.record_dispatch(Dispatch {
             id: id.to_string(),
             class: class.clone(),
             from: self.from,
             engine: self.engine.index,
             engine_run: self.run,
-            at: self.testbed.history.now(),
+            received_at: self.testbed.history.now(),
             limit_ms: field("limit").parse().unwrap_or(0),
             end: None,
         });
@@ -389,7 +389,7 @@
     }
 
     fn ended(&self, end: DispatchEnd) {
-        self.testbed.history.dispatch_ended(self.entry, end);
+        self.testbed.history.record_dispatch_end(self.entry, end);
     }
 
     fn hit(&self) -> Vec<u8> {
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -43,7 +43,7 @@
             each(testbed, &engines, |engine| engine.accept_late(ms(for_ms)));
         }
         Fault::ResetConnections { engines } => each(testbed, &engines, Engine::reset),
-        Fault::SpoilAnswers { engines, share, for_ms } => {
+        Fault::CorruptAnswers { engines, share, for_ms } => {
             each(testbed, &engines, |engine| engine.spoil(share, ms(for_ms)));
         }
         Fault::FailJobs { engines, share, for_ms } => {
--- a/crates/soak/src/gateway.rs
+++ b/crates/soak/src/gateway.rs
@@ -145,7 +145,7 @@
             let mut state = locked(&self.state);
             (state.phase, state.pid) = (Phase::Starting, child.id());
         }
-        testbed.history.event(Event::GatewayStarted { run });
+        testbed.history.record_event(Event::GatewayStarted { run });
         let log = testbed.folder.join(format!("g{}-{}.log", run.gateway, run.run));
         if let Some(out) = child.stdout.take() {
             tokio::spawn(watch(testbed.clone(), run, out, Some(log)));
@@ -174,7 +174,7 @@
         drop(state);
         let status = ended.map_or_else(|e| e.to_string(), |status| status.to_string());
         let clean = told && status == "exit status: 0";
-        testbed.history.event(Event::GatewayEnded { run, status, clean });
+        testbed.history.record_event(Event::GatewayEnded { run, status, clean });
     }
 
     async fn becomes_ready(&self, testbed: &Testbed, run: GatewayRun) {
@@ -185,7 +185,7 @@
                 if state.phase == Phase::Starting {
                     state.phase = Phase::Ready;
                     drop(state);
-                    testbed.history.event(Event::GatewayReady { run });
+                    testbed.history.record_event(Event::GatewayReady { run });
                 }
                 return;
             }
@@ -202,7 +202,7 @@
     }
 
     fn descriptors(&self, schedule: &Schedule) -> usize {
-        let is_crowded = schedule.clients_of(self.index) > schedule.clients_per_gateway;
+        let is_crowded = schedule.client_count(self.index) > schedule.clients_per_gateway;
         if is_crowded { DESCRIPTORS_OF_CROWD } else { DESCRIPTORS }
     }
 
@@ -243,12 +243,12 @@
         }
         state.phase = Phase::Stopping(Instant::now());
         drop(state);
-        testbed.history.event(Event::GatewayStopping { run });
+        testbed.history.record_event(Event::GatewayStopping { run });
         true
     }
 
     pub async fn kill(&self, testbed: &Testbed) {
-        testbed.history.event(Event::GatewayKilled { run: testbed.run_of(self.index) });
+        testbed.history.record_event(Event::GatewayKilled { run: testbed.run_of(self.index) });
         self.signal(Signal::SIGKILL);
         while self.phase() != Phase::Down {
             tokio::time::sleep(LOOK).await;
@@ -257,11 +257,11 @@
 
     pub async fn freeze(&self, testbed: &Testbed, time: Duration) {
         let run = testbed.run_of(self.index);
-        testbed.history.event(Event::GatewayFrozen { run });
+        testbed.history.record_event(Event::GatewayFrozen { run });
         self.signal(Signal::SIGSTOP);
         tokio::time::sleep(time).await;
         self.signal(Signal::SIGCONT);
-        testbed.history.event(Event::GatewayThawed { run });
+        testbed.history.record_event(Event::GatewayThawed { run });
     }
 }
 
@@ -273,7 +273,7 @@
         // Whatever comes on standard error is a panic or the reason of a failed start.
         let odd = log.is_none() || line.contains(" ERROR ") || line.contains("panicked");
         if odd {
-            testbed.history.event(Event::Complained { run, line: line.clone() });
+            testbed.history.record_event(Event::ErrorLogged { run, line: line.clone() });
         }
         if bytes < LONGEST_LOG {
             bytes += line.len();
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,17 +1,18 @@
-//! What clients, engines, the bus and the supervisor saw, each with its time on one monotonic clock (microseconds since
-//! the start of the play). Nothing here checks it.
+//! Records what clients, engines, the event bus and the supervisor observe during a play, each observation with its
+//! time on one monotonic clock. The checker evaluates the records afterwards.
 
 use serde::Serialize;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Microseconds since the start of the play.
-pub type At = u64;
+/// Microseconds: a time since the start of the play, or a duration.
+pub type Micros = u64;
 
-/// A run of a gateway's process.
+/// One process of a gateway, between a start and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub struct GatewayRun {
     pub gateway: usize,
+    /// 1 for the gateway's first process, increased by 1 at each start.
     pub run: u32,
 }
 
@@ -23,60 +24,74 @@
     },
     Busy,
     Failed {
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
-    /// The connection ended before an answer.
+    /// The connection ended before an answer, and the client had not closed it.
     Closed {
         reset: bool,
     },
-    /// The client took it back, or closed the connection.
-    Left,
+    /// The client cancelled the request or closed the connection.
+    #[serde(rename = "Left")]
+    Abandoned,
 }
 
+/// A request as its client sees it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Request {
     pub id: String,
+    /// The gateway process that the client is connected to.
     pub to: GatewayRun,
+    /// Index into the classes of the schedule.
     pub class: usize,
-    pub patience_ms: u64,
+    /// The timeout that the request carries.
+    #[serde(rename = "patience_ms")]
+    pub timeout_ms: u64,
     /// When its last byte was written.
-    pub sent: At,
-    /// No request had gone before it on its connection.
-    pub fresh: bool,
-    pub end: Option<(At, RequestEnd)>,
+    #[serde(rename = "sent")]
+    pub sent_at: Micros,
+    /// Whether it is the first request on its connection. The gateway accepts these for longer while it stops.
+    #[serde(rename = "fresh")]
+    pub is_first_on_connection: bool,
+    pub end: Option<(Micros, RequestEnd)>,
     /// Answers after the first end.
     pub further_answers: u32,
 }
 
-/// How a dispatch ended at the engine's end of its link.
+/// How a dispatch ended at the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum DispatchEnd {
     Done,
+    /// The engine answered with an error.
     Fault,
-    /// Refused before it ran.
+    /// The engine rejected the dispatch before running it.
     Shed,
-    /// Over before it ran.
+    /// The engine answered that the time limit had passed before the dispatch ran.
     Late,
-    /// The gateway gave it up.
+    /// The gateway cancelled the dispatch or released its result.
     Stopped,
-    /// Its connection ended.
+    /// The connection ended.
     Disconnected,
 }
 
+/// A dispatch as its engine sees it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Dispatch {
     pub id: String,
     pub class: String,
     pub from: GatewayRun,
     pub engine: usize,
-    /// The run of that engine's process.
+    /// The run of the engine's process: 0 for the first one.
     pub engine_run: u32,
-    /// When it had come whole.
-    pub at: At,
+    /// When it had been received completely.
+    #[serde(rename = "at")]
+    pub received_at: Micros,
+    /// The time limit that the gateway sent with it.
     pub limit_ms: u64,
-    pub end: Option<(At, DispatchEnd)>,
+    pub end: Option<(Micros, DispatchEnd)>,
 }
 
+/// What happened to an engine or a gateway.
 #[derive(Clone, Debug, Serialize)]
 pub enum Event {
     EngineStarted {
@@ -87,17 +102,21 @@
         engine: usize,
         run: u32,
     },
-    /// The bus has it; each gateway is told when the bus could write it there.
+    /// The engine was published on the event bus as terminating or terminated. Each gateway is notified later, when the
+    /// bus writes the change to its connection.
     Drained {
         engine: usize,
         run: u32,
     },
-    StartListed {
+    /// The engine was published on the event bus as in service.
+    #[serde(rename = "StartListed")]
+    ListedInService {
         engine: usize,
         run: u32,
     },
-    /// The bus has written all its events up to a number to a gateway.
-    Told {
+    /// A gateway was sent a change of this engine, by the event bus or in its configuration.
+    #[serde(rename = "Told")]
+    Notified {
         to: GatewayRun,
         engine: usize,
         run: u32,
@@ -106,9 +125,11 @@
     GatewayStarted {
         run: GatewayRun,
     },
+    /// The gateway answered its first health check.
     GatewayReady {
         run: GatewayRun,
     },
+    /// A gateway is about to get its first SIGTERM or SIGINT.
     GatewayStopping {
         run: GatewayRun,
     },
@@ -124,81 +145,90 @@
     GatewayEnded {
         run: GatewayRun,
         status: String,
+        /// Whether it was stopped as planned and exited with status 0.
         clean: bool,
     },
-    /// A line of a gateway's log that says that an invariant is broken or that it panicked.
-    Complained {
+    /// The gateway logged an error, panicked or wrote to its standard error.
+    #[serde(rename = "Complained")]
+    ErrorLogged {
         run: GatewayRun,
         line: String,
     },
-    /// The test itself was late by so much: its times are not to be trusted there.
+    /// The soak's own timers were late by this much, so recorded times near this event are unreliable.
     Lagged {
         by_us: u64,
     },
 }
 
+/// All that was recorded during one play.
 #[derive(Default, Serialize)]
 pub struct Records {
     pub requests: Vec<Request>,
     pub dispatches: Vec<Dispatch>,
-    pub events: Vec<(At, Event)>,
+    pub events: Vec<(Micros, Event)>,
 }
 
+/// Collects the records of a play that is running.
 pub struct History {
-    began: Instant,
+    started: Instant,
     records: Mutex<Records>,
 }
 
 impl History {
-    pub fn begin() -> History {
-        History { began: Instant::now(), records: Mutex::default() }
+    /// Starts the play's clock.
+    pub fn start() -> History {
+        History { started: Instant::now(), records: Mutex::default() }
     }
 
-    pub fn now(&self) -> At {
-        self.began.elapsed().as_micros() as At
+    pub fn now(&self) -> Micros {
+        self.started.elapsed().as_micros() as Micros
     }
 
     fn records(&self) -> MutexGuard<'_, Records> {
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn event(&self, event: Event) {
+    pub fn record_event(&self, event: Event) {
         let at = self.now();
         self.records().events.push((at, event));
     }
 
-    /// Enters a request; the returned number names it.
-    pub fn request(&self, request: Request) -> usize {
+    /// Returns the index of the new record.
+    pub fn record_request(&self, request: Request) -> usize {
         let mut records = self.records();
         records.requests.push(request);
         records.requests.len() - 1
     }
 
-    pub fn request_ended(&self, request: usize, end: RequestEnd) {
+    /// Records the end of the request at this index, or counts a further answer.
+    pub fn record_request_end(&self, request: usize, end: RequestEnd) {
         let now = self.now();
         let request = &mut self.records().requests[request];
-        let is_answer = !matches!(end, RequestEnd::Closed { .. } | RequestEnd::Left);
+        let is_answer = !matches!(end, RequestEnd::Closed { .. } | RequestEnd::Abandoned);
         match &request.end {
             None => request.end = Some((now, end)),
-            // An answer may be on its way when its client leaves.
-            Some((_, RequestEnd::Left)) => {}
+            // The answer may have been sent before the gateway learned that its client had abandoned the request.
+            Some((_, RequestEnd::Abandoned)) => {}
             Some(_) => request.further_answers += u32::from(is_answer),
         }
     }
 
-    pub fn dispatch(&self, dispatch: Dispatch) -> usize {
+    /// Returns the index of the new record.
+    pub fn record_dispatch(&self, dispatch: Dispatch) -> usize {
         let mut records = self.records();
         records.dispatches.push(dispatch);
         records.dispatches.len() - 1
     }
 
-    pub fn dispatch_ended(&self, dispatch: usize, end: DispatchEnd) {
+    /// Records the end of the dispatch at this index. Only the first end counts.
+    pub fn record_dispatch_end(&self, dispatch: usize, end: DispatchEnd) {
         let now = self.now();
         let dispatch = &mut self.records().dispatches[dispatch];
         dispatch.end.get_or_insert((now, end));
     }
 
-    pub fn take(&self) -> Records {
+    /// Returns all records and leaves none.
+    pub fn take_records(&self) -> Records {
         std::mem::take(&mut *self.records())
     }
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -72,7 +72,7 @@
     let arguments = Arguments::parse();
     if arguments.print_plans {
         for seed in arguments.all_seeds() {
-            let schedule = Schedule::draw(seed, arguments.processes as usize, arguments.seconds);
+            let schedule = Schedule::from_seed(seed, arguments.processes as usize, arguments.seconds);
             println!("{}", serde_json::to_string(&schedule).unwrap_or_else(|e| e.to_string()));
         }
         return ExitCode::SUCCESS;
@@ -114,7 +114,7 @@
         let arguments = arguments.clone();
         plays.push(tokio::spawn(async move {
             let _place = place;
-            let schedule = Schedule::draw(seed, arguments.processes as usize, arguments.seconds);
+            let schedule = Schedule::from_seed(seed, arguments.processes as usize, arguments.seconds);
             play_one(schedule, &arguments).await
         }));
     }
@@ -171,7 +171,7 @@
     let port = FIRST_PORT + (seed % PLAYS * PORTS_A_PLAY) as u16;
     let played = run::play(schedule, &folder, &arguments.program, port).await?;
     let broken: Vec<String> =
-        played.verdict.broken().map(|violation| format!("{:?}", violation.rule)).collect();
+        played.verdict.certain_violations().map(|violation| format!("{:?}", violation.rule)).collect();
     println!("{}", report::line(&played));
     if broken.is_empty() && !arguments.keep {
         let _ = std::fs::remove_dir_all(&folder);
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,7 +1,7 @@
 //! What a person is shown of a play.
 
 use crate::checker::Violation;
-use crate::history::{At, Event};
+use crate::history::{Event, Micros};
 use crate::run::Played;
 use std::fmt::Write;
 use std::path::Path;
@@ -10,14 +10,14 @@
 const MOST_SHOWN: usize = 6;
 const LOG_LINES: usize = 60;
 
-fn seconds(at: At) -> String {
+fn seconds(at: Micros) -> String {
     format!("{:>9.4}", at as f64 / 1e6)
 }
 
 /// One line on a play.
 pub fn line(played: &Played) -> String {
     let verdict = &played.verdict;
-    let broken = verdict.broken().count();
+    let broken = verdict.certain_violations().count();
     let unsure = verdict.violations.len() - broken;
     let end = if broken == 0 { "passed".to_string() } else { format!("FAILED, {broken} violations") };
     let unsure = if unsure > 0 { format!(", {unsure} unsure as the test lagged") } else { String::new() };
@@ -30,10 +30,10 @@
         verdict.busy,
         verdict.failed,
         verdict.dispatches,
-        verdict.crossings,
-        verdict.killed,
+        verdict.close_races,
+        verdict.at_killed_gateways,
         verdict.broken_connections,
-        verdict.after_stop
+        verdict.late_in_stop
     )
 }
 
@@ -44,10 +44,10 @@
         let _ = writeln!(text, "  at {:>5} ms {:?}", scheduled.at_ms, scheduled.fault);
     }
     let verdict = &played.verdict;
-    for violation in verdict.broken().take(MOST_SHOWN) {
+    for violation in verdict.certain_violations().take(MOST_SHOWN) {
         let _ = writeln!(text, "  {}", one_violation(violation));
     }
-    let first = verdict.broken().find(|violation| violation.id.is_some());
+    let first = verdict.certain_violations().find(|violation| violation.id.is_some());
     if let Some(id) = first.and_then(|violation| violation.id.as_ref()) {
         let _ = writeln!(text, "  request {id}:");
         text += &timeline(played, id, folder);
@@ -57,19 +57,19 @@
 
 fn one_violation(violation: &Violation) -> String {
     let id = violation.id.as_deref().unwrap_or("-");
-    format!("{} {:?} {id}: {}", seconds(violation.at), violation.rule, violation.what)
+    format!("{} {:?} {id}: {}", seconds(violation.at), violation.rule, violation.description)
 }
 
 /// All that any process has said of a request, in the order of time.
 fn timeline(played: &Played, id: &str, folder: &Path) -> String {
-    let mut lines: Vec<(At, String)> = vec![];
+    let mut lines: Vec<(Micros, String)> = vec![];
     for request in played.records.requests.iter().filter(|request| request.id == id) {
         let class = &played.schedule.classes[request.class].name;
         let what = format!(
             "client: {class}, {} ms, to {:?}, fresh {}",
-            request.patience_ms, request.to, request.fresh
+            request.timeout_ms, request.to, request.is_first_on_connection
         );
-        lines.push((request.sent, what));
+        lines.push((request.sent_at, what));
         lines.extend(request.end.iter().map(|(at, end)| (*at, format!("client: {end:?}"))));
         let concerns = |event: &Event| match event {
             Event::GatewayStopping { run }
@@ -84,7 +84,10 @@
     }
     for dispatch in played.records.dispatches.iter().filter(|dispatch| dispatch.id == id) {
         let (engine, run) = (dispatch.engine, dispatch.engine_run);
-        lines.push((dispatch.at, format!("engine {engine} run {run}: read, limit {} ms", dispatch.limit_ms)));
+        lines.push((
+            dispatch.received_at,
+            format!("engine {engine} run {run}: read, limit {} ms", dispatch.limit_ms),
+        ));
         lines.extend(
             dispatch.end.iter().map(|(at, end)| (*at, format!("engine {engine} run {run}: {end:?}"))),
         );
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -6,7 +6,7 @@
 use crate::faults;
 use crate::gateway::Phase;
 use crate::history::{Event, Records};
-use crate::schedule::{Schedule, TRAFFIC_FROM};
+use crate::schedule::{Schedule, TRAFFIC_START};
 use crate::testbed::Testbed;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -48,13 +48,13 @@
     for gateway in &testbed.gateways {
         gateway.start(&testbed, false).map_err(|e| PlayError::Start(gateway.index, e))?;
     }
-    tokio::time::sleep_until((testbed.began + TRAFFIC_FROM).into()).await;
+    tokio::time::sleep_until((testbed.began + TRAFFIC_START).into()).await;
     let clients = start_clients(&testbed);
     let faults = faults::inject_all(&testbed);
     tokio::time::sleep_until((testbed.began + until).into()).await;
     end(&testbed, clients, faults).await;
     lag.abort();
-    let records = testbed.history.take();
+    let records = testbed.history.take_records();
     testbed.close();
     let verdict = check(&testbed.schedule, &records);
     Ok(Played { schedule: testbed.schedule.clone(), records, verdict })
@@ -72,7 +72,7 @@
 }
 
 fn start_clients(testbed: &Arc<Testbed>) -> Vec<JoinHandle<()>> {
-    let of = |gateway| (0..testbed.schedule.clients_of(gateway)).map(move |number| (gateway, number));
+    let of = |gateway| (0..testbed.schedule.client_count(gateway)).map(move |number| (gateway, number));
     let all = (0..testbed.schedule.gateways).flat_map(of);
     all.map(|(gateway, number)| tokio::spawn(Client::new(testbed.clone(), gateway, number).run())).collect()
 }
@@ -119,7 +119,7 @@
         tokio::time::sleep(LAG_LOOK).await;
         let late = before.elapsed().saturating_sub(LAG_LOOK);
         if late > LAG_TOLD {
-            testbed.history.event(Event::Lagged { by_us: late.as_micros() as u64 });
+            testbed.history.record_event(Event::Lagged { by_us: late.as_micros() as u64 });
         }
     }
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,5 +1,5 @@
-//! What one seed plays: the deployment, the settings and the faults with their times. Made before anything starts, so
-//! that a seed can be played again and its schedule be printed beside a violation.
+//! The schedule of a play: the deployment, the settings and the faults with their times. It is determined by the seed
+//! before anything starts, so that a play can be repeated and its schedule can be printed with a violation.
 
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
@@ -8,25 +8,29 @@
 use serde_json::{Value as Json, json};
 use std::time::Duration;
 
-/// Traffic begins this long after the programs were started.
-pub const TRAFFIC_FROM: Duration = Duration::from_millis(1500);
-/// How long after the end of the traffic, when all gateways stop, the last fault may begin (s).
-const LAST_FAULT: f64 = 0.4;
-/// Some plays are this much longer, so that connections rest until they are closed.
-const LONGER: f64 = 1.7;
-/// A stop counts the longest wait of a client as no longer than this, and allows this much more before the kill.
-const LONGEST_PATIENCE_MS: u64 = 3000;
+/// When the clients' traffic starts, after the start of the play.
+pub const TRAFFIC_START: Duration = Duration::from_millis(1500);
+/// Maximum start of a fault after the end of the traffic (s). All gateways are being stopped then.
+const MAX_FAULT_START_AFTER_TRAFFIC_S: f64 = 0.4;
+/// Some plays take this many times as long, so that connections are idle until the gateway closes them.
+const LONG_PLAY_FACTOR: f64 = 1.7;
+/// Maximum client timeout that a stop waits for.
+const MAX_STOP_WAIT_MS: u64 = 3000;
+/// What a stop waits in addition before it kills the gateway.
 const KILL_MARGIN_MS: u64 = 700;
 
-/// What the settings say of repeating a class's jobs.
+/// Whether the settings allow a class's jobs to be run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Semantics {
+    /// Jobs may be run again at any time.
     Restartable,
+    /// Jobs carry an idempotency key: they may be run again in their group, within the deduplication window.
     Keyed,
+    /// Jobs must not be run again once they may have run.
     RunOnce,
 }
 
-/// Where a keyed class's jobs may be repeated.
+/// The engines among which a job with an idempotency key may be run again: those of the same zone or cell, or all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Group {
     Zone,
@@ -34,144 +38,118 @@
     All,
 }
 
+/// A job class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Class {
     pub name: String,
     pub semantics: Semantics,
-    /// How long its clients wait (ms): at least and at most.
-    pub patience_ms: [u64; 2],
-    /// Work of a job on an idle engine (ms).
+    /// Minimum and maximum timeout of its clients. The settings have the minimum as latency objective and the maximum as
+    /// client timeout.
+    #[serde(rename = "patience_ms")]
+    pub timeout_ms: [u64; 2],
+    /// Typical work of a job on an idle engine.
     pub work_ms: u64,
     /// The only zone in which its jobs may run.
     pub zone: Option<usize>,
 }
 
-/// The figures of the settings that rules are checked by.
+/// The settings that the checker needs for its rules.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Rules {
+pub struct RuleSettings {
+    /// How long after its first dispatch a job with an idempotency key may be run again.
     pub dedup_window: Duration,
-    pub budget_window: Duration,
-    pub spare_attempts: f64,
-    pub extra_ratio: f64,
+    /// Window in which retries are counted.
+    #[serde(rename = "budget_window")]
+    pub retry_budget_window: Duration,
+    /// Retries that are allowed in any window.
+    #[serde(rename = "spare_attempts")]
+    pub min_retries: f64,
+    /// Retries that are allowed for each job of the window.
+    #[serde(rename = "extra_ratio")]
+    pub retries_per_job: f64,
+    /// How long a gateway may send to a draining engine after the notification.
     pub drain_grace: Duration,
-    pub fall_multiple: f64,
-    pub overload_for: Duration,
-    pub start_capacity: f64,
-    pub warm_after: Duration,
+    /// Work that a warming engine may get in a window, over the work that it can do then.
+    #[serde(rename = "fall_multiple")]
+    pub warm_up_overload_factor: f64,
+    /// Window in which the work sent to a warming engine is counted.
+    #[serde(rename = "overload_for")]
+    pub warm_up_window: Duration,
+    /// The part of its capacity that an engine has when it starts.
+    #[serde(rename = "start_capacity")]
+    pub initial_capacity_fraction: f64,
+    /// How long after its start an engine has its whole capacity.
+    #[serde(rename = "warm_after")]
+    pub warm_up_time: Duration,
 }
 
-/// One disturbance. Indices are of gateways and engines.
+/// A fault. `gateways` and `engines` are their indices, `for_ms` is how long the fault lasts, and `share` is the
+/// probability with which it affects a call, job or answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Fault {
-    DrainEngines {
-        engines: Vec<usize>,
-    },
-    /// Their processes die and new ones listen elsewhere, under new names, cold.
-    ReplaceEngines {
-        engines: Vec<usize>,
-    },
-    /// Their processes die, and new engines under new names listen at their addresses.
-    TakeAddresses {
-        engines: Vec<usize>,
-    },
-    /// Connections to them come up late, or not at all.
-    SlowAccepts {
-        engines: Vec<usize>,
-        for_ms: u64,
-    },
-    /// Their processes die and listen again at the same addresses, cold.
-    RestartEngines {
-        engines: Vec<usize>,
-        down_ms: u64,
-    },
-    /// They read and answer nothing for a while.
-    HangEngines {
-        engines: Vec<usize>,
-        for_ms: u64,
-    },
-    /// Links from some gateways to some engines carry nothing for a while.
-    CutLinks {
-        gateways: Vec<usize>,
-        engines: Vec<usize>,
-        for_ms: u64,
-    },
-    /// Connections are reset, half of them under requests.
-    ResetConnections {
-        engines: Vec<usize>,
-    },
-    /// Answers are spoilt, late, twice or never end.
-    SpoilAnswers {
-        engines: Vec<usize>,
-        share: f64,
-        for_ms: u64,
-    },
-    /// Engines answer errors and refusals.
-    FailJobs {
-        engines: Vec<usize>,
-        share: f64,
-        for_ms: u64,
-    },
-    BusDown {
-        for_ms: u64,
-    },
-    /// Open watches fall silent.
-    BusSilent {
-        for_ms: u64,
-    },
-    /// The bus moves; the gateways are told by a new configuration, which is written in halves.
-    BusMoves {
-        times: u32,
-    },
-    StopGateways {
-        gateways: Vec<usize>,
-    },
-    KillGateways {
-        gateways: Vec<usize>,
-    },
-    /// They get no processor for a while.
-    FreezeGateways {
-        gateways: Vec<usize>,
-        for_ms: u64,
-    },
+    /// The event bus lists them as terminating.
+    DrainEngines { engines: Vec<usize> },
+    /// They are drained, then end; cold engines with other names and addresses replace them.
+    ReplaceEngines { engines: Vec<usize> },
+    /// Their processes die, and cold engines with other names listen at the same addresses.
+    TakeAddresses { engines: Vec<usize> },
+    /// They accept no connections, so that connecting takes long or fails.
+    SlowAccepts { engines: Vec<usize>, for_ms: u64 },
+    /// Their processes die and start again, cold, at the same addresses.
+    RestartEngines { engines: Vec<usize>, down_ms: u64 },
+    /// They neither run jobs nor answer.
+    HangEngines { engines: Vec<usize>, for_ms: u64 },
+    /// These engines neither run the jobs of these gateways nor answer them.
+    CutLinks { gateways: Vec<usize>, engines: Vec<usize>, for_ms: u64 },
+    /// Their connections are reset, also with dispatches in flight.
+    ResetConnections { engines: Vec<usize> },
+    /// Answers are malformed, incomplete, slow, contradictory or sent twice.
+    #[serde(rename = "SpoilAnswers")]
+    CorruptAnswers { engines: Vec<usize>, share: f64, for_ms: u64 },
+    /// Jobs are answered with an error or rejected.
+    FailJobs { engines: Vec<usize>, share: f64, for_ms: u64 },
+    /// The event bus ends its connections and refuses new ones.
+    BusDown { for_ms: u64 },
+    /// The event bus sends nothing on the connections that are open.
+    BusSilent { for_ms: u64 },
+    /// The event bus moves to another port. The gateways reload a configuration with its new address, and are also made
+    /// to reload while that is only half written.
+    BusMoves { times: u32 },
+    /// They are stopped as the stop plan says, then started again.
+    StopGateways { gateways: Vec<usize> },
+    /// They are killed, then started again.
+    KillGateways { gateways: Vec<usize> },
+    /// Their processes are suspended.
+    FreezeGateways { gateways: Vec<usize>, for_ms: u64 },
+    /// Their wall clocks are stepped.
     StepClocks {
         gateways: Vec<usize>,
         by_s: i64,
+        /// Whether the clock that stamps the engines' starts is stepped, too.
         engines_too: bool,
     },
-    FailCalls {
-        gateways: Vec<usize>,
-        share: f64,
-        for_ms: u64,
-    },
-    /// Calls on connections of clients fail, which stay open.
-    FailClientCalls {
-        gateways: Vec<usize>,
-        share: f64,
-        for_ms: u64,
-    },
-    ClientsLeave {
-        gateways: Vec<usize>,
-    },
-    IdleFlood {
-        gateways: Vec<usize>,
-        connections: usize,
-        for_ms: u64,
-    },
-    BadClients {
-        gateways: Vec<usize>,
-        for_ms: u64,
-    },
+    /// Their system calls fail.
+    FailCalls { gateways: Vec<usize>, share: f64, for_ms: u64 },
+    /// Their system calls on client connections fail, while the connections stay open.
+    FailClientCalls { gateways: Vec<usize>, share: f64, for_ms: u64 },
+    /// For 100 ms, further clients act as under `BadClients`.
+    ClientsLeave { gateways: Vec<usize> },
+    /// A client opens idle connections.
+    IdleFlood { gateways: Vec<usize>, connections: usize, for_ms: u64 },
+    /// Further clients send malformed, incomplete or many requests and disconnect at once.
+    BadClients { gateways: Vec<usize>, for_ms: u64 },
 }
 
+/// A fault and when it starts, in milliseconds after the start of the play.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ScheduledFault {
     pub at_ms: u64,
-    /// Files of schedules call it so.
+    // The name in schedule files.
     #[serde(rename = "trouble")]
     pub fault: Fault,
 }
 
-/// A signal that a gateway gets while it is stopped.
+/// A signal that a gateway gets during a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopSignal {
     Reload,
@@ -179,19 +157,20 @@
     Interrupt,
 }
 
+/// One of the signals of a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScheduledSignal {
-    /// After the first one.
+    /// Time after the start of the stop.
     pub at_ms: u64,
     pub signal: StopSignal,
 }
 
-/// How gateways are stopped, and what their clients do meanwhile.
+/// How gateways are stopped, and what their clients do during the stop.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StopPlan {
-    /// Clients go on to ask on open connections until the process has ended.
+    /// Whether clients continue to send requests on open connections until the process has ended.
     pub steady_clients: bool,
-    /// In the order of time. One of them terminates.
+    /// In the order of their times. At least one of them is `Terminate`.
     pub signals: Vec<ScheduledSignal>,
 }
 
@@ -202,43 +181,48 @@
     }
 }
 
+/// Everything that determines a play.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Schedule {
     pub seed: u64,
+    /// Number of gateway processes, which are the program under test.
     pub gateways: usize,
+    /// Number of engines at the start.
     pub engines: usize,
+    /// Cores of each engine.
     pub cores: f64,
     pub zones: usize,
-    /// The group of keyed classes.
+    /// The group of the classes with idempotency keys.
     pub group: Group,
     pub classes: Vec<Class>,
-    pub rules: Rules,
-    /// Traffic ends, and all gateways are told to stop, this long after the programs were started.
+    pub rules: RuleSettings,
+    /// When traffic ends and all gateways are stopped, after the start of the play.
     pub traffic_until_ms: u64,
-    /// Pause between the jobs of one client (ms).
+    /// Typical pause between the requests of one client.
     pub think_ms: u64,
     pub clients_per_gateway: usize,
-    /// Clients of the first gateway, where that has a crowd.
+    /// Number of clients of the first gateway, if it has many more than the others.
     #[serde(default)]
     pub crowd: Option<usize>,
     #[serde(default)]
     pub stop: StopPlan,
-    /// Files of schedules call them so.
+    // The name in schedule files.
     #[serde(rename = "schedule")]
     pub faults: Vec<ScheduledFault>,
 }
 
 impl Schedule {
-    pub fn draw(seed: u64, gateways: usize, seconds: f64) -> Schedule {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let seconds = if chance.random_bool(0.2) { seconds * LONGER } else { seconds };
-        // Some fleets have next to no engines, so that a cold one has to be held back to stay up.
-        let few = chance.random_bool(0.3);
-        let engines = if few { chance.random_range(3..=5) } else { chance.random_range(6..=14) };
-        let zones = chance.random_range(1..=2);
+    /// The schedule that belongs to a seed, with this number of gateways and seconds of traffic.
+    pub fn from_seed(seed: u64, gateways: usize, seconds: f64) -> Schedule {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let seconds = if rng.random_bool(0.2) { seconds * LONG_PLAY_FACTOR } else { seconds };
+        // With very few engines, slow start has to limit the load of a cold one to keep it from being overloaded.
+        let has_few_engines = rng.random_bool(0.3);
+        let engines = if has_few_engines { rng.random_range(3..=5) } else { rng.random_range(6..=14) };
+        let zones = rng.random_range(1..=2);
         let mut class = |name: &str, semantics, work_ms, zone| {
-            let least = chance.random_range(2..=6) * 150;
-            Class { name: name.to_string(), semantics, patience_ms: [least, least * 3], work_ms, zone }
+            let min_ms = rng.random_range(2..=6) * 150;
+            Class { name: name.to_string(), semantics, timeout_ms: [min_ms, min_ms * 3], work_ms, zone }
         };
         let classes = vec![
             class("lookup", Semantics::Restartable, 20, None),
@@ -246,128 +230,131 @@
             class("post", Semantics::Keyed, 40, None),
             class("local", Semantics::Restartable, 30, (zones > 1).then_some(1)),
         ];
-        let rules = Rules {
-            dedup_window: Duration::from_millis(chance.random_range(1..=10) * 100),
-            budget_window: Duration::from_millis(chance.random_range(10..=40) * 100),
-            spare_attempts: f64::from(chance.random_range(2..=6)),
-            extra_ratio: f64::from(chance.random_range(5..=30)) / 100.0,
+        let rules = RuleSettings {
+            dedup_window: Duration::from_millis(rng.random_range(1..=10) * 100),
+            retry_budget_window: Duration::from_millis(rng.random_range(10..=40) * 100),
+            min_retries: f64::from(rng.random_range(2..=6)),
+            retries_per_job: f64::from(rng.random_range(5..=30)) / 100.0,
             drain_grace: Duration::from_secs(1),
-            fall_multiple: 2.0,
-            overload_for: Duration::from_millis([500, 1000, 2000][chance.random_range(0..3)]),
-            start_capacity: f64::from(chance.random_range(15..=50)) / 100.0,
-            warm_after: Duration::from_millis(chance.random_range(4..=10) * 1000),
+            warm_up_overload_factor: 2.0,
+            warm_up_window: Duration::from_millis([500, 1000, 2000][rng.random_range(0..3)]),
+            initial_capacity_fraction: f64::from(rng.random_range(15..=50)) / 100.0,
+            warm_up_time: Duration::from_millis(rng.random_range(4..=10) * 1000),
         };
         let mut schedule = Schedule {
             seed,
             gateways,
             engines,
-            cores: if few { 2.0 } else { [4.0, 8.0, 16.0][chance.random_range(0..3)] },
+            cores: if has_few_engines { 2.0 } else { [4.0, 8.0, 16.0][rng.random_range(0..3)] },
             zones,
-            group: [Group::Zone, Group::Cell, Group::All][chance.random_range(0..3)],
+            group: [Group::Zone, Group::Cell, Group::All][rng.random_range(0..3)],
             classes,
             rules,
             traffic_until_ms: (seconds * 1000.0) as u64,
-            think_ms: if few { chance.random_range(60..=150) } else { chance.random_range(150..=500) },
-            clients_per_gateway: chance.random_range(2..=4),
-            crowd: chance.random_bool(0.15).then(|| chance.random_range(150..=300)),
-            stop: Schedule::draw_stop(&mut chance),
+            think_ms: if has_few_engines { rng.random_range(60..=150) } else { rng.random_range(150..=500) },
+            clients_per_gateway: rng.random_range(2..=4),
+            crowd: rng.random_bool(0.15).then(|| rng.random_range(150..=300)),
+            stop: Schedule::random_stop_plan(&mut rng),
             faults: vec![],
         };
-        let count = chance.random_range(3..=8);
-        // Faults that overlap: most begin within a second of one another.
-        let last = seconds + LAST_FAULT;
-        let first = TRAFFIC_FROM.as_secs_f64() + 0.5;
-        // In a third of the plays they gather round the stop of all gateways.
-        let heart = if chance.random_bool(0.33) { seconds } else { chance.random_range(first..last) };
+        let count = rng.random_range(3..=8);
+        let last_start = seconds + MAX_FAULT_START_AFTER_TRAFFIC_S;
+        let first_start = TRAFFIC_START.as_secs_f64() + 0.5;
+        // Most faults start within 0.7 s of a common time, so that they overlap. In a third of the plays that time is the
+        // stop of all gateways.
+        let fault_center =
+            if rng.random_bool(0.33) { seconds } else { rng.random_range(first_start..last_start) };
         for _ in 0..count {
-            let at = if chance.random_bool(0.7) {
-                (heart + chance.random_range(-0.7..0.7)).clamp(first, last)
+            let at = if rng.random_bool(0.7) {
+                (fault_center + rng.random_range(-0.7..0.7)).clamp(first_start, last_start)
             } else {
-                chance.random_range(first..last)
+                rng.random_range(first_start..last_start)
             };
-            let fault = schedule.draw_fault(&mut chance);
+            let fault = schedule.random_fault(&mut rng);
             schedule.faults.push(ScheduledFault { at_ms: (at * 1000.0) as u64, fault });
         }
         schedule.faults.sort_by_key(|scheduled| scheduled.at_ms);
         schedule
     }
 
-    fn draw_stop(chance: &mut ChaCha8Rng) -> StopPlan {
+    fn random_stop_plan(rng: &mut ChaCha8Rng) -> StopPlan {
         let mut signals = vec![];
-        let terminate_at = if chance.random_bool(0.4) {
+        let terminate_at = if rng.random_bool(0.4) {
             signals.push(ScheduledSignal { at_ms: 0, signal: StopSignal::Reload });
-            chance.random_range(0..=60)
+            rng.random_range(0..=60)
         } else {
             0
         };
         signals.push(ScheduledSignal { at_ms: terminate_at, signal: StopSignal::Terminate });
-        for _ in 0..chance.random_range(0..=4) {
+        for _ in 0..rng.random_range(0..=4) {
             let all = [StopSignal::Reload, StopSignal::Terminate, StopSignal::Interrupt];
-            let at_ms = terminate_at + chance.random_range(0..=2500);
-            signals.push(ScheduledSignal { at_ms, signal: all[chance.random_range(0..all.len())] });
+            let at_ms = terminate_at + rng.random_range(0..=2500);
+            signals.push(ScheduledSignal { at_ms, signal: all[rng.random_range(0..all.len())] });
         }
         signals.sort_by_key(|scheduled| scheduled.at_ms);
-        StopPlan { steady_clients: chance.random_bool(0.6), signals }
+        StopPlan { steady_clients: rng.random_bool(0.6), signals }
     }
 
-    /// Clients of a gateway.
-    pub fn clients_of(&self, gateway: usize) -> usize {
+    /// Number of clients of a gateway.
+    pub fn client_count(&self, gateway: usize) -> usize {
         self.crowd.filter(|_| gateway == 0).unwrap_or(self.clients_per_gateway)
     }
 
-    /// Pause between the jobs of one client of a gateway (ms): a crowd asks about twice as much as the clients elsewhere.
-    pub fn think_ms_of(&self, gateway: usize) -> u64 {
-        let factor = self.clients_of(gateway) / self.clients_per_gateway;
+    /// Typical pause (ms) between the requests of one client of a gateway. With many clients it is longer, so that they send
+    /// about twice as many requests together as the clients of another gateway.
+    pub fn think_time_ms(&self, gateway: usize) -> u64 {
+        let factor = self.client_count(gateway) / self.clients_per_gateway;
         self.think_ms * (factor as u64 / 2).max(1)
     }
 
-    /// When a gateway that has not ended is killed, after the signal that terminates it: the earliest that is allowed.
+    /// How long after SIGTERM a gateway that has not ended is killed: the shortest time that the protocol allows.
     pub fn kill_after(&self) -> Duration {
-        let longest_ms = self.classes.iter().map(|class| class.patience_ms[1]).max().unwrap_or(0);
-        Duration::from_millis(longest_ms.min(LONGEST_PATIENCE_MS) + KILL_MARGIN_MS)
+        let max_timeout_ms = self.classes.iter().map(|class| class.timeout_ms[1]).max().unwrap_or(0);
+        Duration::from_millis(max_timeout_ms.min(MAX_STOP_WAIT_MS) + KILL_MARGIN_MS)
     }
 
-    fn draw_fault(&self, chance: &mut ChaCha8Rng) -> Fault {
-        let engines = Schedule::some(chance, self.engines, 0.1, 0.45);
-        let gateways = Schedule::some(chance, self.gateways, 0.1, 0.6);
-        let for_ms = chance.random_range(3..=30) * 100;
-        match chance.random_range(0..24) {
+    fn random_fault(&self, rng: &mut ChaCha8Rng) -> Fault {
+        let engines = Schedule::random_subset(rng, self.engines, 0.1, 0.45);
+        let gateways = Schedule::random_subset(rng, self.gateways, 0.1, 0.6);
+        let for_ms = rng.random_range(3..=30) * 100;
+        match rng.random_range(0..24) {
             0 => Fault::DrainEngines { engines },
             1 => Fault::ReplaceEngines { engines },
-            2 => Fault::RestartEngines { engines, down_ms: chance.random_range(0..=800) },
+            2 => Fault::RestartEngines { engines, down_ms: rng.random_range(0..=800) },
             3 | 4 => Fault::HangEngines { engines, for_ms },
             5 => Fault::CutLinks { gateways, engines, for_ms },
             6 => Fault::ResetConnections { engines },
-            7 => Fault::SpoilAnswers { engines, share: chance.random_range(0.1..0.6), for_ms },
-            8 => Fault::FailJobs { engines, share: chance.random_range(0.1..0.7), for_ms },
+            7 => Fault::CorruptAnswers { engines, share: rng.random_range(0.1..0.6), for_ms },
+            8 => Fault::FailJobs { engines, share: rng.random_range(0.1..0.7), for_ms },
             9 => Fault::BusDown { for_ms: for_ms * 2 },
             10 => Fault::BusSilent { for_ms },
-            11 => Fault::BusMoves { times: chance.random_range(1..=3) },
+            11 => Fault::BusMoves { times: rng.random_range(1..=3) },
             12 | 13 => Fault::StopGateways { gateways },
             14 => Fault::KillGateways { gateways },
-            15 => Fault::FreezeGateways { gateways, for_ms: chance.random_range(50..=350) },
+            15 => Fault::FreezeGateways { gateways, for_ms: rng.random_range(50..=350) },
             16 => Fault::StepClocks {
                 gateways,
-                by_s: *[-3600, -5, 5, 3600].choose(chance).unwrap_or(&5),
-                engines_too: chance.random_bool(0.5),
+                by_s: *[-3600, -5, 5, 3600].choose(rng).unwrap_or(&5),
+                engines_too: rng.random_bool(0.5),
             },
-            17 => Fault::FailCalls { gateways, share: chance.random_range(0.01..0.2), for_ms },
+            17 => Fault::FailCalls { gateways, share: rng.random_range(0.01..0.2), for_ms },
             18 => Fault::ClientsLeave { gateways },
             19 => Fault::TakeAddresses { engines },
             20 => Fault::SlowAccepts { engines, for_ms },
-            21 | 22 => Fault::FailClientCalls { gateways, share: chance.random_range(0.002..0.03), for_ms },
-            _ if chance.random_bool(0.5) => {
-                Fault::IdleFlood { gateways, connections: chance.random_range(5..=120), for_ms }
+            21 | 22 => Fault::FailClientCalls { gateways, share: rng.random_range(0.002..0.03), for_ms },
+            _ if rng.random_bool(0.5) => {
+                Fault::IdleFlood { gateways, connections: rng.random_range(5..=120), for_ms }
             }
             _ => Fault::BadClients { gateways, for_ms },
         }
     }
 
-    fn some(chance: &mut ChaCha8Rng, of: usize, least: f64, most: f64) -> Vec<usize> {
-        let mut all: Vec<usize> = (0..of).collect();
-        all.shuffle(chance);
-        let share = chance.random_range(least..most);
-        all.truncate(((of as f64 * share).round() as usize).max(1));
+    /// A share between `min` and `max` of the indices below `count`, but at least one, in ascending order.
+    fn random_subset(rng: &mut ChaCha8Rng, count: usize, min: f64, max: f64) -> Vec<usize> {
+        let mut all: Vec<usize> = (0..count).collect();
+        all.shuffle(rng);
+        let share = rng.random_range(min..max);
+        all.truncate(((count as f64 * share).round() as usize).max(1));
         all.sort_unstable();
         all
     }
@@ -400,10 +387,10 @@
             "Deductions": {"Probe": 0.02, "CrossZone": 0.02},
             "Ceilings": {"Cancelling": true, "Probes": true, "TryLimit": 5, "StreamsPerConn": 32,
                 "DialTimeout": 250.0, "ConnIdle": 5000.0},
-            "Contract": {"FallMultiple": rules.fall_multiple, "OverloadFor": ms(rules.overload_for),
-                "StartCapacity": rules.start_capacity, "WarmAfter": ms(rules.warm_after),
-                "BudgetWindow": ms(rules.budget_window), "SpareAttempts": rules.spare_attempts,
-                "ExtraRatio": rules.extra_ratio, "DrainGrace": ms(rules.drain_grace)},
+            "Contract": {"FallMultiple": rules.warm_up_overload_factor, "OverloadFor": ms(rules.warm_up_window),
+                "StartCapacity": rules.initial_capacity_fraction, "WarmAfter": ms(rules.warm_up_time),
+                "BudgetWindow": ms(rules.retry_budget_window), "SpareAttempts": rules.min_retries,
+                "ExtraRatio": rules.retries_per_job, "DrainGrace": ms(rules.drain_grace)},
         })
     }
 
@@ -418,8 +405,8 @@
             Group::Cell => "cell",
             Group::All => "all",
         };
-        let mut settings = json!({"Name": class.name, "Semantics": semantics, "Aim": class.patience_ms[0],
-            "GiveUp": class.patience_ms[1], "Worth": 1.0, "Group": group,
+        let mut settings = json!({"Name": class.name, "Semantics": semantics, "Aim": class.timeout_ms[0],
+            "GiveUp": class.timeout_ms[1], "Worth": 1.0, "Group": group,
             "DedupWindow": self.rules.dedup_window.as_millis() as f64});
         if let Some(zone) = class.zone {
             settings["ConfinedTo"] = json!([zone]);
--- a/crates/soak/src/testbed.rs
+++ b/crates/soak/src/testbed.rs
@@ -54,7 +54,7 @@
         let gateways = (0..schedule.gateways).map(|gateway| Gateway::new(gateway, port)).collect();
         Testbed {
             schedule,
-            history: History::begin(),
+            history: History::start(),
             began: Instant::now(),
             folder,
             program,
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -16,12 +16,12 @@
 use answers::rows;
 use checker::check;
 use expect_test::expect;
-use history::{At, Dispatch, DispatchEnd, Event, GatewayRun, Records, Request, RequestEnd};
+use history::{Dispatch, DispatchEnd, Event, GatewayRun, Micros, Records, Request, RequestEnd};
 use schedule::{Fault, Group, Schedule, Semantics};
 use std::fmt::Write as _;
 
 const GATEWAY: GatewayRun = GatewayRun { gateway: 0, run: 1 };
-const MS: At = 1000;
+const MS: Micros = 1000;
 /// Classes as every schedule has them.
 const LOOKUP: usize = 0;
 const LOAD: usize = 1;
@@ -29,7 +29,7 @@
 const LOCAL: usize = 3;
 
 fn schedule() -> Schedule {
-    let mut schedule = Schedule::draw(1, 2, 5.0);
+    let mut schedule = Schedule::from_seed(1, 2, 5.0);
     (schedule.zones, schedule.group, schedule.engines, schedule.cores) = (2, Group::Zone, 4, 1.0);
     schedule.classes[LOCAL].zone = Some(1);
     schedule.faults.clear();
@@ -37,26 +37,44 @@
 }
 
 /// A request sent at second 1 that waits 1 s.
-fn request(class: usize, end: Option<(At, RequestEnd)>) -> Request {
+fn request(class: usize, end: Option<(Micros, RequestEnd)>) -> Request {
     let (id, to) = (format!("{class:016x}"), GATEWAY);
-    Request { id, to, class, patience_ms: 1000, sent: 1_000 * MS, fresh: true, end, further_answers: 0 }
+    Request {
+        id,
+        to,
+        class,
+        timeout_ms: 1000,
+        sent_at: 1_000 * MS,
+        is_first_on_connection: true,
+        end,
+        further_answers: 0,
+    }
 }
 
-fn dispatch(class: usize, engine: usize, at_ms: At, end: Option<(At, DispatchEnd)>) -> Dispatch {
+fn dispatch(class: usize, engine: usize, at_ms: Micros, end: Option<(Micros, DispatchEnd)>) -> Dispatch {
     let end = end.map(|(at, end)| (at * MS, end));
     let class_name = ["lookup", "load", "post", "local"][class].to_string();
     let (id, from) = (format!("{class:016x}"), GATEWAY);
-    Dispatch { id, class: class_name, from, engine, engine_run: 0, at: at_ms * MS, limit_ms: 10, end }
+    Dispatch {
+        id,
+        class: class_name,
+        from,
+        engine,
+        engine_run: 0,
+        received_at: at_ms * MS,
+        limit_ms: 10,
+        end,
+    }
 }
 
 #[expect(clippy::unnecessary_wraps, reason = "the form in which a request records its end")]
-fn done(class: usize, engine: usize, at_ms: At) -> Option<(At, RequestEnd)> {
+fn done(class: usize, engine: usize, at_ms: Micros) -> Option<(Micros, RequestEnd)> {
     let rows = rows(&format!("{class:016x}"), engine, 0).concat();
     Some((at_ms * MS, RequestEnd::Done { rows }))
 }
 
 #[expect(clippy::unnecessary_wraps, reason = "the form in which a request records its end")]
-fn at(ms: At, end: RequestEnd) -> Option<(At, RequestEnd)> {
+fn at(ms: Micros, end: RequestEnd) -> Option<(Micros, RequestEnd)> {
     Some((ms * MS, end))
 }
 
@@ -65,15 +83,15 @@
     schedule: Option<Schedule>,
     requests: Vec<Request>,
     dispatches: Vec<Dispatch>,
-    events: Vec<(At, Event)>,
+    events: Vec<(Micros, Event)>,
 }
 
 fn rules(play: Play) -> String {
     let records = Records { requests: play.requests, dispatches: play.dispatches, events: play.events };
     let verdict = check(&play.schedule.unwrap_or_else(schedule), &records);
     let found = verdict.violations.iter();
-    let found =
-        found.map(|violation| format!("{:?}{}", violation.rule, if violation.unsure { "?" } else { "" }));
+    let found = found
+        .map(|violation| format!("{:?}{}", violation.rule, if violation.is_uncertain { "?" } else { "" }));
     found.collect::<Vec<String>>().join(" ")
 }
 
@@ -94,7 +112,7 @@
 fn each_broken_rule_is_detected() {
     use DispatchEnd::{Disconnected, Done, Fault, Shed};
     let busy = || at(1500, RequestEnd::Busy);
-    let failed = || at(1500, RequestEnd::Failed { why: String::new() });
+    let failed = || at(1500, RequestEnd::Failed { reason: String::new() });
     let one = |class, engine| vec![dispatch(class, engine, 1010, Some((1100, Done)))];
     let again = |class, second, end| {
         vec![dispatch(class, 0, 1010, Some((1100, end))), dispatch(class, second, 1200, Some((1300, Done)))]
@@ -102,7 +120,7 @@
     let mut twice = request(LOOKUP, done(LOOKUP, 0, 1100));
     twice.further_answers = 1;
     let mut used = request(LOOKUP, at(1040, RequestEnd::Closed { reset: false }));
-    used.fresh = false;
+    used.is_first_on_connection = false;
     let mut told = one(LOOKUP, 0);
     told[0].limit_ms = 1500;
     let mut lagged = play(request(LOOKUP, done(LOOKUP, 0, 2700)), one(LOOKUP, 0));
@@ -121,7 +139,7 @@
         ("rows of another engine", play(request(LOOKUP, done(LOOKUP, 1, 1100)), one(LOOKUP, 0))),
         (
             "sent after its client left",
-            play(request(LOOKUP, at(1000, RequestEnd::Left)), vec![dispatch(LOOKUP, 0, 1200, None)]),
+            play(request(LOOKUP, at(1000, RequestEnd::Abandoned)), vec![dispatch(LOOKUP, 0, 1200, None)]),
         ),
         ("sent after its answer", play(request(LOOKUP, busy()), vec![dispatch(LOOKUP, 0, 1700, None)])),
         (
@@ -148,7 +166,7 @@
         (
             "keyed in another zone",
             play(request(POST, done(POST, 1, 1300)), again(POST, 1, Disconnected)).with(|play| {
-                play.events.push((0, Event::Told { to: GATEWAY, engine: 1, run: 0, drained: false }));
+                play.events.push((0, Event::Notified { to: GATEWAY, engine: 1, run: 0, drained: false }));
             }),
         ),
         (
@@ -160,7 +178,7 @@
         (
             "out of place",
             play(request(LOCAL, done(LOCAL, 0, 1100)), one(LOCAL, 0)).with(|play| {
-                play.events.push((0, Event::Told { to: GATEWAY, engine: 0, run: 0, drained: false }));
+                play.events.push((0, Event::Notified { to: GATEWAY, engine: 0, run: 0, drained: false }));
             }),
         ),
     ];
@@ -216,7 +234,7 @@
     .unwrap();
     // Ten jobs, each sent twice at the same time, where two and a tenth of the jobs are allowed.
     let mut budget = schedule();
-    (budget.rules.spare_attempts, budget.rules.extra_ratio) = (2.0, 0.1);
+    (budget.rules.min_retries, budget.rules.retries_per_job) = (2.0, 0.1);
     let mut all = Play { schedule: Some(budget), ..Play::default() };
     for number in 0..10 {
         let id = format!("{:016x}", 100 + number);
@@ -233,14 +251,15 @@
     for drained in [false, true] {
         let mut cold = Play::default();
         cold.events.push((900 * MS, Event::EngineStarted { engine: 0, run: 1 }));
-        cold.events.push((900 * MS, Event::Told { to: GATEWAY, engine: 0, run: 1, drained }));
+        cold.events.push((900 * MS, Event::Notified { to: GATEWAY, engine: 0, run: 1, drained }));
         if drained {
             cold.events.push((800 * MS, Event::Drained { engine: 0, run: 1 }));
         }
         for number in 0..if drained { 1 } else { 400 } {
             let (id, when) = (format!("{:016x}", 100 + number), if drained { 2500 } else { 1010 });
-            let mut request = Request { id: id.clone(), ..request(LOOKUP, at(when + 20, RequestEnd::Left)) };
-            request.sent = (when - 10) * MS;
+            let mut request =
+                Request { id: id.clone(), ..request(LOOKUP, at(when + 20, RequestEnd::Abandoned)) };
+            request.sent_at = (when - 10) * MS;
             cold.requests.push(request);
             let one = dispatch(LOOKUP, 0, when, Some((when + 10, DispatchEnd::Stopped)));
             cold.dispatches.push(Dispatch { id, engine_run: 1, ..one });
@@ -261,7 +280,7 @@
             vec![
                 started(),
                 (4, Event::GatewayReady { run: GATEWAY }),
-                (5, Event::Complained { run: GATEWAY, line }),
+                (5, Event::ErrorLogged { run: GATEWAY, line }),
             ],
         ),
     ] {
@@ -292,9 +311,9 @@
 
 #[test]
 fn ends_of_connections_without_an_answer_are_checked() {
-    let closed = |sent_ms: At, closed_ms: At| {
+    let closed = |sent_ms: Micros, closed_ms: Micros| {
         let mut request = request(LOOKUP, at(closed_ms, RequestEnd::Closed { reset: false }));
-        (request.sent, request.fresh) = (sent_ms * MS, false);
+        (request.sent_at, request.is_first_on_connection) = (sent_ms * MS, false);
         request
     };
     let stopping = (1_000 * MS, Event::GatewayStopping { run: GATEWAY });
