--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -12,20 +12,27 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Gateways are restarted one after another, this far apart.
-const BETWEEN_RESTARTS: Duration = Duration::from_millis(40);
-const BETWEEN_MOVES: Duration = Duration::from_millis(250);
-/// The old address of a bus that moves serves on for so long.
-const BETWEEN_RUSHES: Duration = Duration::from_millis(30);
+/// Gateways that are stopped by one fault are stopped one after another, at this interval.
+const RESTART_INTERVAL: Duration = Duration::from_millis(40);
+/// Pause after each move of the event bus.
+const PAUSE_AFTER_MOVE: Duration = Duration::from_millis(250);
+/// Pause between the connections of a misbehaving client.
+const MISBEHAVIOR_PAUSE: Duration = Duration::from_millis(30);
+/// How long misbehaving clients connect under `Fault::ClientsLeave`.
+const CLIENTS_LEAVE_DURATION: Duration = Duration::from_millis(100);
+/// Numbers of the additional clients of a gateway; its regular ones are numbered from 0. A client's number determines
+/// its random choices.
+const IDLE_CLIENT: usize = 900;
+const MISBEHAVING_CLIENT: usize = 901;
 
-/// Starts everything at its time; what is returned ends when all is done.
+/// Spawns one task for each fault. It waits for the time of its fault and ends with it.
 pub fn inject_all(testbed: &Arc<Testbed>) -> Vec<JoinHandle<()>> {
     let all = testbed.schedule.faults.clone().into_iter();
     all.map(|scheduled| tokio::spawn(inject(testbed.clone(), scheduled))).collect()
 }
 
 async fn inject(testbed: Arc<Testbed>, scheduled: ScheduledFault) {
-    tokio::time::sleep_until((testbed.began + Duration::from_millis(scheduled.at_ms)).into()).await;
+    tokio::time::sleep_until((testbed.started + Duration::from_millis(scheduled.at_ms)).into()).await;
     let testbed = &testbed;
     let ms = Duration::from_millis;
     match scheduled.fault {
@@ -33,28 +40,28 @@
         Fault::ReplaceEngines { engines } => replace(testbed, &engines).await,
         Fault::RestartEngines { engines, down_ms } => restart_engines(testbed, &engines, ms(down_ms)).await,
         Fault::HangEngines { engines, for_ms } => {
-            each(testbed, &engines, |engine| engine.hang(ms(for_ms)));
+            for_each_engine(testbed, &engines, |engine| engine.hang(ms(for_ms)));
         }
         Fault::CutLinks { gateways, engines, for_ms } => {
-            each(testbed, &engines, |engine| engine.cut(&gateways, ms(for_ms)));
+            for_each_engine(testbed, &engines, |engine| engine.block(&gateways, ms(for_ms)));
         }
         Fault::TakeAddresses { engines } => take_addresses(testbed, &engines).await,
         Fault::SlowAccepts { engines, for_ms } => {
-            each(testbed, &engines, |engine| engine.accept_late(ms(for_ms)));
+            for_each_engine(testbed, &engines, |engine| engine.delay_accepts(ms(for_ms)));
         }
-        Fault::ResetConnections { engines } => each(testbed, &engines, Engine::reset),
+        Fault::ResetConnections { engines } => for_each_engine(testbed, &engines, Engine::reset_connections),
         Fault::CorruptAnswers { engines, share, for_ms } => {
-            each(testbed, &engines, |engine| engine.spoil(share, ms(for_ms)));
+            for_each_engine(testbed, &engines, |engine| engine.corrupt_answers(share, ms(for_ms)));
         }
         Fault::FailJobs { engines, share, for_ms } => {
-            each(testbed, &engines, |engine| engine.fail(share, ms(for_ms)));
+            for_each_engine(testbed, &engines, |engine| engine.fail_jobs(share, ms(for_ms)));
         }
         Fault::BusDown { for_ms } => {
             testbed.bus.stop();
             tokio::time::sleep(ms(for_ms)).await;
             let _ = testbed.bus.start(testbed, true).await;
         }
-        Fault::BusSilent { for_ms } => testbed.bus.fall_silent(ms(for_ms)),
+        Fault::BusSilent { for_ms } => testbed.bus.silence_connections(ms(for_ms)),
         Fault::BusMoves { times } => move_bus(testbed, times).await,
         Fault::StopGateways { gateways } => restart_gateways(testbed, gateways, false).await,
         Fault::KillGateways { gateways } => restart_gateways(testbed, gateways, true).await,
@@ -71,7 +78,7 @@
                 testbed.gateways[*gateway].step_clock(testbed, offset, by_s < 0);
             }
             if engines_too {
-                testbed.stamp_offset_us.store(by_s * 1_000_000, SeqCst);
+                testbed.engine_clock_offset_us.store(by_s * 1_000_000, SeqCst);
             }
         }
         Fault::FailCalls { gateways, share, for_ms } => {
@@ -82,13 +89,15 @@
             fail_for(testbed, &gateways, &kinds.map(|kind| (kind, share)), ms(for_ms)).await;
         }
         Fault::ClientsLeave { gateways } | Fault::BadClients { gateways, for_ms: 0 } => {
-            rush(testbed, &gateways, ms(100)).await;
+            run_misbehaving_clients(testbed, &gateways, CLIENTS_LEAVE_DURATION).await;
+        }
+        Fault::BadClients { gateways, for_ms } => {
+            run_misbehaving_clients(testbed, &gateways, ms(for_ms)).await;
         }
-        Fault::BadClients { gateways, for_ms } => rush(testbed, &gateways, ms(for_ms)).await,
         Fault::IdleFlood { gateways, connections, for_ms } => {
             let floods = gateways.into_iter().map(|gateway| {
-                let client = Client::new(testbed.clone(), gateway, 900);
-                tokio::spawn(async move { client.idle(connections, ms(for_ms)).await })
+                let client = Client::new(testbed.clone(), gateway, IDLE_CLIENT);
+                tokio::spawn(async move { client.hold_idle_connections(connections, ms(for_ms)).await })
             });
             wait_all(floods.collect()).await;
         }
@@ -101,8 +110,8 @@
     }
 }
 
-fn each(testbed: &Testbed, engines: &[usize], what: impl Fn(&Engine)) {
-    engines.iter().filter_map(|engine| testbed.engine(*engine)).for_each(|engine| what(&engine));
+fn for_each_engine(testbed: &Testbed, engines: &[usize], action: impl Fn(&Engine)) {
+    engines.iter().filter_map(|engine| testbed.engine(*engine)).for_each(|engine| action(&engine));
 }
 
 fn drain(testbed: &Testbed, engines: &[usize]) {
@@ -113,7 +122,7 @@
     testbed.bus.publish(testbed, changes.collect());
 }
 
-/// New engines start and are listed; the old ones drain, then end.
+/// Starts and lists new engines, then drains and ends the old ones.
 async fn replace(testbed: &Arc<Testbed>, engines: &[usize]) {
     let mut changes = vec![];
     for _ in engines {
@@ -121,36 +130,37 @@
         if engine.start(testbed).await.is_err() {
             return;
         }
-        changes.push(Change::of(&engine, Lifecycle::InService, testbed.stamp_ms()));
+        changes.push(Change::of(&engine, Lifecycle::InService, testbed.engine_clock_ms()));
     }
     testbed.bus.publish(testbed, changes);
     drain(testbed, engines);
     tokio::time::sleep(testbed.schedule.rules.drain_grace * 2).await;
-    let ended = engines.iter().filter_map(|engine| testbed.engine(*engine)).map(|engine| {
+    let terminated = engines.iter().filter_map(|engine| testbed.engine(*engine)).map(|engine| {
         engine.die(testbed);
         Change { engine: engine.index, run: engine.run(), lifecycle: Lifecycle::Terminated, started_at_ms: 0 }
     });
-    let ended = ended.collect();
-    testbed.bus.publish(testbed, ended);
+    let terminated = terminated.collect();
+    testbed.bus.publish(testbed, terminated);
 }
 
-/// Engines die, and new ones under new names are listed at their addresses before the old ones are told to have gone.
+/// Ends engines and lists new ones with other names at the same addresses, before the old ones are listed as terminated.
 async fn take_addresses(testbed: &Arc<Testbed>, engines: &[usize]) {
     let old: Vec<_> = engines.iter().filter_map(|engine| testbed.engine(*engine)).collect();
     let mut changes = vec![];
     for old in &old {
         old.die(testbed);
         let engine = testbed.add_engine();
-        engine.take_port(old.port());
+        engine.use_port(old.port());
         if engine.start(testbed).await.is_ok() {
-            changes.push(Change::of(&engine, Lifecycle::InService, testbed.stamp_ms()));
+            changes.push(Change::of(&engine, Lifecycle::InService, testbed.engine_clock_ms()));
         }
     }
     testbed.bus.publish(testbed, changes);
-    let gone = old.iter().map(|old| Change::of(old, Lifecycle::Terminated, 0));
-    testbed.bus.publish(testbed, gone.collect());
+    let terminated = old.iter().map(|old| Change::of(old, Lifecycle::Terminated, 0));
+    testbed.bus.publish(testbed, terminated.collect());
 }
 
+/// Ends engines, starts them again after `down` and lists them.
 async fn restart_engines(testbed: &Arc<Testbed>, engines: &[usize], down: Duration) {
     let engines: Vec<_> = engines.iter().filter_map(|engine| testbed.engine(*engine)).collect();
     for engine in &engines {
@@ -160,12 +170,13 @@
     let mut changes = vec![];
     for engine in engines {
         if engine.start(testbed).await.is_ok() {
-            changes.push(Change::of(&engine, Lifecycle::InService, testbed.stamp_ms()));
+            changes.push(Change::of(&engine, Lifecycle::InService, testbed.engine_clock_ms()));
         }
     }
     testbed.bus.publish(testbed, changes);
 }
 
+/// Moves the event bus to a new port, and has the running gateways reload their configurations.
 async fn move_bus(testbed: &Arc<Testbed>, times: u32) {
     for _ in 0..times {
         testbed.bus.stop();
@@ -177,10 +188,12 @@
                 gateway.reload(testbed).await;
             }
         }
-        tokio::time::sleep(BETWEEN_MOVES).await;
+        tokio::time::sleep(PAUSE_AFTER_MOVE).await;
     }
 }
 
+/// Stops or kills the gateways that are ready and starts them again. Every second one starts with an outdated list of
+/// engines.
 async fn restart_gateways(testbed: &Arc<Testbed>, gateways: Vec<usize>, kill: bool) {
     let mut restarts = vec![];
     for (position, gateway) in gateways.into_iter().enumerate() {
@@ -199,52 +212,53 @@
             }
         }));
         if !kill {
-            tokio::time::sleep(BETWEEN_RESTARTS).await;
+            tokio::time::sleep(RESTART_INTERVAL).await;
         }
     }
     wait_all(restarts).await;
 }
 
 async fn fail_calls(testbed: &Arc<Testbed>, gateways: &[usize], share: f64, time: Duration) {
-    // A broken connection ends all that is out on it, and threads fail together.
+    // Two kinds have lower rates: a broken connection ends all dispatches in flight on it, and thread creations fail
+    // together.
     let rates = [
         (FaultKind::Accept, share),
         (FaultKind::Socket, share),
         (FaultKind::Connect, share),
-        (FaultKind::Wait, share),
-        (FaultKind::Short, share),
-        (FaultKind::Break, share / 20.0),
-        (FaultKind::Thread, share / 2.0),
+        (FaultKind::InterruptPoll, share),
+        (FaultKind::ShortTransfer, share),
+        (FaultKind::BreakConnection, share / 20.0),
+        (FaultKind::CreateThread, share / 2.0),
         (FaultKind::InterruptTcp, share),
         (FaultKind::InterruptNonTcp, share),
     ];
     fail_for(testbed, gateways, &rates, time).await;
 }
 
-/// Lets calls fail for a time.
+/// Makes system calls fail at these rates for a time.
 async fn fail_for(testbed: &Arc<Testbed>, gateways: &[usize], rates: &[(FaultKind, f64)], time: Duration) {
-    let none: Vec<(FaultKind, f64)> = rates.iter().map(|(kind, _)| (*kind, 0.0)).collect();
+    let zero_rates: Vec<(FaultKind, f64)> = rates.iter().map(|(kind, _)| (*kind, 0.0)).collect();
     for gateway in gateways {
         testbed.gateways[*gateway].fail_calls(testbed, rates);
     }
     tokio::time::sleep(time).await;
     for gateway in gateways {
-        testbed.gateways[*gateway].fail_calls(testbed, &none);
+        testbed.gateways[*gateway].fail_calls(testbed, &zero_rates);
     }
 }
 
-/// Clients that send much and go, one after another at each gateway.
-async fn rush(testbed: &Arc<Testbed>, gateways: &[usize], time: Duration) {
-    let until = std::time::Instant::now() + time;
-    let rushes = gateways.iter().map(|gateway| {
+/// Lets misbehaving clients connect to each gateway, one after another, for a time.
+async fn run_misbehaving_clients(testbed: &Arc<Testbed>, gateways: &[usize], time: Duration) {
+    let end = std::time::Instant::now() + time;
+    let clients = gateways.iter().map(|gateway| {
         let (testbed, gateway) = (testbed.clone(), *gateway);
         tokio::spawn(async move {
-            let mut client = Client::new(testbed.clone(), gateway, 901);
-            while std::time::Instant::now() < until && !testbed.is_over() {
-                let _ = client.rush().await;
-                tokio::time::sleep(BETWEEN_RUSHES).await;
+            let mut client = Client::new(testbed.clone(), gateway, MISBEHAVING_CLIENT);
+            while std::time::Instant::now() < end && !testbed.has_traffic_ended() {
+                let _ = client.misbehave().await;
+                tokio::time::sleep(MISBEHAVIOR_PAUSE).await;
             }
         })
     });
-    wait_all(rushes.collect()).await;
+    wait_all(clients.collect()).await;
 }
--- a/crates/syscall-faults/build.rs
+++ b/crates/syscall-faults/build.rs
@@ -12,6 +12,6 @@
         .arg(&library)
         .args(["shim/faults.c", "-ldl"]);
     let built = compile.status().expect("a C compiler is installed");
-    assert!(built.success(), "the library can't be built");
+    assert!(built.success(), "the compiler failed to build the library from shim/faults.c");
     println!("cargo::rustc-env=FAULTS_LIBRARY={}", library.display());
 }
