--- a/crates/soak/src/answers.rs
+++ b/crates/soak/src/answers.rs
@@ -1,10 +1,11 @@
-//! What engines answer, so that a client's rows can be traced to the run of the engine that made them.
+//! The rows that engines answer with. They identify the request, the engine and its run, so that the checker can tell
+//! which engine produced the rows that a client got.
 
-/// Pages of a result at the most.
-const MOST_PAGES: u32 = 3;
+/// Maximum number of pages of a result.
+const MAX_PAGES: u32 = 3;
 
-/// The rows that an engine's run answers a job with, by page.
+/// The rows that an engine's run answers a request with, one string for each page.
 pub fn rows(id: &str, engine: usize, run: u32) -> Vec<String> {
-    let pages = 1 + id.bytes().map(u32::from).sum::<u32>() % MOST_PAGES;
+    let pages = 1 + id.bytes().map(u32::from).sum::<u32>() % MAX_PAGES;
     (0..pages).map(|page| format!("{id}-{engine}-{run}\t{page}\tx\n")).collect()
 }
--- a/crates/soak/src/bus.rs
+++ b/crates/soak/src/bus.rs
@@ -1,4 +1,4 @@
-//! The event bus: numbered changes of the list of engines, told to each gateway on its own connection.
+//! The event bus: sends numbered changes of the list of engines to each gateway, on a connection that the gateway opens.
 
 use crate::engine::{self, Engine};
 use crate::history::{Event, GatewayRun};
@@ -13,12 +13,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-const HEARTBEAT: Duration = Duration::from_secs(1);
-/// The port of a bus that went down is free after this time at the latest.
-const PORT_FREE: Duration = Duration::from_secs(2);
-/// A new event is looked for this often.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval of the messages on a connection that has no events.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum wait for the port of a bus that was stopped.
+const PORT_RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which connections look for new events.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
+/// The state of an engine as the event bus lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
     InService,
@@ -32,30 +34,31 @@
     pub engine: usize,
     pub run: u32,
     pub lifecycle: Lifecycle,
-    /// Unix milliseconds of a late start, or 0.
+    /// Unix time (ms) of a start during the play; 0 for an earlier start, and for changes that are no start.
     pub started_at_ms: i64,
 }
 
 impl Change {
-    /// A change of an engine's present run.
+    /// A change of an engine's current run.
     pub fn of(engine: &Engine, lifecycle: Lifecycle, started_at_ms: i64) -> Change {
         Change { engine: engine.index, run: engine.run(), lifecycle, started_at_ms }
     }
 }
 
+/// The event bus of a play.
 #[derive(Default)]
 pub struct Bus {
     state: Mutex<State>,
-    /// Changed when the bus goes down or moves: all its connections end.
+    /// Increased when the bus is stopped, which ends all its connections.
     epochs: watch::Sender<u32>,
 }
 
 #[derive(Default)]
 struct State {
-    /// Event N is at position N - 1; the first holds the whole list.
+    /// Event N is at position N - 1. The first one holds all engines of the start.
     events: Vec<Vec<Change>>,
     port: u16,
-    /// Watches that were open at the first time say nothing until the second.
+    /// Connections that were open at the first time get no messages until the second.
     silent: Option<(Instant, Instant)>,
 }
 
@@ -64,6 +67,7 @@
         locked(&self.state).port
     }
 
+    /// Adds an event with these changes.
     pub fn publish(&self, testbed: &Testbed, changes: Vec<Change>) {
         for change in &changes {
             let (engine, run) = (change.engine, change.run);
@@ -75,8 +79,8 @@
         locked(&self.state).events.push(changes);
     }
 
-    /// Open watches say nothing for a while.
-    pub fn fall_silent(&self, time: Duration) {
+    /// Sends nothing for this time on the connections that are open now.
+    pub fn silence_connections(&self, time: Duration) {
         let now = Instant::now();
         locked(&self.state).silent = Some((now, now + time));
     }
@@ -86,14 +90,14 @@
         self.epochs.send_modify(|epoch| *epoch += 1);
     }
 
-    /// Listens, at the old port or a new one.
+    /// Listens on the previous port or a new one.
     pub async fn start(&self, testbed: &Arc<Testbed>, same_port: bool) -> std::io::Result<()> {
         let port = if same_port { self.port() } else { testbed.new_port() };
-        let began = Instant::now();
+        let start = Instant::now();
         let listener = loop {
             match TcpListener::bind(("0.0.0.0", port)).await {
                 Ok(listener) => break listener,
-                Err(_) if began.elapsed() < PORT_FREE => tokio::time::sleep(LOOK).await,
+                Err(_) if start.elapsed() < PORT_RELEASE_TIMEOUT => tokio::time::sleep(POLL_INTERVAL).await,
                 Err(e) => return Err(e),
             }
         };
@@ -106,7 +110,7 @@
                     accepted = listener.accept() => {
                         let Ok((stream, _)) = accepted else { continue };
                         let Some(gateway) = stream.local_addr().ok().and_then(gateway_of) else { continue };
-                        tokio::spawn(feed(testbed.clone(), stream, gateway, epoch));
+                        tokio::spawn(serve(testbed.clone(), stream, gateway, epoch));
                     }
                     _ = epochs.changed() => return,
                 }
@@ -115,7 +119,7 @@
         Ok(())
     }
 
-    /// The list after the first `offset` events.
+    /// The engines that are listed after the first `offset` events, with the latest change of each.
     fn list(&self, offset: usize) -> Vec<Change> {
         let mut all: BTreeMap<usize, Change> = BTreeMap::new();
         for change in locked(&self.state).events[..offset].iter().flatten() {
@@ -124,16 +128,18 @@
         all.into_values().filter(|change| change.lifecycle != Lifecycle::Terminated).collect()
     }
 
-    /// What a gateway is told at its start: the list as it is, or as it was at the beginning.
-    pub fn known(&self, testbed: &Testbed, to: GatewayRun, stale: bool) -> Json {
-        let all = locked(&self.state).events.len();
-        let offset = if stale { 1 } else { all };
+    /// The list of engines in a gateway's configuration: the current one, or the first one if `is_outdated`. It is recorded
+    /// as a notification of the gateway.
+    pub fn initial_topology(&self, testbed: &Testbed, to: GatewayRun, is_outdated: bool) -> Json {
+        let latest = locked(&self.state).events.len();
+        let offset = if is_outdated { 1 } else { latest };
         let list = self.list(offset);
-        tell(testbed, to, &list);
+        record_notifications(testbed, to, &list);
         json!({"offset": offset, "batch": [render(testbed, to.gateway, offset, true, &list)]})
     }
 
-    fn after(&self, offset: usize) -> Vec<(usize, Vec<Change>)> {
+    /// The events after the first `offset`, with their numbers.
+    fn events_after(&self, offset: usize) -> Vec<(usize, Vec<Change>)> {
         let state = locked(&self.state);
         state.events.iter().enumerate().skip(offset).map(|(at, event)| (at + 1, event.clone())).collect()
     }
@@ -143,18 +149,20 @@
     }
 }
 
-fn tell(testbed: &Testbed, to: GatewayRun, changes: &[Change]) {
+fn record_notifications(testbed: &Testbed, to: GatewayRun, changes: &[Change]) {
     for change in changes {
         let drained = change.lifecycle != Lifecycle::InService;
         testbed.history.record_event(Event::Notified { to, engine: change.engine, run: change.run, drained });
     }
 }
 
+/// An event as it is sent to a gateway.
 fn render(testbed: &Testbed, gateway: usize, offset: usize, reset: bool, changes: &[Change]) -> Json {
     let entries: Vec<Json> = changes.iter().filter_map(|change| entry(testbed, gateway, change)).collect();
     json!({"offset": offset, "topology": {"generation": offset, "reset": reset, "instances": entries}})
 }
 
+/// One engine of an event.
 fn entry(testbed: &Testbed, gateway: usize, change: &Change) -> Option<Json> {
     let engine: Arc<Engine> = testbed.engine(change.engine)?;
     let lifecycle = match change.lifecycle {
@@ -167,8 +175,9 @@
         "lifecycle": lifecycle, "weight": testbed.schedule.cores, "startedAtMs": change.started_at_ms}))
 }
 
-/// Tells one gateway what it asks for, until the bus goes down.
-async fn feed(testbed: Arc<Testbed>, stream: TcpStream, gateway: usize, epoch: u32) {
+/// Serves one connection until it ends or the bus is stopped: reads the offset from which the gateway wants events, then
+/// sends events and heartbeats.
+async fn serve(testbed: Arc<Testbed>, stream: TcpStream, gateway: usize, epoch: u32) {
     let mut epochs = testbed.bus.epochs.subscribe();
     if *epochs.borrow_and_update() != epoch {
         return;
@@ -179,30 +188,32 @@
         let mut line = String::new();
         stream.read_line(&mut line).await?;
         let mut offset: usize = line.trim().strip_prefix("from ").and_then(|n| n.parse().ok()).unwrap_or(0);
-        let (opened, mut beaten) = (
+        let (opened, mut last_sent) = (
             Instant::now(),
-            Instant::now().checked_sub(HEARTBEAT).expect("the machine runs for longer than a heartbeat"),
+            Instant::now()
+                .checked_sub(HEARTBEAT_INTERVAL)
+                .expect("the machine runs for longer than a heartbeat"),
         );
         loop {
             if testbed.bus.is_silent(opened) {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
-            for (number, changes) in testbed.bus.after(offset) {
+            for (number, changes) in testbed.bus.events_after(offset) {
                 let line = format!("{}\n", render(&testbed, gateway, number, number == 1, &changes));
-                // Some events come in two pieces.
-                let cut = if rand::rng().random_bool(0.2) { line.len() / 2 } else { 0 };
-                stream.get_mut().write_all(&line.as_bytes()[..cut]).await?;
-                tokio::time::sleep(Duration::from_millis(if cut > 0 { 5 } else { 0 })).await;
-                stream.get_mut().write_all(&line.as_bytes()[cut..]).await?;
-                tell(&testbed, to, &changes);
-                (offset, beaten) = (number, Instant::now());
+                // Some events are sent in two pieces.
+                let split = if rand::rng().random_bool(0.2) { line.len() / 2 } else { 0 };
+                stream.get_mut().write_all(&line.as_bytes()[..split]).await?;
+                tokio::time::sleep(Duration::from_millis(if split > 0 { 5 } else { 0 })).await;
+                stream.get_mut().write_all(&line.as_bytes()[split..]).await?;
+                record_notifications(&testbed, to, &changes);
+                (offset, last_sent) = (number, Instant::now());
             }
-            if beaten.elapsed() >= HEARTBEAT {
-                beaten = Instant::now();
+            if last_sent.elapsed() >= HEARTBEAT_INTERVAL {
+                last_sent = Instant::now();
                 stream.get_mut().write_all(format!("{{\"offset\":{offset}}}\n").as_bytes()).await?;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         #[allow(unreachable_code)] // names the type of the block's errors
         std::io::Result::Ok(())
--- a/crates/soak/src/checker/mod.rs
+++ b/crates/soak/src/checker/mod.rs
@@ -45,7 +45,7 @@
     KeyedOutsideGroup,
     /// A dispatch was sent while another one of the same request was in flight.
     TwoOut,
-    /// A client was told "Busy" although its job may have run and must not be repeated.
+    /// A request was answered "Busy" although its job may have run and must not be repeated.
     RefusedAfterRun,
     /// A dispatch was sent to a draining engine after the drain grace (rule 3).
     Drain,
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients: most ask and wait, some leave, take back, write slowly, rest or speak nonsense. Every request that may reach
-//! a job is recorded in the history.
+//! Clients: most send requests and wait for the answers; some cancel, disconnect, write slowly, stay idle or send
+//! malformed data. Every request that may become a job is recorded in the history.
 
 use crate::gateway::Phase;
 use crate::history::{GatewayRun, Request, RequestEnd};
@@ -16,234 +16,258 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// After a stop is told: new connections for so long, requests on used ones, and a first one on a fresh one.
-const NEW_CONNECTIONS: Duration = Duration::from_millis(300);
-const USED_CONNECTIONS: Duration = Duration::from_millis(550);
-const FRESH_CONNECTIONS: Duration = Duration::from_millis(1500);
-/// A client waits for an answer this much longer than it says.
-const PATIENCE_MORE: Duration = Duration::from_millis(1500);
-const LOOK: Duration = Duration::from_millis(10);
-const MOST_REQUESTS: usize = 8;
-/// Clients close idle connections after 4 s; this one asks before that.
-const LONGEST_REST: u64 = 3500;
-/// Some rest until the gateway ends the connection (ms), and ask in just that moment.
-const REST_TO_THE_END: std::ops::Range<u64> = 4900..5300;
-/// Steady clients ask again after this pause (ms) while their gateway stops, so that some cross the end.
-const BETWEEN_LAST_REQUESTS: std::ops::Range<u64> = 1..80;
-/// Requests with next to no time left (ms).
-const SHORT_PATIENCE: std::ops::Range<u64> = 1..60;
+/// How long after the start of a gateway's stop clients open new connections to it.
+const CONNECT_AFTER_STOP: Duration = Duration::from_millis(300);
+/// How long after the start of a stop clients send requests on connections that have carried requests.
+const USED_CONNECTION_AFTER_STOP: Duration = Duration::from_millis(550);
+/// How long after the start of a stop clients send the first request on a connection.
+const FIRST_REQUEST_AFTER_STOP: Duration = Duration::from_millis(1500);
+/// At least the client timeout of every class.
+const MAX_ANSWER_WAIT: Duration = Duration::from_secs(3);
+/// How much longer than `MAX_ANSWER_WAIT` a client waits for answers.
+const EXTRA_ANSWER_WAIT: Duration = Duration::from_millis(1500);
+/// Interval at which waiting tasks check their condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of rounds of requests on one connection, unless its gateway stops.
+const MAX_ROUNDS: usize = 8;
+/// Maximum idle time before a request. The protocol has clients close connections that are idle for 4 s.
+const MAX_IDLE_MS: u64 = 3500;
+/// Some connections stay idle for about as long as the gateway keeps them, so that a request meets their end.
+const IDLE_UNTIL_CLOSED_MS: std::ops::Range<u64> = 4900..5300;
+/// Pause between the requests of steady clients while their gateway stops. It is short, so that some requests are sent
+/// while the gateway closes the connection.
+const PAUSE_DURING_STOP_MS: std::ops::Range<u64> = 1..80;
+/// Timeouts that leave hardly any time for the request.
+const SHORT_TIMEOUT_MS: std::ops::Range<u64> = 1..60;
 
-static IDS: AtomicU64 = AtomicU64::new(1);
+/// The number of the next request id.
+static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// A client's way to one gateway.
+/// A client of one gateway.
 pub struct Client {
     testbed: Arc<Testbed>,
     gateway: usize,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
-/// One connection; its answers are entered as they come.
+/// One connection to a gateway. A task reads its answers and records them in the history.
 struct Connection {
     to: GatewayRun,
     writer: OwnedWriteHalf,
     open: Arc<Mutex<OpenRequests>>,
     reader: tokio::task::JoinHandle<()>,
-    next: u32,
+    /// The number of the next message.
+    next_message: u32,
 }
 
-/// Requests without an answer, by message number, until the connection has ended.
+/// The requests of a connection that have no answer yet.
 #[derive(Default)]
 struct OpenRequests {
+    /// Indices of the requests in the history, by message number.
     entries: HashMap<u32, usize>,
+    /// Whether the connection has ended.
     ended: bool,
 }
 
 impl Client {
     pub fn new(testbed: Arc<Testbed>, gateway: usize, number: usize) -> Client {
         let seed = testbed.schedule.seed ^ ((gateway * 1000 + number) as u64) << 20;
-        Client { testbed, gateway, chance: ChaCha8Rng::seed_from_u64(seed) }
+        Client { testbed, gateway, rng: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// Asks until the traffic is over.
+    /// Sends requests until the end of the traffic.
     pub async fn run(mut self) {
-        while !self.testbed.is_over() {
-            let _ = self.one_connection().await;
+        while !self.testbed.has_traffic_ended() {
+            let _ = self.use_one_connection().await;
             self.think().await;
         }
     }
 
+    /// Pauses between requests.
     async fn think(&mut self) {
-        let mean = self.testbed.schedule.think_time_ms(self.gateway);
-        let pause = self.chance.random_range(mean / 3..=mean * 2);
+        let typical = self.testbed.schedule.think_time_ms(self.gateway);
+        let pause = self.rng.random_range(typical / 3..=typical * 2);
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
 
-    /// Whether the protocol still lets clients connect to the gateway.
+    /// Whether the protocol allows clients to connect to the gateway now.
     fn may_connect(&self) -> bool {
         match self.testbed.gateways[self.gateway].phase() {
             Phase::Ready => true,
-            Phase::Stopping(since) => since.elapsed() < NEW_CONNECTIONS,
+            Phase::Stopping(since) => since.elapsed() < CONNECT_AFTER_STOP,
             Phase::Starting | Phase::Down => false,
         }
     }
 
-    /// Whether it lets them ask on a connection to that run.
-    fn may_ask(&self, to: GatewayRun, fresh: bool) -> bool {
-        let within = if fresh { FRESH_CONNECTIONS } else { USED_CONNECTIONS };
+    /// Whether the protocol allows clients to send requests on a connection to that gateway process now. Steady clients
+    /// ignore its time limit.
+    fn may_send(&self, to: GatewayRun, is_first: bool) -> bool {
+        let time_limit = if is_first { FIRST_REQUEST_AFTER_STOP } else { USED_CONNECTION_AFTER_STOP };
         self.testbed.run_of(self.gateway) == to
             && match self.testbed.gateways[self.gateway].phase() {
                 Phase::Ready => true,
                 Phase::Stopping(since) => {
-                    self.testbed.schedule.stop.steady_clients || since.elapsed() < within
+                    self.testbed.schedule.stop.steady_clients || since.elapsed() < time_limit
                 }
                 Phase::Starting | Phase::Down => false,
             }
     }
 
-    /// Whether a connection is used to its end: its gateway stops, and clients go on until the kill.
-    fn asks_to_the_end(&self) -> bool {
+    /// Whether clients send requests until the gateway closes the connection: it is being stopped, and they are steady.
+    fn sends_until_closed(&self) -> bool {
         self.testbed.schedule.stop.steady_clients
             && matches!(self.testbed.gateways[self.gateway].phase(), Phase::Stopping(_))
     }
 
-    async fn one_connection(&mut self) -> std::io::Result<()> {
+    /// Opens a connection, sends requests on it, and closes it.
+    async fn use_one_connection(&mut self) -> std::io::Result<()> {
         if !self.may_connect() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             return Ok(());
         }
         let mut connection = Connection::open(&self.testbed, self.gateway).await?;
-        if self.chance.random_bool(0.15) {
-            let rest = self.chance.random_range(50..LONGEST_REST);
-            tokio::time::sleep(Duration::from_millis(rest)).await;
+        if self.rng.random_bool(0.15) {
+            let idle_ms = self.rng.random_range(50..MAX_IDLE_MS);
+            tokio::time::sleep(Duration::from_millis(idle_ms)).await;
         }
-        let planned = self.chance.random_range(1..=MOST_REQUESTS);
-        for number in 0.. {
-            if number >= planned && !self.asks_to_the_end() {
+        let planned_rounds = self.rng.random_range(1..=MAX_ROUNDS);
+        for round in 0.. {
+            if round >= planned_rounds && !self.sends_until_closed() {
                 break;
             }
-            if connection.has_ended() || !self.may_ask(connection.to, number == 0) {
+            if connection.has_ended() || !self.may_send(connection.to, round == 0) {
                 break;
             }
-            let burst = if self.chance.random_bool(0.1) { self.chance.random_range(2..=10) } else { 1 };
-            let mut asked = vec![];
-            for _ in 0..burst {
-                let request = self.request(connection.to, number == 0);
-                asked.push(self.ask(&mut connection, request).await?);
+            let count = if self.rng.random_bool(0.1) { self.rng.random_range(2..=10) } else { 1 };
+            let mut sent = vec![];
+            for _ in 0..count {
+                let request = self.new_request(connection.to, round == 0);
+                sent.push(self.send_request(&mut connection, request).await?);
             }
-            match self.chance.random_range(0..100) {
+            match self.rng.random_range(0..100) {
                 0..8 => {
                     self.pause(5..300).await;
-                    let (message, entry) = asked[0];
-                    connection.forget(&self.testbed, message, entry).await?;
+                    let (message, entry) = sent[0];
+                    connection.cancel(&self.testbed, message, entry).await?;
                 }
                 8..13 => {
                     self.pause(0..300).await;
-                    connection.leave(&self.testbed);
+                    connection.abandon(&self.testbed);
                     return Ok(());
                 }
                 _ => {}
             }
-            connection.answered(&asked).await;
-            if self.asks_to_the_end() {
-                self.pause(BETWEEN_LAST_REQUESTS).await;
-            } else if self.chance.random_bool(0.05) {
-                self.pause(REST_TO_THE_END).await;
-            } else if self.chance.random_bool(0.04) {
-                self.pause(100..LONGEST_REST).await;
+            connection.wait_for_answers(&sent).await;
+            if self.sends_until_closed() {
+                self.pause(PAUSE_DURING_STOP_MS).await;
+            } else if self.rng.random_bool(0.05) {
+                self.pause(IDLE_UNTIL_CLOSED_MS).await;
+            } else if self.rng.random_bool(0.04) {
+                self.pause(100..MAX_IDLE_MS).await;
             } else {
                 self.think().await;
             }
         }
-        connection.finish().await;
+        connection.close().await;
         Ok(())
     }
 
     async fn pause(&mut self, ms: std::ops::Range<u64>) {
-        let ms = self.chance.random_range(ms);
+        let ms = self.rng.random_range(ms);
         tokio::time::sleep(Duration::from_millis(ms)).await;
     }
 
-    fn request(&mut self, to: GatewayRun, fresh: bool) -> Request {
-        let class = self.chance.random_range(0..self.testbed.schedule.classes.len());
-        let [least, most] = self.testbed.schedule.classes[class].timeout_ms;
+    /// A new request of a random class.
+    fn new_request(&mut self, to: GatewayRun, is_first: bool) -> Request {
+        let class = self.rng.random_range(0..self.testbed.schedule.classes.len());
+        let [min, max] = self.testbed.schedule.classes[class].timeout_ms;
         Request {
-            id: format!("{:08x}{:08x}", self.testbed.schedule.seed as u32, IDS.fetch_add(1, SeqCst) as u32),
+            id: format!(
+                "{:08x}{:08x}",
+                self.testbed.schedule.seed as u32,
+                NEXT_ID.fetch_add(1, SeqCst) as u32
+            ),
             to,
             class,
-            timeout_ms: if self.chance.random_bool(0.06) {
-                self.chance.random_range(SHORT_PATIENCE)
+            timeout_ms: if self.rng.random_bool(0.06) {
+                self.rng.random_range(SHORT_TIMEOUT_MS)
             } else {
-                self.chance.random_range(least..=most)
+                self.rng.random_range(min..=max)
             },
             sent_at: 0,
-            is_first_on_connection: fresh,
+            is_first_on_connection: is_first,
             end: None,
             further_answers: 0,
         }
     }
 
-    /// Sends a request, sometimes in slow pieces; returns its message number and its entry in the history.
-    async fn ask(&mut self, connection: &mut Connection, request: Request) -> std::io::Result<(u32, usize)> {
-        let message = connection.next;
-        connection.next += 1;
+    /// Sends a request, sometimes in pieces and slowly. Returns its message number and its index in the history.
+    async fn send_request(
+        &mut self,
+        connection: &mut Connection,
+        request: Request,
+    ) -> std::io::Result<(u32, usize)> {
+        let message = connection.next_message;
+        connection.next_message += 1;
         let bytes = encode_request(&self.testbed, message, &request);
-        // Until its last byte is written it is no request.
-        let slow = self.chance.random_bool(0.08);
+        // A request counts from its last byte on, so a slow client sends all other bytes before it is recorded.
+        let slow = self.rng.random_bool(0.08);
         if slow {
             for piece in bytes[..bytes.len() - 1].chunks(20) {
                 connection.writer.write_all(piece).await?;
                 self.pause(1..60).await;
             }
         }
-        let entry = connection.enter(&self.testbed, message, request)?;
+        let entry = connection.register(&self.testbed, message, request)?;
         let rest = if slow { &bytes[bytes.len() - 1..] } else { &bytes[..] };
         if let Err(e) = connection.writer.write_all(rest).await {
-            // It was never taken whole: nothing is owed.
+            // The gateway did not get the complete request, so it need not answer.
             self.testbed.history.record_request_end(entry, RequestEnd::Abandoned);
             return Err(e);
         }
         Ok((message, entry))
     }
 
-    /// Sends much at once and goes at once; its requests are entered as left behind.
-    pub async fn rush(&mut self) -> std::io::Result<()> {
+    /// Sends malformed data, half a request or many requests, and disconnects shortly after. The requests are recorded as
+    /// abandoned.
+    pub async fn misbehave(&mut self) -> std::io::Result<()> {
         if !self.may_connect() {
             return Ok(());
         }
         let mut connection = Connection::open(&self.testbed, self.gateway).await?;
-        match self.chance.random_range(0..5) {
+        match self.rng.random_range(0..5) {
             0 => connection.writer.write_all(b"GET / HTTP/1.1\r\n\r\n").await?,
             1 => connection.writer.write_all(b"\x94\x00\x01\xa6lookup\x92\x80\xc6\xff\xff\xff\xff").await?,
             2 => {
-                let request = self.request(connection.to, true);
+                let request = self.new_request(connection.to, true);
                 let bytes = encode_request(&self.testbed, 1, &request);
                 connection.writer.write_all(&bytes[..bytes.len() / 2]).await?;
                 self.pause(10..800).await;
             }
             _ => {
-                for _ in 0..self.chance.random_range(5..40) {
-                    let request = self.request(connection.to, true);
-                    self.ask(&mut connection, request).await?;
+                for _ in 0..self.rng.random_range(5..40) {
+                    let request = self.new_request(connection.to, true);
+                    self.send_request(&mut connection, request).await?;
                 }
                 self.pause(0..40).await;
             }
         }
-        connection.leave(&self.testbed);
+        connection.abandon(&self.testbed);
         Ok(())
     }
 
-    /// Holds connections on which nothing is asked.
-    pub async fn idle(&self, connections: usize, time: Duration) {
-        let mut held = vec![];
+    /// Keeps this number of idle connections open for a time.
+    pub async fn hold_idle_connections(&self, connections: usize, time: Duration) {
+        let mut streams = vec![];
         for _ in 0..connections {
             if self.may_connect()
                 && let Ok(stream) = self.testbed.gateways[self.gateway].connect().await
             {
-                held.push(stream);
+                streams.push(stream);
             }
         }
         tokio::time::sleep(time).await;
-        drop(held);
+        drop(streams);
     }
 }
 
@@ -254,11 +278,11 @@
         let (reader, writer) = TcpStream::into_split(stream);
         let open: Arc<Mutex<OpenRequests>> = Arc::default();
         let reading = read_answers(testbed.clone(), reader, open.clone());
-        Ok(Connection { to, writer, open, reader: tokio::spawn(reading), next: 1 })
+        Ok(Connection { to, writer, open, reader: tokio::spawn(reading), next_message: 1 })
     }
 
-    /// Enters a request that is about to be written whole.
-    fn enter(&self, testbed: &Testbed, message: u32, mut request: Request) -> std::io::Result<usize> {
+    /// Records a request whose last byte is about to be written. Returns its index in the history.
+    fn register(&self, testbed: &Testbed, message: u32, mut request: Request) -> std::io::Result<usize> {
         let mut open = locked(&self.open);
         if open.ended {
             return Err(std::io::ErrorKind::BrokenPipe.into());
@@ -273,7 +297,8 @@
         self.reader.is_finished()
     }
 
-    async fn forget(&mut self, testbed: &Testbed, message: u32, entry: usize) -> std::io::Result<()> {
+    /// Cancels a request.
+    async fn cancel(&mut self, testbed: &Testbed, message: u32, entry: usize) -> std::io::Result<()> {
         let mut bytes = b"\x93\x02\xa6forget\x91".to_vec();
         encode::write_uint(&mut bytes, message.into()).map_err(|e| std::io::Error::other(e.to_string()))?;
         self.writer.write_all(&bytes).await?;
@@ -281,38 +306,38 @@
         Ok(())
     }
 
-    /// Closes it over whatever is open.
-    fn leave(self, testbed: &Testbed) {
+    /// Closes the connection with its requests open.
+    fn abandon(self, testbed: &Testbed) {
         self.reader.abort();
         for (_, entry) in locked(&self.open).entries.drain() {
             testbed.history.record_request_end(entry, RequestEnd::Abandoned);
         }
     }
 
-    /// Waits for the answers, as long as a client would and a little more.
-    async fn answered(&self, asked: &[(u32, usize)]) {
-        let waits = async {
-            while asked.iter().any(|(message, _)| locked(&self.open).entries.contains_key(message)) {
+    /// Waits until all these requests have ended, a little longer than a client would.
+    async fn wait_for_answers(&self, requests: &[(u32, usize)]) {
+        let all_ended = async {
+            while requests.iter().any(|(message, _)| locked(&self.open).entries.contains_key(message)) {
                 if self.has_ended() {
                     return;
                 }
-                tokio::time::sleep(LOOK / 5).await;
+                tokio::time::sleep(POLL_INTERVAL / 5).await;
             }
         };
-        let _ = tokio::time::timeout(Duration::from_secs(3) + PATIENCE_MORE, waits).await;
+        let _ = tokio::time::timeout(MAX_ANSWER_WAIT + EXTRA_ANSWER_WAIT, all_ended).await;
     }
 
-    async fn finish(mut self) {
+    async fn close(mut self) {
         let _ = self.writer.shutdown().await;
     }
 }
 
 fn encode_request(testbed: &Testbed, message: u32, request: &Request) -> Vec<u8> {
     let class = &testbed.schedule.classes[request.class];
-    let patience = request.timeout_ms.to_string();
-    let fields = [("i", request.id.as_str()), ("d", &patience), ("h", "20.0"), ("mem", "16")];
+    let timeout = request.timeout_ms.to_string();
+    let fields = [("i", request.id.as_str()), ("d", &timeout), ("h", "20.0"), ("mem", "16")];
     let mut bytes = vec![0x94, 0];
-    // A Vec takes every write.
+    // Writing to a vector can't fail.
     let _ = encode::write_uint(&mut bytes, message.into());
     let _ = encode::write_str(&mut bytes, &class.name);
     let _ = encode::write_array_len(&mut bytes, 2);
@@ -325,13 +350,15 @@
     bytes
 }
 
+/// Reads answers until the connection ends, and records them in the history. An answer to a request that has been
+/// answered is recorded as well.
 async fn read_answers(testbed: Arc<Testbed>, mut from: OwnedReadHalf, open: Arc<Mutex<OpenRequests>>) {
-    let (mut bytes, mut piece) = (Vec::new(), vec![0; 16 * 1024]);
+    let (mut bytes, mut buffer) = (Vec::new(), vec![0; 16 * 1024]);
     let mut answered: HashMap<u32, usize> = HashMap::new();
     let reset = loop {
-        match from.read(&mut piece).await {
+        match from.read(&mut buffer).await {
             Ok(0) => break false,
-            Ok(count) => bytes.extend_from_slice(&piece[..count]),
+            Ok(count) => bytes.extend_from_slice(&buffer[..count]),
             Err(_) => break true,
         }
         while let Some((length, message, end)) = decode_answer(&bytes) {
@@ -350,7 +377,7 @@
     }
 }
 
-/// The first whole answer: its length, message number and what it says.
+/// The first answer, if it is complete: its length in bytes, its message number and the end that it means.
 fn decode_answer(bytes: &[u8]) -> Option<(usize, u32, RequestEnd)> {
     let mut from = Cursor::new(bytes);
     let text = |from: &mut Cursor<&[u8]>, length: u32| {
@@ -362,12 +389,12 @@
     decode::read_array_len(&mut from).ok()?;
     decode::read_int::<u8, _>(&mut from).ok()?;
     let message: u32 = decode::read_int(&mut from).ok()?;
-    let served = *bytes.get(from.position() as usize)? == 0xc0;
-    if served {
+    let is_result = *bytes.get(from.position() as usize)? == 0xc0;
+    if is_result {
         decode::read_nil(&mut from).ok()?;
     }
     decode::read_array_len(&mut from).ok()?;
-    let end = if served {
+    let end = if is_result {
         let length = decode::read_bin_len(&mut from).ok()?;
         RequestEnd::Done { rows: text(&mut from, length)? }
     } else {
@@ -381,7 +408,7 @@
         let length = decode::read_str_len(&mut from).ok()?;
         text(&mut from, length)?;
     }
-    if !served {
+    if !is_result {
         decode::read_nil(&mut from).ok()?;
     }
     Some((from.position() as usize, message, end))
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -1,4 +1,5 @@
-//! Engines: they read dispatches, record them in the history, work for a while and answer, unless a fault is injected.
+//! Simulated engines: they read dispatches, record them in the history, wait for the duration of the work and answer,
+//! unless a fault is injected.
 
 use crate::answers::rows;
 use crate::history::{Dispatch, DispatchEnd, Event};
@@ -13,28 +14,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// Notes of progress come this often.
-const NOTE_EVERY: Duration = Duration::from_millis(250);
-/// A hung engine or cut link is looked at again this often.
-const LOOK: Duration = Duration::from_millis(10);
-/// Within this time all that had waited in the queue are accepted.
-const QUEUE_EMPTIES: Duration = Duration::from_millis(100);
-/// The port of a process that has ended is free after this time at the latest.
-const PORT_FREE: Duration = Duration::from_secs(2);
-/// Connections that wait to be accepted.
-const QUEUE: u32 = 8;
-
+/// Interval of the progress messages about a running job.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which waiting tasks check their condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long it takes after a pause of accepting until the connections queued meanwhile have been accepted.
+const BACKLOG_ACCEPT_TIME: Duration = Duration::from_millis(100);
+/// Maximum wait for the port of a process that has ended.
+const PORT_RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: u32 = 8;
+
+/// An engine, across all runs of its process.
 pub struct Engine {
     pub index: usize,
     pub zone: usize,
     state: Mutex<State>,
     inflight: AtomicU32,
-    /// Changed to end all that the present run has open.
-    runs: watch::Sender<u32>,
+    /// The number of the current run. Each change, also one that keeps the number, closes all connections.
+    run_sender: watch::Sender<u32>,
 }
 
+/// A fault that affects a random share of the jobs until a certain time.
 #[derive(Clone, Copy)]
-struct Misbehaviour {
+struct RandomFault {
     share: f64,
     until: Instant,
 }
@@ -43,38 +46,38 @@
     port: u16,
     alive: bool,
     hangs_until: Instant,
-    /// Accepts nothing before this, if it ever was late.
+    /// When accepting continues after its last pause; none if there was no pause.
     accepts_from: Option<Instant>,
-    /// By gateway: nothing passes before this.
-    cut: HashMap<usize, Instant>,
-    fails: Misbehaviour,
-    spoils: Misbehaviour,
+    /// By gateway: until when its jobs are neither run nor answered.
+    blocked_until: HashMap<usize, Instant>,
+    job_failures: RandomFault,
+    answer_corruption: RandomFault,
 }
 
-impl Misbehaviour {
-    fn strikes(self) -> bool {
+impl RandomFault {
+    fn occurs(self) -> bool {
         Instant::now() < self.until && rand::rng().random_bool(self.share.clamp(0.0, 1.0))
     }
 }
 
 impl Engine {
     pub fn new(index: usize, zone: usize) -> Engine {
-        let never = Misbehaviour { share: 0.0, until: Instant::now() };
+        let never = RandomFault { share: 0.0, until: Instant::now() };
         let state = State {
             port: 0,
             alive: false,
             hangs_until: Instant::now(),
             accepts_from: None,
-            cut: HashMap::new(),
-            fails: never,
-            spoils: never,
+            blocked_until: HashMap::new(),
+            job_failures: never,
+            answer_corruption: never,
         };
         Engine {
             index,
             zone,
             state: Mutex::new(state),
             inflight: AtomicU32::new(0),
-            runs: watch::Sender::new(0),
+            run_sender: watch::Sender::new(0),
         }
     }
 
@@ -86,64 +89,70 @@
         locked(&self.state).port
     }
 
+    /// The number of the current run of the process, from 0.
     pub fn run(&self) -> u32 {
-        *self.runs.borrow()
+        *self.run_sender.borrow()
     }
 
+    /// Neither runs nor answers any jobs for this time.
     pub fn hang(&self, time: Duration) {
         locked(&self.state).hangs_until = Instant::now() + time;
     }
 
-    /// Waits until connections are accepted again; says whether this one may have waited in the queue meanwhile.
-    async fn accepts_late(&self) -> bool {
+    /// Waits until connections are accepted. Returns whether the one just accepted may have been queued during a pause.
+    async fn wait_until_accepting(&self) -> bool {
         let Some(from) = locked(&self.state).accepts_from else { return false };
         tokio::time::sleep_until(from.into()).await;
-        from.elapsed() < QUEUE_EMPTIES
+        from.elapsed() < BACKLOG_ACCEPT_TIME
     }
 
-    pub fn accept_late(&self, time: Duration) {
+    /// Accepts no connections for this time.
+    pub fn delay_accepts(&self, time: Duration) {
         let mut state = locked(&self.state);
         state.accepts_from = state.accepts_from.max(Some(Instant::now() + time));
     }
 
-    /// Listens where another engine did.
-    pub fn take_port(&self, port: u16) {
+    /// Sets the port of an engine that has not started yet, in place of a new one.
+    pub fn use_port(&self, port: u16) {
         locked(&self.state).port = port;
     }
 
-    pub fn cut(&self, gateways: &[usize], time: Duration) {
+    /// Neither runs nor answers the jobs of these gateways for this time.
+    pub fn block(&self, gateways: &[usize], time: Duration) {
         let until = Instant::now() + time;
-        locked(&self.state).cut.extend(gateways.iter().map(|gateway| (*gateway, until)));
+        locked(&self.state).blocked_until.extend(gateways.iter().map(|gateway| (*gateway, until)));
     }
 
-    pub fn fail(&self, share: f64, time: Duration) {
-        locked(&self.state).fails = Misbehaviour { share, until: Instant::now() + time };
+    /// Fails or rejects this share of the jobs for a time.
+    pub fn fail_jobs(&self, share: f64, time: Duration) {
+        locked(&self.state).job_failures = RandomFault { share, until: Instant::now() + time };
     }
 
-    pub fn spoil(&self, share: f64, time: Duration) {
-        locked(&self.state).spoils = Misbehaviour { share, until: Instant::now() + time };
+    /// Corrupts the answers of this share of the jobs for a time.
+    pub fn corrupt_answers(&self, share: f64, time: Duration) {
+        locked(&self.state).answer_corruption = RandomFault { share, until: Instant::now() + time };
     }
 
-    /// Resets all connections; the process goes on.
-    pub fn reset(&self) {
-        self.runs.send_modify(|_| {});
+    /// Resets all connections without ending the process.
+    pub fn reset_connections(&self) {
+        self.run_sender.send_modify(|_| {});
     }
 
-    /// The process ends: connections are reset and new ones refused.
+    /// Ends the process: connections are reset and new ones are refused.
     pub fn die(&self, testbed: &Testbed) {
         locked(&self.state).alive = false;
         testbed.history.record_event(Event::EngineDied { engine: self.index, run: self.run() });
-        self.runs.send_modify(|run| *run += 1);
+        self.run_sender.send_modify(|run| *run += 1);
     }
 
     /// Starts the process, at its old port if it had one.
     pub async fn start(self: &Arc<Self>, testbed: &Arc<Testbed>) -> std::io::Result<()> {
         let port = if self.port() == 0 { testbed.new_port() } else { self.port() };
-        let began = Instant::now();
+        let start = Instant::now();
         let listener = loop {
             match listen(port) {
                 Ok(listener) => break listener,
-                Err(_) if began.elapsed() < PORT_FREE => tokio::time::sleep(LOOK).await,
+                Err(_) if start.elapsed() < PORT_RELEASE_TIMEOUT => tokio::time::sleep(POLL_INTERVAL).await,
                 Err(e) => return Err(e),
             }
         };
@@ -154,13 +163,14 @@
         testbed.history.record_event(Event::EngineStarted { engine: self.index, run: self.run() });
         let (engine, testbed, run) = (self.clone(), testbed.clone(), self.run());
         tokio::spawn(async move {
-            let mut runs = engine.runs.subscribe();
+            let mut runs = engine.run_sender.subscribe();
             loop {
                 tokio::select! {
                     accepted = listener.accept() => {
                         let Ok((stream, _)) = accepted else { continue };
-                        if engine.accepts_late().await {
-                            // It was let in while the queue filled: whatever came on it was never read.
+                        if engine.wait_until_accepting().await {
+                            // The system may have completed this connection during the pause, and the gateway may have
+                            // sent on it since. It is closed before any of that is read.
                             continue;
                         }
                         let Some(gateway) = stream.local_addr().ok().and_then(gateway_of) else { continue };
@@ -173,105 +183,112 @@
         Ok(())
     }
 
-    async fn passes(&self, gateway: usize) {
+    /// Waits while the engine hangs or is blocked for this gateway.
+    async fn wait_until_unblocked(&self, gateway: usize) {
         loop {
             let until = {
                 let state = locked(&self.state);
-                state.cut.get(&gateway).copied().unwrap_or(state.hangs_until).max(state.hangs_until)
+                state.blocked_until.get(&gateway).copied().unwrap_or(state.hangs_until).max(state.hangs_until)
             };
             if Instant::now() >= until {
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
+    /// Serves a connection from a gateway until it ends or `run_sender` changes.
     async fn serve(self: Arc<Self>, testbed: Arc<Testbed>, stream: TcpStream, gateway: usize, run: u32) {
         let from = testbed.run_of(gateway);
         let _ = stream.set_nodelay(true);
         let std = stream.into_std().and_then(|std| {
+            // Without a linger time, dropping the connection resets it.
             socket2::SockRef::from(&std).set_linger(Some(Duration::ZERO))?;
             TcpStream::from_std(std)
         });
         let Ok(stream) = std else { return };
-        let mut runs = self.runs.subscribe();
+        let mut runs = self.run_sender.subscribe();
         let (mut reader, mut writer) = stream.into_split();
-        let (answers, mut to_write) = mpsc::unbounded_channel::<Vec<u8>>();
+        let (answers, mut pending_answers) = mpsc::unbounded_channel::<Vec<u8>>();
         let engine = self.clone();
         let writing = tokio::spawn(async move {
-            while let Some(bytes) = to_write.recv().await {
-                engine.passes(gateway).await;
+            while let Some(bytes) = pending_answers.recv().await {
+                engine.wait_until_unblocked(gateway).await;
                 if writer.write_all(&bytes).await.is_err() {
                     return;
                 }
             }
         });
-        let mut link =
-            Link { engine: self.clone(), testbed, gateway, from, run, answers, open: HashMap::new() };
-        let (mut bytes, mut piece) = (Vec::new(), vec![0; 16 * 1024]);
+        let mut connection =
+            Connection { engine: self.clone(), testbed, gateway, from, run, answers, open: HashMap::new() };
+        let (mut bytes, mut buffer) = (Vec::new(), vec![0; 16 * 1024]);
         loop {
             tokio::select! {
-                read = reader.read(&mut piece) => match read {
-                    Ok(count) if count > 0 => bytes.extend_from_slice(&piece[..count]),
+                read = reader.read(&mut buffer) => match read {
+                    Ok(count) if count > 0 => bytes.extend_from_slice(&buffer[..count]),
                     _ => break,
                 },
                 _ = runs.changed() => break,
             }
-            let done = link.read(&bytes);
-            bytes.drain(..done);
+            let consumed = connection.handle_messages(&bytes);
+            bytes.drain(..consumed);
         }
-        for (_, job) in link.open.drain() {
-            job.given_up.store(true, SeqCst);
-            link.testbed.history.record_dispatch_end(job.entry, DispatchEnd::Disconnected);
+        for (_, job) in connection.open.drain() {
+            job.cancelled.store(true, SeqCst);
+            connection.testbed.history.record_dispatch_end(job.entry, DispatchEnd::Disconnected);
         }
         writing.abort();
     }
 }
 
-/// A listener with a short queue: connections come up late where they are not accepted at once.
+/// A listener with a short backlog, so that connecting takes long or fails while no connections are accepted.
 fn listen(port: u16) -> std::io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind((std::net::Ipv4Addr::UNSPECIFIED, port).into())?;
-    socket.listen(QUEUE)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// One connection from a gateway.
-struct Link {
+struct Connection {
     engine: Arc<Engine>,
     testbed: Arc<Testbed>,
     gateway: usize,
+    /// The gateway process that opened it.
     from: crate::history::GatewayRun,
+    /// The engine's run that accepted it.
     run: u32,
     answers: mpsc::UnboundedSender<Vec<u8>>,
+    /// Dispatches that the gateway has not ended, by request id.
     open: HashMap<String, OpenDispatch>,
 }
 
 struct OpenDispatch {
+    /// Index of the dispatch in the history.
     entry: usize,
-    given_up: Arc<AtomicBool>,
+    cancelled: Arc<AtomicBool>,
 }
 
-impl Link {
-    /// Deals with the whole messages at hand; says how many bytes they take.
-    fn read(&mut self, bytes: &[u8]) -> usize {
-        let mut done = 0;
-        while let Some(end) = bytes[done..].iter().position(|byte| *byte == b'\n') {
-            let line = String::from_utf8_lossy(&bytes[done..done + end]).trim_end().to_string();
+impl Connection {
+    /// Handles all complete messages and returns their length in bytes.
+    fn handle_messages(&mut self, bytes: &[u8]) -> usize {
+        let mut consumed = 0;
+        while let Some(end) = bytes[consumed..].iter().position(|byte| *byte == b'\n') {
+            let line = String::from_utf8_lossy(&bytes[consumed..consumed + end]).trim_end().to_string();
             let words: Vec<&str> = line.split(' ').collect();
-            let mut taken = end + 1;
+            let mut message_bytes = end + 1;
             match words[..] {
                 ["REQ", id, fields, length] => {
                     let length: usize = length.parse().unwrap_or(0);
-                    if bytes.len() < done + taken + length + 2 {
-                        return done;
+                    if bytes.len() < consumed + message_bytes + length + 2 {
+                        return consumed;
                     }
-                    taken += length + 2;
+                    message_bytes += length + 2;
                     self.dispatch(id, fields);
                 }
                 ["STOP" | "END", id] => {
                     if let Some(job) = self.open.remove(id) {
-                        job.given_up.store(true, SeqCst);
+                        job.cancelled.store(true, SeqCst);
                         self.testbed.history.record_dispatch_end(job.entry, DispatchEnd::Stopped);
                     }
                 }
@@ -279,15 +296,15 @@
                 ["HELO" | "STAT", tag] => self.probe(tag),
                 _ => {}
             }
-            done += taken;
+            consumed += message_bytes;
         }
-        done
+        consumed
     }
 
     fn dispatch(&mut self, id: &str, fields: &str) {
         let field = |name: &str| {
             let fields = fields.split(',').filter_map(|field| field.split_once('='));
-            fields.into_iter().find(|(told, _)| *told == name).map_or("", |(_, value)| value)
+            fields.into_iter().find(|(key, _)| *key == name).map_or("", |(_, value)| value)
         };
         let class = field("cls").to_string();
         let entry = self.testbed.history.record_dispatch(Dispatch {
@@ -300,21 +317,21 @@
             limit_ms: field("limit").parse().unwrap_or(0),
             end: None,
         });
-        let given_up = Arc::new(AtomicBool::new(false));
-        self.open.insert(id.to_string(), OpenDispatch { entry, given_up: given_up.clone() });
-        let kind = self.testbed.schedule.classes.iter().find(|kind| kind.name == class);
-        let work = Duration::from_millis(kind.map_or(20, |kind| kind.work_ms));
-        let job = Work {
+        let cancelled = Arc::new(AtomicBool::new(false));
+        self.open.insert(id.to_string(), OpenDispatch { entry, cancelled: cancelled.clone() });
+        let known_class = self.testbed.schedule.classes.iter().find(|known| known.name == class);
+        let work = Duration::from_millis(known_class.map_or(20, |known| known.work_ms));
+        let execution = Execution {
             engine: self.engine.clone(),
             testbed: self.testbed.clone(),
             gateway: self.gateway,
-            run: self.run,
+            engine_run: self.run,
             id: id.to_string(),
             entry,
-            given_up,
+            cancelled,
             answers: self.answers.clone(),
         };
-        tokio::spawn(job.inject(work));
+        tokio::spawn(execution.run(work));
     }
 
     fn fetch(&self, id: &str, page: u32) {
@@ -337,117 +354,121 @@
     format!("{id} {word} {fields} {}\r\n{payload}\r\n", payload.len()).into_bytes()
 }
 
-/// One dispatch as the engine carries it out.
-struct Work {
+/// The execution of one dispatch.
+struct Execution {
     engine: Arc<Engine>,
     testbed: Arc<Testbed>,
     gateway: usize,
-    run: u32,
+    /// The engine's run that got the dispatch.
+    engine_run: u32,
     id: String,
+    /// Index of the dispatch in the history.
     entry: usize,
-    given_up: Arc<AtomicBool>,
+    cancelled: Arc<AtomicBool>,
     answers: mpsc::UnboundedSender<Vec<u8>>,
 }
 
-impl Work {
-    async fn inject(self, work: Duration) {
-        self.engine.passes(self.gateway).await;
-        if self.is_over() {
+impl Execution {
+    /// Runs a job that takes this long on an idle engine.
+    async fn run(self, work: Duration) {
+        self.engine.wait_until_unblocked(self.gateway).await;
+        if self.is_cancelled() {
             return;
         }
-        if locked(&self.engine.state).fails.strikes() {
-            return self.fail();
+        if locked(&self.engine.state).job_failures.occurs() {
+            return self.answer_failure();
         }
         let before = self.engine.inflight.fetch_add(1, SeqCst);
-        let crowd = f64::from(before + 1) / (2.0 * self.testbed.schedule.cores);
-        let mut left = work.mul_f64(crowd.max(1.0) * rand::rng().random_range(0.5..1.6));
-        let all = left;
-        while left > NOTE_EVERY {
-            tokio::time::sleep(NOTE_EVERY).await;
-            left -= NOTE_EVERY;
-            let share = 1.0 - left.as_secs_f64() / all.as_secs_f64();
-            self.say(message(&self.id, "INFO", &format!("tell=advance,val={share:.2}"), ""));
+        let load = f64::from(before + 1) / (2.0 * self.testbed.schedule.cores);
+        let mut left = work.mul_f64(load.max(1.0) * rand::rng().random_range(0.5..1.6));
+        let total = left;
+        while left > PROGRESS_INTERVAL {
+            tokio::time::sleep(PROGRESS_INTERVAL).await;
+            left -= PROGRESS_INTERVAL;
+            let share = 1.0 - left.as_secs_f64() / total.as_secs_f64();
+            self.send(message(&self.id, "INFO", &format!("tell=advance,val={share:.2}"), ""));
         }
         tokio::time::sleep(left).await;
-        self.engine.passes(self.gateway).await;
+        self.engine.wait_until_unblocked(self.gateway).await;
         self.engine.inflight.fetch_sub(1, SeqCst);
-        if self.is_over() {
+        if self.is_cancelled() {
             return;
         }
-        if locked(&self.engine.state).spoils.strikes() {
-            return self.spoil().await;
+        if locked(&self.engine.state).answer_corruption.occurs() {
+            return self.answer_corrupt().await;
         }
-        self.finish();
+        self.answer_result();
     }
 
-    fn is_over(&self) -> bool {
-        self.given_up.load(SeqCst) || self.engine.run() != self.run
+    fn is_cancelled(&self) -> bool {
+        self.cancelled.load(SeqCst) || self.engine.run() != self.engine_run
     }
 
-    fn say(&self, bytes: Vec<u8>) {
+    fn send(&self, bytes: Vec<u8>) {
         let _ = self.answers.send(bytes);
     }
 
-    fn ended(&self, end: DispatchEnd) {
+    fn record_end(&self, end: DispatchEnd) {
         self.testbed.history.record_dispatch_end(self.entry, end);
     }
 
-    fn hit(&self) -> Vec<u8> {
-        let rows = rows(&self.id, self.engine.index, self.run);
+    fn result_message(&self) -> Vec<u8> {
+        let rows = rows(&self.id, self.engine.index, self.engine_run);
         let fields = format!("sheets={},toil=20.0,room=64,meter=util:0.3", rows.len());
         message(&self.id, "HIT", &fields, &rows[0])
     }
 
-    fn finish(&self) {
-        self.ended(DispatchEnd::Done);
-        self.say(self.hit());
+    fn answer_result(&self) {
+        self.record_end(DispatchEnd::Done);
+        self.send(self.result_message());
     }
 
-    fn fail(&self) {
+    /// Answers that the job was rejected or failed.
+    fn answer_failure(&self) {
         let (word, end) = match rand::rng().random_range(0..4) {
             0 => ("SHED", DispatchEnd::Shed),
             1 => ("LATE", DispatchEnd::Late),
             _ => ("FAULT", DispatchEnd::Fault),
         };
-        self.ended(end);
-        self.say(message(&self.id, word, "-", ""));
+        self.record_end(end);
+        self.send(message(&self.id, word, "-", ""));
     }
 
-    async fn spoil(&self) {
+    /// Answers in one of several ways that break the protocol or are slow.
+    async fn answer_corrupt(&self) {
         let id = &self.id;
-        let sort = rand::rng().random_range(0..7);
-        match sort {
-            0 => self.say(b"what is this\r\n".to_vec()),
-            1 => self.say(format!("{id} HIT sheets=1 40\r\nhalf a row").into_bytes()),
-            2 => self.say(format!("{id} HIT sheets=1 999999\r\n").into_bytes()),
+        let variant = rand::rng().random_range(0..7);
+        match variant {
+            0 => self.send(b"what is this\r\n".to_vec()),
+            1 => self.send(format!("{id} HIT sheets=1 40\r\nhalf a row").into_bytes()),
+            2 => self.send(format!("{id} HIT sheets=1 999999\r\n").into_bytes()),
             3 => {
-                self.finish();
-                self.say(self.hit());
+                self.answer_result();
+                self.send(self.result_message());
             }
             4 => {
-                self.finish();
+                self.answer_result();
                 tokio::time::sleep(Duration::from_millis(30)).await;
-                self.say(self.hit());
+                self.send(self.result_message());
             }
-            // Progress, and then that it never ran.
+            // Contradictory: progress, then the answer that the job never ran.
             5 => {
-                self.say(message(id, "INFO", "tell=advance,val=0.70", ""));
-                self.ended(DispatchEnd::Fault);
-                self.say(message(id, "LATE", "-", ""));
+                self.send(message(id, "INFO", "tell=advance,val=0.70", ""));
+                self.record_end(DispatchEnd::Fault);
+                self.send(message(id, "LATE", "-", ""));
             }
             _ => {
-                let hit = self.hit();
-                for byte in hit {
-                    self.say(vec![byte]);
+                for byte in self.result_message() {
+                    self.send(vec![byte]);
                     tokio::time::sleep(Duration::from_millis(2)).await;
                 }
-                self.ended(DispatchEnd::Done);
+                self.record_end(DispatchEnd::Done);
             }
         }
     }
 }
 
-/// Where an engine is met by a gateway.
+/// The address under which a gateway reaches an engine.
 pub fn address(engine: &Engine, gateway: usize) -> SocketAddr {
-    crate::testbed::link_address(gateway, engine.port())
+    crate::testbed::gateway_address(gateway, engine.port())
 }
--- a/crates/soak/src/gateway.rs
+++ b/crates/soak/src/gateway.rs
@@ -1,8 +1,8 @@
-//! The processes under test: their configurations, signals, logs and control files.
+//! The gateways, which are the processes under test: their configurations, signals, logs and control files.
 
 use crate::history::{Event, GatewayRun};
 use crate::schedule::{Schedule, StopSignal};
-use crate::testbed::{Testbed, link_address, locked};
+use crate::testbed::{Testbed, gateway_address, locked};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use pebblevane_syscall_faults::{FaultControl, FaultKind};
@@ -16,30 +16,35 @@
 use tokio::net::TcpStream;
 use tokio::process::Command;
 
-/// How the deploy file starts the program: a SIGHUP that comes before the program listens to signals is ignored, as the
-/// configuration is still to be read then; by itself it would end the process.
-const RUN: &str = "trap '' HUP; exec \"$0\"";
-/// Descriptors of a gateway, and of one with a crowd.
-const DESCRIPTORS: usize = 320;
-const DESCRIPTORS_OF_CROWD: usize = 1024;
-/// A start that takes longer has failed.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-const LOOK: Duration = Duration::from_millis(20);
-/// More of a log than this is not kept.
-const LONGEST_LOG: usize = 4 * 1024 * 1024;
+/// Starts the program as the deploy file does. A SIGHUP that arrives before the program has installed its signal handlers
+/// is ignored instead of ending the process. Nothing is lost, as the program reads its configuration later.
+const START_SCRIPT: &str = "trap '' HUP; exec \"$0\"";
+/// Maximum number of sockets in the configuration of a gateway.
+const SOCKET_LIMIT: usize = 320;
+/// The same for a gateway with many clients.
+const CROWDED_SOCKET_LIMIT: usize = 1024;
+/// How long a started gateway is checked for readiness.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which waiting tasks check their condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum size of a log that is kept (bytes). Further lines are only searched for errors.
+const MAX_LOG_BYTES: usize = 4 * 1024 * 1024;
 
-/// What the supervisor knows of a gateway.
+/// The state of a gateway's process as its supervisor sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
     Starting,
+    /// Answered its first health check.
     Ready,
-    /// Told to stop at this time.
+    /// Got SIGTERM or SIGINT at this time.
     Stopping(Instant),
     Down,
 }
 
+/// A gateway, across all runs of its process.
 pub struct Gateway {
     pub index: usize,
+    /// The port for clients.
     port: u16,
     run: AtomicU32,
     state: Mutex<State>,
@@ -56,6 +61,7 @@
         Gateway { index, port, run: AtomicU32::new(0), state }
     }
 
+    /// The number of the current run of the process: 1 for the first, 0 before it.
     pub fn run(&self) -> u32 {
         self.run.load(SeqCst)
     }
@@ -64,8 +70,9 @@
         locked(&self.state).phase
     }
 
+    /// Connects as a client.
     pub async fn connect(&self) -> std::io::Result<TcpStream> {
-        let stream = TcpStream::connect(link_address(self.index, self.port)).await?;
+        let stream = TcpStream::connect(gateway_address(self.index, self.port)).await?;
         stream.set_nodelay(true)?;
         Ok(stream)
     }
@@ -74,19 +81,21 @@
         testbed.folder.join(format!("g{}.{ending}", self.index))
     }
 
-    fn configuration(&self, testbed: &Testbed, run: GatewayRun, stale: bool) -> String {
+    /// The configuration file. If `is_outdated`, its list of engines is the first one that the event bus had.
+    fn configuration(&self, testbed: &Testbed, run: GatewayRun, is_outdated: bool) -> String {
         let schedule = &testbed.schedule;
         json!({
-            "name": format!("g{}", self.index), "listen": link_address(self.index, self.port).to_string(),
+            "name": format!("g{}", self.index), "listen": gateway_address(self.index, self.port).to_string(),
             "seed": format!("{:016x}", schedule.seed.wrapping_mul(1000) + self.index as u64),
-            "limits": {"cores": 1.0, "memory_mb": 96, "sockets": self.descriptors(schedule)},
-            "bus": link_address(self.index, testbed.bus.port()).to_string(),
-            "known": testbed.bus.known(testbed, run, stale), "settings": schedule.settings(self.index),
+            "limits": {"cores": 1.0, "memory_mb": 96, "sockets": self.socket_limit(schedule)},
+            "bus": gateway_address(self.index, testbed.bus.port()).to_string(),
+            "known": testbed.bus.initial_topology(testbed, run, is_outdated), "settings": schedule.settings(self.index),
         })
         .to_string()
     }
 
-    /// Writes the configuration anew, a half first, and tells the program.
+    /// Writes the current configuration and has the program reload it. Before that, the program is made to reload an
+    /// incomplete file.
     pub async fn reload(&self, testbed: &Testbed) {
         let text = self.configuration(testbed, testbed.run_of(self.index), false);
         let file = self.file(testbed, "json");
@@ -97,19 +106,20 @@
         self.signal(Signal::SIGHUP);
     }
 
+    /// Sends a signal to the process, if there is one.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = locked(&self.state).pid {
             let _ = kill(Pid::from_raw(pid as i32), signal);
         }
     }
 
-    /// Steps the program's wall clock.
-    pub fn step_clock(&self, testbed: &Testbed, offset: Duration, back: bool) {
-        let offset_us = offset.as_micros() as i64 * if back { -1 } else { 1 };
+    /// Sets the program's wall clock forward or backward from the system's by this offset.
+    pub fn step_clock(&self, testbed: &Testbed, offset: Duration, backward: bool) {
+        let offset_us = offset.as_micros() as i64 * if backward { -1 } else { 1 };
         let _ = self.fault_control(testbed).and_then(|control| control.set_wall_offset_us(offset_us));
     }
 
-    /// Sets how often system calls of these kinds fail.
+    /// Sets the share of system calls that fail in each of these ways.
     pub fn fail_calls(&self, testbed: &Testbed, rates: &[(FaultKind, f64)]) {
         let Ok(control) = self.fault_control(testbed) else { return };
         for (kind, share) in rates {
@@ -121,15 +131,15 @@
         FaultControl::open(&self.file(testbed, "control"))
     }
 
-    /// Starts the process and returns at once; it is ready later.
-    pub fn start(&self, testbed: &Arc<Testbed>, stale: bool) -> std::io::Result<()> {
+    /// Starts the process and returns before it is ready. For `is_outdated`, see [`Gateway::configuration`].
+    pub fn start(&self, testbed: &Arc<Testbed>, is_outdated: bool) -> std::io::Result<()> {
         let run = GatewayRun { gateway: self.index, run: self.run.fetch_add(1, SeqCst) + 1 };
         let config = self.file(testbed, "json");
-        std::fs::write(&config, self.configuration(testbed, run, stale))?;
+        std::fs::write(&config, self.configuration(testbed, run, is_outdated))?;
         let control = self.fault_control(testbed)?;
         let fault_seed = testbed.schedule.seed * 1009 + self.index as u64;
         let mut child = Command::new("/bin/sh")
-            .args(["-c", RUN])
+            .args(["-c", START_SCRIPT])
             .arg(&testbed.program)
             .env_clear()
             .env("NODE_CONFIG", &config)
@@ -148,39 +158,46 @@
         testbed.history.record_event(Event::GatewayStarted { run });
         let log = testbed.folder.join(format!("g{}-{}.log", run.gateway, run.run));
         if let Some(out) = child.stdout.take() {
-            tokio::spawn(watch(testbed.clone(), run, out, Some(log)));
+            tokio::spawn(collect_log(testbed.clone(), run, out, Some(log)));
         }
         if let Some(err) = child.stderr.take() {
-            tokio::spawn(watch(testbed.clone(), run, err, None));
+            tokio::spawn(collect_log(testbed.clone(), run, err, None));
         }
         let testbed = testbed.clone();
         tokio::spawn(async move {
             let gateway = &testbed.gateways[run.gateway];
             tokio::select! {
-                ended = child.wait() => gateway.ended(&testbed, run, ended),
-                () = gateway.becomes_ready(&testbed, run) => {
+                ended = child.wait() => gateway.process_ended(&testbed, run, ended),
+                () = gateway.wait_until_ready(&testbed, run) => {
                     let ended = child.wait().await;
-                    gateway.ended(&testbed, run, ended);
+                    gateway.process_ended(&testbed, run, ended);
                 }
             }
         });
         Ok(())
     }
 
-    fn ended(&self, testbed: &Testbed, run: GatewayRun, ended: std::io::Result<std::process::ExitStatus>) {
+    /// Records the end of the process.
+    fn process_ended(
+        &self,
+        testbed: &Testbed,
+        run: GatewayRun,
+        ended: std::io::Result<std::process::ExitStatus>,
+    ) {
         let mut state = locked(&self.state);
-        let told = matches!(state.phase, Phase::Stopping(_));
+        let was_stopping = matches!(state.phase, Phase::Stopping(_));
         (state.phase, state.pid) = (Phase::Down, None);
         drop(state);
         let status = ended.map_or_else(|e| e.to_string(), |status| status.to_string());
-        let clean = told && status == "exit status: 0";
+        let clean = was_stopping && status == "exit status: 0";
         testbed.history.record_event(Event::GatewayEnded { run, status, clean });
     }
 
-    async fn becomes_ready(&self, testbed: &Testbed, run: GatewayRun) {
+    /// Waits until the process passes a health check. Returns also if it does not within `START_TIMEOUT`.
+    async fn wait_until_ready(&self, testbed: &Testbed, run: GatewayRun) {
         let since = Instant::now();
-        while since.elapsed() < READY_WITHIN {
-            if self.is_well().await.unwrap_or(false) {
+        while since.elapsed() < START_TIMEOUT {
+            if self.check_health().await.unwrap_or(false) {
                 let mut state = locked(&self.state);
                 if state.phase == Phase::Starting {
                     state.phase = Phase::Ready;
@@ -189,11 +206,12 @@
                 }
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn is_well(&self) -> std::io::Result<bool> {
+    /// Sends the protocol's health check.
+    async fn check_health(&self) -> std::io::Result<bool> {
         let mut stream = self.connect().await?;
         stream.write_all(b"\x94\x00\x01\xa6isWell\x91\x80").await?;
         let mut answer = [0; 6];
@@ -201,25 +219,26 @@
         Ok(answer[5] == 0xc3)
     }
 
-    fn descriptors(&self, schedule: &Schedule) -> usize {
+    fn socket_limit(&self, schedule: &Schedule) -> usize {
         let is_crowded = schedule.client_count(self.index) > schedule.clients_per_gateway;
-        if is_crowded { DESCRIPTORS_OF_CROWD } else { DESCRIPTORS }
+        if is_crowded { CROWDED_SOCKET_LIMIT } else { SOCKET_LIMIT }
     }
 
-    /// A planned stop; returns when the process has ended, which is forced in the end.
+    /// Sends the signals of the stop plan and waits until the process has ended. Kills it after `Schedule::kill_after`.
+    /// Returns at once if another stop is under way.
     pub async fn stop(&self, testbed: &Testbed) {
         let run = testbed.run_of(self.index);
-        let begun = Instant::now();
-        let mut told = None;
+        let start = Instant::now();
+        let mut stopped_at = None;
         let mut signals = testbed.schedule.stop.signals.iter().peekable();
         while self.phase() != Phase::Down {
-            while let Some(due) = signals.next_if(|next| begun.elapsed() >= Duration::from_millis(next.at_ms))
+            while let Some(due) = signals.next_if(|next| start.elapsed() >= Duration::from_millis(next.at_ms))
             {
-                if due.signal != StopSignal::Reload && told.is_none() {
+                if due.signal != StopSignal::Reload && stopped_at.is_none() {
                     if !self.begin_stop(testbed, run) {
                         return;
                     }
-                    told = Some(Instant::now());
+                    stopped_at = Some(Instant::now());
                 }
                 self.signal(match due.signal {
                     StopSignal::Reload => Signal::SIGHUP,
@@ -227,15 +246,15 @@
                     StopSignal::Interrupt => Signal::SIGINT,
                 });
             }
-            if told.is_some_and(|told| told.elapsed() > testbed.schedule.kill_after()) {
-                // The supervisor of a real fleet would do the same; whatever is unanswered then is lost.
+            if stopped_at.is_some_and(|at| at.elapsed() > testbed.schedule.kill_after()) {
+                // As the supervisor of a real deployment would do. Requests that are open then get no answer.
                 self.signal(Signal::SIGKILL);
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Enters that the process is told to stop; false if it has been told before, or has ended.
+    /// Records the start of a stop. Returns false if the process is being stopped already or has ended.
     fn begin_stop(&self, testbed: &Testbed, run: GatewayRun) -> bool {
         let mut state = locked(&self.state);
         if state.pid.is_none() || matches!(state.phase, Phase::Stopping(_)) {
@@ -247,14 +266,16 @@
         true
     }
 
+    /// Kills the process and waits until it has ended.
     pub async fn kill(&self, testbed: &Testbed) {
         testbed.history.record_event(Event::GatewayKilled { run: testbed.run_of(self.index) });
         self.signal(Signal::SIGKILL);
         while self.phase() != Phase::Down {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
+    /// Suspends the process for this time.
     pub async fn freeze(&self, testbed: &Testbed, time: Duration) {
         let run = testbed.run_of(self.index);
         testbed.history.record_event(Event::GatewayFrozen { run });
@@ -265,22 +286,28 @@
     }
 }
 
-/// Keeps a log and looks for what must not be in it.
-async fn watch(testbed: Arc<Testbed>, run: GatewayRun, from: impl AsyncRead + Unpin, log: Option<PathBuf>) {
+/// Reads one output stream of a process, records its error lines in the history, and writes it to `log`. Without `log`,
+/// the stream is standard error.
+async fn collect_log(
+    testbed: Arc<Testbed>,
+    run: GatewayRun,
+    from: impl AsyncRead + Unpin,
+    log: Option<PathBuf>,
+) {
     let mut lines = BufReader::new(from).lines();
-    let (mut kept, mut bytes) = (Vec::new(), 0);
+    let (mut kept_lines, mut kept_bytes) = (Vec::new(), 0);
     while let Ok(Some(line)) = lines.next_line().await {
-        // Whatever comes on standard error is a panic or the reason of a failed start.
-        let odd = log.is_none() || line.contains(" ERROR ") || line.contains("panicked");
-        if odd {
+        // The program writes to standard error only if it panics or cannot start.
+        let is_error = log.is_none() || line.contains(" ERROR ") || line.contains("panicked");
+        if is_error {
             testbed.history.record_event(Event::ErrorLogged { run, line: line.clone() });
         }
-        if bytes < LONGEST_LOG {
-            bytes += line.len();
-            kept.push(format!("{} {line}", testbed.history.now()));
+        if kept_bytes < MAX_LOG_BYTES {
+            kept_bytes += line.len();
+            kept_lines.push(format!("{} {line}", testbed.history.now()));
         }
     }
     if let Some(log) = log {
-        let _ = tokio::fs::write(log, kept.join("\n")).await;
+        let _ = tokio::fs::write(log, kept_lines.join("\n")).await;
     }
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,5 +1,7 @@
-//! Soak test of pebblevane: dozens of real processes on loopback with engines, an event bus and clients of this test's
-//! own, under faults that overlap, checked from the history that all of them record.
+//! Soak test of pebblevane: runs dozens of its processes on loopback, with simulated engines, event bus and clients, and
+//! injects faults that overlap. All parts record a history, which is checked afterwards.
+//!
+//! A play is one execution of a schedule. The schedule is derived from a seed or read from a file.
 
 mod answers;
 mod bus;
@@ -24,46 +26,48 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Semaphore;
 
-/// Plays side by side have ports of their own from here on, so many each, below those that the system gives out: an
-/// engine that is away for a moment finds its port free when it comes back.
+/// The first port of all plays. Concurrent plays have separate ports. All are below those that the system assigns, so
+/// that the port of an engine is still free when the engine restarts.
 const FIRST_PORT: u16 = 10_000;
-const PORTS_A_PLAY: u64 = 100;
-const PLAYS: u64 = 220;
+const PORTS_PER_PLAY: u64 = 100;
+/// Number of port ranges; seeds that differ by a multiple of this share one.
+const PORT_RANGES: u64 = 220;
 
-/// Plays seeds and checks their histories.
+/// Runs pebblevane under random faults and checks the recorded histories.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
-    /// Seeds to play, from the first one on.
+    /// Number of seeds to play.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
+    /// The first seed; the others follow it.
     #[arg(long, default_value_t = 1)]
     first_seed: u64,
-    /// Processes of the program in each play.
+    /// Number of processes of the program in each play.
     #[arg(long, default_value_t = 36, value_parser = clap::value_parser!(u64).range(1..=200))]
     processes: u64,
-    /// Seconds of traffic in each play; a few more go by until all have stopped.
+    /// Seconds of traffic in each play. Stopping all processes takes a few more.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// Begin no new play after so many minutes.
+    /// Start no new play of a seed after this many minutes.
     #[arg(long)]
     minutes: Option<f64>,
-    /// Plays side by side.
+    /// Number of concurrent plays.
     #[arg(long, default_value_t = 2)]
     side_by_side: usize,
     /// The program under test.
     #[arg(long, default_value = "target/release/pebblevane")]
     program: PathBuf,
-    /// Where logs and histories lie.
+    /// Folder for logs and histories.
     #[arg(long, default_value = "target/soak")]
     folder: PathBuf,
-    /// Keep the histories of plays that passed, too.
+    /// Also keep the histories of plays that passed.
     #[arg(long)]
     keep: bool,
-    /// Play these schedules, as --print-plans prints them, in place of seeds.
+    /// Play the schedules in these files instead of seeds, one in each file, as --print-plans prints them.
     #[arg(long, num_args = 1..)]
     plans: Vec<PathBuf>,
-    /// Only print what the seeds would play.
+    /// Only print the schedules of the seeds.
     #[arg(long)]
     print_plans: bool,
 }
@@ -99,21 +103,21 @@
     }
 }
 
-/// Plays all seeds; says whether none failed.
+/// Plays all seeds or schedules and prints the totals. Returns whether all passed.
 async fn play_all(arguments: Arguments) -> bool {
     let arguments = Arc::new(arguments);
-    let places = Arc::new(Semaphore::new(arguments.side_by_side.max(1)));
-    let began = Instant::now();
+    let permits = Arc::new(Semaphore::new(arguments.side_by_side.max(1)));
+    let start = Instant::now();
     let mut plays = vec![];
     for seed in arguments.all_seeds() {
-        let Ok(place) = places.clone().acquire_owned().await else { break };
-        let over = |minutes: &f64| began.elapsed() > Duration::from_secs_f64(minutes * 60.0);
-        if arguments.minutes.as_ref().is_some_and(over) {
+        let Ok(permit) = permits.clone().acquire_owned().await else { break };
+        let is_time_up = |minutes: &f64| start.elapsed() > Duration::from_secs_f64(minutes * 60.0);
+        if arguments.minutes.as_ref().is_some_and(is_time_up) {
             break;
         }
         let arguments = arguments.clone();
         plays.push(tokio::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             let schedule = Schedule::from_seed(seed, arguments.processes as usize, arguments.seconds);
             play_one(schedule, &arguments).await
         }));
@@ -127,19 +131,19 @@
                 return false;
             }
         };
-        let Ok(place) = places.clone().acquire_owned().await else { break };
+        let Ok(permit) = permits.clone().acquire_owned().await else { break };
         plays.push(tokio::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             play_one(schedule, &arguments).await
         }));
     }
     let (mut passed, mut failed, mut rules) = (0, 0, BTreeMap::new());
     for play in plays {
         match play.await {
-            Ok(Ok(broken)) if broken.is_empty() => passed += 1,
-            Ok(Ok(broken)) => {
+            Ok(Ok(violated)) if violated.is_empty() => passed += 1,
+            Ok(Ok(violated)) => {
                 failed += 1;
-                for rule in broken {
+                for rule in violated {
                     *rules.entry(rule).or_insert(0u32) += 1;
                 }
             }
@@ -149,7 +153,7 @@
             }
             Err(e) => {
                 failed += 1;
-                println!("the test itself failed: {e}");
+                println!("the soak itself failed: {e}");
             }
         }
     }
@@ -164,29 +168,29 @@
     Ok(serde_json::from_str(&std::fs::read_to_string(path)?)?)
 }
 
-/// Plays a schedule and prints how it went; returns the rules that were broken.
+/// Plays a schedule and prints the result. Returns the rule of each violation.
 async fn play_one(schedule: Schedule, arguments: &Arguments) -> Result<Vec<String>, PlayError> {
     let seed = schedule.seed;
     let folder = arguments.folder.join(format!("seed-{seed}"));
-    let port = FIRST_PORT + (seed % PLAYS * PORTS_A_PLAY) as u16;
+    let port = FIRST_PORT + (seed % PORT_RANGES * PORTS_PER_PLAY) as u16;
     let played = run::play(schedule, &folder, &arguments.program, port).await?;
-    let broken: Vec<String> =
+    let violated: Vec<String> =
         played.verdict.certain_violations().map(|violation| format!("{:?}", violation.rule)).collect();
-    println!("{}", report::line(&played));
-    if broken.is_empty() && !arguments.keep {
+    println!("{}", report::summary(&played));
+    if violated.is_empty() && !arguments.keep {
         let _ = std::fs::remove_dir_all(&folder);
     } else {
         print!("{}", report::details(&played, &folder));
-        keep(&played, &folder);
+        write_play(&played, &folder);
     }
-    Ok(broken)
+    Ok(violated)
 }
 
-/// Leaves what is needed to read a play later.
-fn keep(played: &Played, folder: &Path) {
+/// Writes a file with all data of a play.
+fn write_play(played: &Played, folder: &Path) {
     let all =
         serde_json::json!({"plan": played.schedule, "books": played.records, "verdict": played.verdict});
     if let Err(e) = std::fs::write(folder.join("play.json"), all.to_string()) {
-        println!("cannot keep the history: {e}");
+        println!("cannot write the history: {e}");
     }
 }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What a person is shown of a play.
+//! Formats the result of a play for people.
 
 use crate::checker::Violation;
 use crate::history::{Event, Micros};
@@ -6,24 +6,29 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Violations that are shown one by one.
-const MOST_SHOWN: usize = 6;
-const LOG_LINES: usize = 60;
+/// Maximum number of violations that are described.
+const MAX_VIOLATIONS: usize = 6;
+/// Maximum number of lines that are shown of each log.
+const MAX_LOG_LINES: usize = 60;
 
 fn seconds(at: Micros) -> String {
     format!("{:>9.4}", at as f64 / 1e6)
 }
 
-/// One line on a play.
-pub fn line(played: &Played) -> String {
+/// Summarizes a play in one line.
+pub fn summary(played: &Played) -> String {
     let verdict = &played.verdict;
-    let broken = verdict.certain_violations().count();
-    let unsure = verdict.violations.len() - broken;
-    let end = if broken == 0 { "passed".to_string() } else { format!("FAILED, {broken} violations") };
-    let unsure = if unsure > 0 { format!(", {unsure} unsure as the test lagged") } else { String::new() };
+    let certain = verdict.certain_violations().count();
+    let uncertain = verdict.violations.len() - certain;
+    let outcome = if certain == 0 { "passed".to_string() } else { format!("FAILED, {certain} violations") };
+    let uncertain = if uncertain > 0 {
+        format!(", {uncertain} uncertain because the soak lagged")
+    } else {
+        String::new()
+    };
     format!(
-        "seed {}: {end}{unsure} ({} requests: {} done, {} busy, {} failed; {} dispatches; {} crossings; {} at killed gateways; \
-         {} on broken connections; {} late in a stop)",
+        "seed {}: {outcome}{uncertain} ({} requests: {} done, {} busy, {} failed; {} dispatches; {} close races; \
+         {} at killed gateways; {} on broken connections; {} late in a stop)",
         played.schedule.seed,
         verdict.requests,
         verdict.done,
@@ -37,14 +42,14 @@
     )
 }
 
-/// The schedule, the violations, and the first one's request through every process.
+/// Describes the faults, the violations, and the first violation's request as all processes have recorded it.
 pub fn details(played: &Played, folder: &Path) -> String {
     let mut text = String::new();
     for scheduled in &played.schedule.faults {
         let _ = writeln!(text, "  at {:>5} ms {:?}", scheduled.at_ms, scheduled.fault);
     }
     let verdict = &played.verdict;
-    for violation in verdict.certain_violations().take(MOST_SHOWN) {
+    for violation in verdict.certain_violations().take(MAX_VIOLATIONS) {
         let _ = writeln!(text, "  {}", one_violation(violation));
     }
     let first = verdict.certain_violations().find(|violation| violation.id.is_some());
@@ -60,16 +65,16 @@
     format!("{} {:?} {id}: {}", seconds(violation.at), violation.rule, violation.description)
 }
 
-/// All that any process has said of a request, in the order of time.
+/// All that clients, engines, logs and the supervisor have recorded about a request, in the order of time.
 fn timeline(played: &Played, id: &str, folder: &Path) -> String {
     let mut lines: Vec<(Micros, String)> = vec![];
     for request in played.records.requests.iter().filter(|request| request.id == id) {
         let class = &played.schedule.classes[request.class].name;
-        let what = format!(
-            "client: {class}, {} ms, to {:?}, fresh {}",
+        let description = format!(
+            "client: {class}, {} ms, to {:?}, first on its connection {}",
             request.timeout_ms, request.to, request.is_first_on_connection
         );
-        lines.push((request.sent_at, what));
+        lines.push((request.sent_at, description));
         lines.extend(request.end.iter().map(|(at, end)| (*at, format!("client: {end:?}"))));
         let concerns = |event: &Event| match event {
             Event::GatewayStopping { run }
@@ -95,16 +100,16 @@
     let logs = std::fs::read_dir(folder).into_iter().flatten().flatten();
     for log in logs.filter(|file| file.path().extension().is_some_and(|ending| ending == "log")) {
         let name = log.file_name().to_string_lossy().to_string();
-        let told = std::fs::read_to_string(log.path()).unwrap_or_default();
-        for line in told.lines().filter(|line| line.contains(id)).take(LOG_LINES) {
-            let (at, what) = line.split_once(' ').unwrap_or(("0", line));
-            lines.push((at.parse().unwrap_or(0), format!("{name}: {what}")));
+        let text = std::fs::read_to_string(log.path()).unwrap_or_default();
+        for line in text.lines().filter(|line| line.contains(id)).take(MAX_LOG_LINES) {
+            let (at, description) = line.split_once(' ').unwrap_or(("0", line));
+            lines.push((at.parse().unwrap_or(0), format!("{name}: {description}")));
         }
     }
     lines.sort();
     let mut text = String::new();
-    for (at, what) in lines {
-        let _ = writeln!(text, "    {} {what}", seconds(at));
+    for (at, description) in lines {
+        let _ = writeln!(text, "    {} {description}", seconds(at));
     }
     text
 }
--- a/crates/soak/src/testbed.rs
+++ b/crates/soak/src/testbed.rs
@@ -1,5 +1,6 @@
-//! What the parts of one play share: the schedule, the history, and who listens where. Each gateway has its own address for
-//! everything it talks to, so that faults can be injected on each link by itself.
+//! What the parts of a play share: the schedule, the history and the addresses. Each gateway has an
+//! IP address of its own for its connections with clients, engines and the event bus, so that a fault can be injected
+//! between certain gateways and engines.
 
 use crate::bus::Bus;
 use crate::engine::Engine;
@@ -12,36 +13,41 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Instant, SystemTime};
 
+/// The shared state of a play.
 pub struct Testbed {
     pub schedule: Schedule,
     pub history: History,
-    pub began: Instant,
-    /// Where configurations, logs and control files lie.
+    /// The start of the play, from which all times of the schedule count.
+    pub started: Instant,
+    /// Holds configurations, logs and control files.
     pub folder: PathBuf,
+    /// The program under test.
     pub program: PathBuf,
     engines: Mutex<Vec<Arc<Engine>>>,
     pub bus: Bus,
     pub gateways: Vec<Gateway>,
-    /// The next port of this play that nobody has.
+    /// The next unused port of this play.
     next_port: AtomicU16,
-    /// The clock that stamps engines' starts, less the system's (microseconds).
-    pub stamp_offset_us: AtomicI64,
-    /// Traffic has ended.
-    pub over: AtomicBool,
-    /// All gateways have been told to stop, for good.
-    pub stopping: AtomicBool,
+    /// Difference of the clock that stamps the engines' starts from the system's.
+    pub engine_clock_offset_us: AtomicI64,
+    /// Whether the clients' traffic has ended.
+    pub traffic_ended: AtomicBool,
+    /// Whether the final stop of all gateways has begun.
+    pub final_stop: AtomicBool,
 }
 
+/// Locks a mutex, also if a task has panicked while it held the lock.
 pub fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The address under which a gateway meets whoever listens on a port.
-pub fn link_address(gateway: usize, port: u16) -> SocketAddr {
+/// The address of a port between a gateway and the others: the gateway listens on it for clients, and connects to it for
+/// engines and the event bus.
+pub fn gateway_address(gateway: usize, port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 1, (gateway + 1) as u8, 1)), port)
 }
 
-/// The gateway that came to this address of ours.
+/// The gateway that has connected to this local address, see [`gateway_address`].
 pub fn gateway_of(local: SocketAddr) -> Option<usize> {
     match local.ip() {
         IpAddr::V4(ip) => Some(usize::from(ip.octets()[2]).checked_sub(1)?),
@@ -55,17 +61,17 @@
         Testbed {
             schedule,
             history: History::start(),
-            began: Instant::now(),
+            started: Instant::now(),
             folder,
             program,
             engines: Mutex::default(),
             bus: Bus::default(),
             gateways,
-            // The first one is the gateways', each at an address of its own.
+            // The first port is used by all gateways, each at its own IP address.
             next_port: AtomicU16::new(port + 1),
-            stamp_offset_us: AtomicI64::new(0),
-            over: AtomicBool::new(false),
-            stopping: AtomicBool::new(false),
+            engine_clock_offset_us: AtomicI64::new(0),
+            traffic_ended: AtomicBool::new(false),
+            final_stop: AtomicBool::new(false),
         }
     }
 
@@ -73,20 +79,20 @@
         self.next_port.fetch_add(1, SeqCst)
     }
 
-    pub fn is_over(&self) -> bool {
-        self.over.load(SeqCst)
+    pub fn has_traffic_ended(&self) -> bool {
+        self.traffic_ended.load(SeqCst)
     }
 
-    /// Whether no gateway is to be started again: traffic is over, or goes on only to the gateways' ends.
+    /// Whether gateways are no longer restarted: traffic has ended, or continues only until the gateways have stopped.
     pub fn is_ending(&self) -> bool {
-        self.is_over() || self.schedule.stop.steady_clients && self.stopping.load(SeqCst)
+        self.has_traffic_ended() || self.schedule.stop.steady_clients && self.final_stop.load(SeqCst)
     }
 
     pub fn engine(&self, index: usize) -> Option<Arc<Engine>> {
         locked(&self.engines).get(index).cloned()
     }
 
-    /// Adds an engine; returns it with its number.
+    /// Adds an engine with the next index. It must be started.
     pub fn add_engine(&self) -> Arc<Engine> {
         let mut engines = locked(&self.engines);
         let index = engines.len();
@@ -95,7 +101,7 @@
         engine
     }
 
-    /// Ends all that listens: the play is over.
+    /// Ends all engines and the event bus at the end of the play.
     pub fn close(&self) {
         let engines = locked(&self.engines).clone();
         for engine in &engines {
@@ -104,14 +110,14 @@
         self.bus.stop();
     }
 
-    /// The run of a gateway's process that is under way.
+    /// The current process of a gateway, or the last one if none is running.
     pub fn run_of(&self, gateway: usize) -> GatewayRun {
         GatewayRun { gateway, run: self.gateways[gateway].run() }
     }
 
-    /// Unix time in milliseconds by the clock that stamps engines' starts.
-    pub fn stamp_ms(&self) -> i64 {
+    /// Unix time (ms) of the clock that stamps the engines' starts.
+    pub fn engine_clock_ms(&self) -> i64 {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        (unix.as_micros() as i64 + self.stamp_offset_us.load(SeqCst)) / 1000
+        (unix.as_micros() as i64 + self.engine_clock_offset_us.load(SeqCst)) / 1000
     }
 }
--- a/crates/soak/tests/cases.rs
+++ b/crates/soak/tests/cases.rs
@@ -1,9 +1,9 @@
-//! Schedules that failed once, played again with the program as cargo has built it beside this test.
+//! Schedules that have failed before, played with the program that cargo has built next to this test.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Plays a schedule of `cases/`; the soak test says on its last line how many plays passed.
+/// Plays a schedule of `cases/` and expects it to pass. The soak prints the totals on its last line.
 fn play(case: &str) {
     let soak = Path::new(env!("CARGO_BIN_EXE_pebblevane-soak"));
     let program = soak.with_file_name("pebblevane");
@@ -19,11 +19,12 @@
         .arg(folder)
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&output.stdout);
-    assert!(output.status.success() && said.ends_with("1 passed, 0 failed\n"), "{said}");
+    let printed = String::from_utf8_lossy(&output.stdout);
+    assert!(output.status.success() && printed.ends_with("1 passed, 0 failed\n"), "{printed}");
 }
 
-/// Gateways that start while threads, sockets and accepts fail for a moment start all the same.
+/// A start must not fail because creating a thread, opening a socket or accepting a connection fails temporarily. Eight
+/// gateways are restarted while a share of these calls fails.
 #[test]
 fn starts_under_failing_calls() {
     play("starts-under-failing-calls.json");
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -1,6 +1,7 @@
-//! Each rule of the checker, broken once by a history made for it: a check that can't fail would be none.
+//! Violates each rule of the checker with a history made for it. A check that never reports anything would make the
+//! soak pass whatever the gateways do.
 
-#[allow(dead_code)] // the program uses what these tests don't
+#[allow(dead_code)] // these tests don't use everything that the program does
 #[path = "../src/answers.rs"]
 mod answers;
 #[allow(dead_code)]
@@ -22,7 +23,7 @@
 
 const GATEWAY: GatewayRun = GatewayRun { gateway: 0, run: 1 };
 const MS: Micros = 1000;
-/// Classes as every schedule has them.
+/// Indices of the classes, which every schedule has in this order.
 const LOOKUP: usize = 0;
 const LOAD: usize = 1;
 const POST: usize = 2;
@@ -36,7 +37,7 @@
     schedule
 }
 
-/// A request sent at second 1 that waits 1 s.
+/// A request that is sent at 1 s and has a timeout of 1 s.
 fn request(class: usize, end: Option<(Micros, RequestEnd)>) -> Request {
     let (id, to) = (format!("{class:016x}"), GATEWAY);
     Request {
@@ -78,6 +79,7 @@
     Some((ms * MS, end))
 }
 
+/// The records to check. Without a schedule, that of [`schedule`] applies.
 #[derive(Default)]
 struct Play {
     schedule: Option<Schedule>,
@@ -86,20 +88,21 @@
     events: Vec<(Micros, Event)>,
 }
 
+/// The rules that a play violates; "?" marks uncertain violations.
 fn rules(play: Play) -> String {
     let records = Records { requests: play.requests, dispatches: play.dispatches, events: play.events };
     let verdict = check(&play.schedule.unwrap_or_else(schedule), &records);
-    let found = verdict.violations.iter();
-    let found = found
+    let violations = verdict.violations.iter();
+    let rules = violations
         .map(|violation| format!("{:?}{}", violation.rule, if violation.is_uncertain { "?" } else { "" }));
-    found.collect::<Vec<String>>().join(" ")
+    rules.collect::<Vec<String>>().join(" ")
 }
 
 fn play(request: Request, dispatches: Vec<Dispatch>) -> Play {
     Play { requests: vec![request], dispatches, ..Play::default() }
 }
 
-/// A line for each play: its name and the rules that it breaks.
+/// One line for each play: its name and the rules that it violates.
 fn describe(plays: impl IntoIterator<Item = (&'static str, Play)>) -> String {
     let mut text = String::new();
     for (what, play) in plays {
@@ -121,8 +124,8 @@
     twice.further_answers = 1;
     let mut used = request(LOOKUP, at(1040, RequestEnd::Closed { reset: false }));
     used.is_first_on_connection = false;
-    let mut told = one(LOOKUP, 0);
-    told[0].limit_ms = 1500;
+    let mut long_limit = one(LOOKUP, 0);
+    long_limit[0].limit_ms = 1500;
     let mut lagged = play(request(LOOKUP, done(LOOKUP, 0, 2700)), one(LOOKUP, 0));
     lagged.events.push((2_500 * MS, Event::Lagged { by_us: 200_000 }));
     let plays = [
@@ -146,7 +149,7 @@
             "sent after its time",
             play(request(LOOKUP, at(2300, RequestEnd::Busy)), vec![dispatch(LOOKUP, 0, 2200, None)]),
         ),
-        ("told more time than is left", play(request(LOOKUP, done(LOOKUP, 0, 1100)), told)),
+        ("told more time than is left", play(request(LOOKUP, done(LOOKUP, 0, 1100)), long_limit)),
         ("nobody asked", Play { dispatches: one(LOOKUP, 0), ..Play::default() }),
         ("run-once after a fault", play(request(LOAD, done(LOAD, 1, 1300)), again(LOAD, 1, Fault))),
         ("run-once after a refusal", play(request(LOAD, done(LOAD, 1, 1300)), again(LOAD, 1, Shed))),
@@ -221,7 +224,7 @@
 #[test]
 fn windows_and_processes_are_checked() {
     let mut trace = String::new();
-    // A keyed repeat after its window, within its client's wait.
+    // A job with an idempotency key is repeated after the deduplication window, within its client's timeout.
     let mut keyed = schedule();
     keyed.rules.dedup_window = std::time::Duration::from_millis(200);
     let late = vec![dispatch(POST, 0, 1010, Some((1100, DispatchEnd::Fault))), dispatch(POST, 2, 1500, None)];
@@ -232,7 +235,7 @@
         rules(Play { schedule: Some(keyed), ..play(request(POST, end), late) })
     )
     .unwrap();
-    // Ten jobs, each sent twice at the same time, where two and a tenth of the jobs are allowed.
+    // Ten jobs, each with one retry at the same time; allowed are two retries plus a tenth of the jobs.
     let mut budget = schedule();
     (budget.rules.min_retries, budget.rules.retries_per_job) = (2.0, 0.1);
     let mut all = Play { schedule: Some(budget), ..Play::default() };
@@ -247,7 +250,8 @@
         }
     }
     writeln!(trace, "budget: {}", rules(all).split(' ').next().unwrap()).unwrap();
-    // A cold engine, told to its gateway, that gets far more than it bears; and a drained one.
+    // A cold engine that gets far more dispatches than it can bear from a gateway that was notified of its start; and a
+    // drained engine that gets a dispatch.
     for drained in [false, true] {
         let mut cold = Play::default();
         cold.events.push((900 * MS, Event::EngineStarted { engine: 0, run: 1 }));
@@ -286,12 +290,12 @@
     ] {
         writeln!(trace, "{what}: {}", rules(Play { events, ..Play::default() })).unwrap();
     }
-    // A flood of idle connections lets new ones be shut unread.
+    // During a flood of idle connections, new connections may be closed unread.
     let mut flooded = schedule();
     let fault = Fault::IdleFlood { gateways: vec![0], connections: 100, for_ms: 500 };
     flooded.faults.push(schedule::ScheduledFault { at_ms: 900, fault });
-    let shut = request(LOOKUP, at(1040, RequestEnd::Closed { reset: false }));
-    writeln!(trace, "shut in a flood: {}", rules(Play { schedule: Some(flooded), ..play(shut, vec![]) }))
+    let closed = request(LOOKUP, at(1040, RequestEnd::Closed { reset: false }));
+    writeln!(trace, "shut in a flood: {}", rules(Play { schedule: Some(flooded), ..play(closed, vec![]) }))
         .unwrap();
     assert_eq!(schedule().classes[LOAD].semantics, Semantics::RunOnce);
     expect![[r"
