--- a/crates/soak/src/checker/mod.rs
+++ b/crates/soak/src/checker/mod.rs
@@ -53,7 +53,7 @@
     ColdEngine,
     /// A dispatch was sent to a zone where its class may not run (rule 6).
     Placement,
-    /// A gateway sent more dispatches beyond the first of each job than its budget allows (rule 7).
+    /// A gateway sent more retries than its budget allows (rule 7).
     Budget,
     /// A gateway ended without having been stopped or killed, or with an error.
     Crash,
--- a/crates/soak/src/checker/windows.rs
+++ b/crates/soak/src/checker/windows.rs
@@ -8,7 +8,8 @@
 const CONNECT_DELAY_US: Micros = 300_000;
 
 impl Checker<'_> {
-    /// Checks that in every window each gateway process keeps to its budget of dispatches beyond a job's first.
+    /// Checks that in every window each gateway process keeps to its budget of retries, which are the dispatches beyond a
+    /// job's first.
     pub(super) fn check_retry_budgets(&mut self) {
         let records = self.records;
         let window = micros(self.schedule.rules.retry_budget_window);
@@ -40,8 +41,7 @@
                 let rules = &self.schedule.rules;
                 let allowed = rules.min_retries + rules.retries_per_job * job_count;
                 if count > allowed + 1e-9 {
-                    let description =
-                        format!("{run:?}: {count} further dispatches where {allowed:.1} are allowed");
+                    let description = format!("{run:?}: {count} retries where {allowed:.1} are allowed");
                     self.report(Rule::Budget, *at, None, true, description);
                 }
             }
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -18,7 +18,7 @@
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval at which waiting tasks check their condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long it takes after a pause of accepting until the connections queued meanwhile have been accepted.
+/// After accepting resumes, the connections that were queued during the pause are accepted within this time.
 const BACKLOG_ACCEPT_TIME: Duration = Duration::from_millis(100);
 /// Maximum wait for the port of a process that has ended.
 const PORT_RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -95,11 +95,11 @@
             run_misbehaving_clients(testbed, &gateways, ms(for_ms)).await;
         }
         Fault::IdleFlood { gateways, connections, for_ms } => {
-            let floods = gateways.into_iter().map(|gateway| {
+            let clients = gateways.into_iter().map(|gateway| {
                 let client = Client::new(testbed.clone(), gateway, IDLE_CLIENT);
                 tokio::spawn(async move { client.hold_idle_connections(connections, ms(for_ms)).await })
             });
-            wait_all(floods.collect()).await;
+            wait_all(clients.collect()).await;
         }
     }
 }
--- a/crates/soak/src/gateway.rs
+++ b/crates/soak/src/gateway.rs
@@ -22,7 +22,7 @@
 /// Maximum number of sockets in the configuration of a gateway.
 const SOCKET_LIMIT: usize = 320;
 /// The same for a gateway with many clients.
-const CROWDED_SOCKET_LIMIT: usize = 1024;
+const MANY_CLIENTS_SOCKET_LIMIT: usize = 1024;
 /// How long a started gateway is checked for readiness.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval at which waiting tasks check their condition.
@@ -220,8 +220,8 @@
     }
 
     fn socket_limit(&self, schedule: &Schedule) -> usize {
-        let is_crowded = schedule.client_count(self.index) > schedule.clients_per_gateway;
-        if is_crowded { CROWDED_SOCKET_LIMIT } else { SOCKET_LIMIT }
+        let has_many_clients = schedule.client_count(self.index) > schedule.clients_per_gateway;
+        if has_many_clients { MANY_CLIENTS_SOCKET_LIMIT } else { SOCKET_LIMIT }
     }
 
     /// Sends the signals of the stop plan and waits until the process has ended. Kills it after `Schedule::kill_after`.
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -78,7 +78,7 @@
     /// The part of its capacity that an engine has when it starts.
     #[serde(rename = "start_capacity")]
     pub initial_capacity_fraction: f64,
-    /// How long after its start an engine has its whole capacity.
+    /// How long after its start an engine has its full capacity.
     #[serde(rename = "warm_after")]
     pub warm_up_time: Duration,
 }
@@ -87,26 +87,26 @@
 /// probability with which it affects a call, job or answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Fault {
-    /// The event bus lists them as terminating.
+    /// The event bus lists the engines as terminating.
     DrainEngines { engines: Vec<usize> },
-    /// They are drained, then end; cold engines with other names and addresses replace them.
+    /// The engines are drained and ended; cold engines with other names and addresses replace them.
     ReplaceEngines { engines: Vec<usize> },
-    /// Their processes die, and cold engines with other names listen at the same addresses.
+    /// The engines' processes die, and cold engines with other names listen at the same addresses.
     TakeAddresses { engines: Vec<usize> },
-    /// They accept no connections, so that connecting takes long or fails.
+    /// The engines accept no connections, so that connecting takes long or fails.
     SlowAccepts { engines: Vec<usize>, for_ms: u64 },
-    /// Their processes die and start again, cold, at the same addresses.
+    /// The engines' processes die and start again, cold, at the same addresses.
     RestartEngines { engines: Vec<usize>, down_ms: u64 },
-    /// They neither run jobs nor answer.
+    /// The engines neither run jobs nor answer.
     HangEngines { engines: Vec<usize>, for_ms: u64 },
-    /// These engines neither run the jobs of these gateways nor answer them.
+    /// The engines neither run the jobs of the gateways nor answer them.
     CutLinks { gateways: Vec<usize>, engines: Vec<usize>, for_ms: u64 },
-    /// Their connections are reset, also with dispatches in flight.
+    /// The engines' connections are reset, also with dispatches in flight.
     ResetConnections { engines: Vec<usize> },
-    /// Answers are malformed, incomplete, slow, contradictory or sent twice.
+    /// The engines' answers are malformed, incomplete, slow, contradictory or sent twice.
     #[serde(rename = "SpoilAnswers")]
     CorruptAnswers { engines: Vec<usize>, share: f64, for_ms: u64 },
-    /// Jobs are answered with an error or rejected.
+    /// The engines answer jobs with an error or reject them.
     FailJobs { engines: Vec<usize>, share: f64, for_ms: u64 },
     /// The event bus ends its connections and refuses new ones.
     BusDown { for_ms: u64 },
@@ -115,28 +115,28 @@
     /// The event bus moves to another port. The gateways reload a configuration with its new address, and are also made
     /// to reload while that is only half written.
     BusMoves { times: u32 },
-    /// They are stopped as the stop plan says, then started again.
+    /// The gateways are stopped as the stop plan says, then started again.
     StopGateways { gateways: Vec<usize> },
-    /// They are killed, then started again.
+    /// The gateways are killed, then started again.
     KillGateways { gateways: Vec<usize> },
-    /// Their processes are suspended.
+    /// The gateways' processes are suspended.
     FreezeGateways { gateways: Vec<usize>, for_ms: u64 },
-    /// Their wall clocks are stepped.
+    /// The gateways' wall clocks are stepped.
     StepClocks {
         gateways: Vec<usize>,
         by_s: i64,
         /// Whether the clock that stamps the engines' starts is stepped, too.
         engines_too: bool,
     },
-    /// Their system calls fail.
+    /// System calls of the gateways fail.
     FailCalls { gateways: Vec<usize>, share: f64, for_ms: u64 },
-    /// Their system calls on client connections fail, while the connections stay open.
+    /// System calls of the gateways on client connections fail, while the connections stay open.
     FailClientCalls { gateways: Vec<usize>, share: f64, for_ms: u64 },
-    /// For 100 ms, further clients act as under `BadClients`.
+    /// `BadClients` for 100 ms.
     ClientsLeave { gateways: Vec<usize> },
-    /// A client opens idle connections.
+    /// A client opens this number of idle connections to each of the gateways.
     IdleFlood { gateways: Vec<usize>, connections: usize, for_ms: u64 },
-    /// Further clients send malformed, incomplete or many requests and disconnect at once.
+    /// Further clients of the gateways send malformed, incomplete or many requests and disconnect at once.
     BadClients { gateways: Vec<usize>, for_ms: u64 },
 }
 
@@ -202,8 +202,8 @@
     pub think_ms: u64,
     pub clients_per_gateway: usize,
     /// Number of clients of the first gateway, if it has many more than the others.
-    #[serde(default)]
-    pub crowd: Option<usize>,
+    #[serde(default, rename = "crowd")]
+    pub first_gateway_clients: Option<usize>,
     #[serde(default)]
     pub stop: StopPlan,
     // The name in schedule files.
@@ -253,7 +253,7 @@
             traffic_until_ms: (seconds * 1000.0) as u64,
             think_ms: if has_few_engines { rng.random_range(60..=150) } else { rng.random_range(150..=500) },
             clients_per_gateway: rng.random_range(2..=4),
-            crowd: rng.random_bool(0.15).then(|| rng.random_range(150..=300)),
+            first_gateway_clients: rng.random_bool(0.15).then(|| rng.random_range(150..=300)),
             stop: Schedule::random_stop_plan(&mut rng),
             faults: vec![],
         };
@@ -297,7 +297,7 @@
 
     /// Number of clients of a gateway.
     pub fn client_count(&self, gateway: usize) -> usize {
-        self.crowd.filter(|_| gateway == 0).unwrap_or(self.clients_per_gateway)
+        self.first_gateway_clients.filter(|_| gateway == 0).unwrap_or(self.clients_per_gateway)
     }
 
     /// Typical pause (ms) between the requests of one client of a gateway. With many clients it is longer, so that they send
@@ -368,6 +368,7 @@
         engine % (2 * self.zones)
     }
 
+    /// The name of a zone in settings and events.
     pub fn zone_name(zone: usize) -> String {
         format!("zone-{zone}")
     }
--- a/crates/soak/src/testbed.rs
+++ b/crates/soak/src/testbed.rs
@@ -56,6 +56,7 @@
 }
 
 impl Testbed {
+    /// A testbed whose ports start at `port`.
     pub fn new(schedule: Schedule, folder: PathBuf, program: PathBuf, port: u16) -> Testbed {
         let gateways = (0..schedule.gateways).map(|gateway| Gateway::new(gateway, port)).collect();
         Testbed {
