--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -202,7 +202,7 @@
         let from = testbed.run_of(gateway);
         let _ = stream.set_nodelay(true);
         let std = stream.into_std().and_then(|std| {
-            // Without a linger time, dropping the connection resets it.
+            // With a linger time of 0, dropping the connection resets it.
             socket2::SockRef::from(&std).set_linger(Some(Duration::ZERO))?;
             TcpStream::from_std(std)
         });
