--- a/crates/server/src/decision/endpoint_directory.rs
+++ b/crates/server/src/decision/endpoint_directory.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::event_bus::{EndpointEntry, Event, UnixTime};
 use crate::config::LocationNames;
-use crate::discovery::start_clock::StartClock;
+use crate::discovery::start_time_converter::StartTimeConverter;
 use crate::engine::handle::EngineHandle;
 use crate::engine::registry::EngineRegistry;
 use pebblevane::interface::{Endpoint, EngineId, LifecycleState};
@@ -18,7 +18,7 @@
     engines: BTreeMap<EngineId, KnownEngine>,
     location_names: LocationNames,
     registry: Arc<EngineRegistry>,
-    start_clock: StartClock,
+    start_time_converter: StartTimeConverter,
 }
 
 struct KnownEngine {
@@ -58,14 +58,14 @@
             engines: BTreeMap::new(),
             location_names,
             registry,
-            start_clock: StartClock::default(),
+            start_time_converter: StartTimeConverter::default(),
         }
     }
 
     /// Records the current offset of the wall clock from the program's clock. The offsets before and after each step of
     /// the wall clock are needed to convert the start times that the list reports.
     pub(super) fn observe_wall_clock(&mut self, now: Timestamp) {
-        self.start_clock.observe(now, StartClock::wall());
+        self.start_time_converter.record_clocks(now, StartTimeConverter::wall_clock_now());
     }
 
     /// The handle on an engine, unless it was removed from the list.
@@ -140,7 +140,7 @@
         let known = self.engines.get(&id).and_then(|known| known.start);
         known.filter(|start| start.wall_time == wall_time).unwrap_or_else(|| EngineStart {
             wall_time,
-            at: self.start_clock.started(wall_time, now, last_complete),
+            at: self.start_time_converter.start_time(wall_time, now, last_complete),
         })
     }
 
--- a/crates/server/src/discovery/mod.rs
+++ b/crates/server/src/discovery/mod.rs
@@ -5,7 +5,7 @@
 mod disconnect;
 mod follower;
 mod line_reader;
-pub mod start_clock;
+pub mod start_time_converter;
 
 pub use disconnect::DisconnectReason;
 pub use follower::{EndpointListener, EventBusFollower};
--- a/crates/server/src/discovery/start_clock.rs
+++ b/crates/server/src/discovery/start_time_converter.rs
@@ -18,20 +18,20 @@
 
 /// The offsets that the wall clock has had from the monotonic clock since the program's start.
 #[derive(Default)]
-pub struct StartClock {
+pub struct StartTimeConverter {
     /// Wall-clock time minus monotonic time, in order of time; the current offset is the last.
     offsets: VecDeque<TimeDelta>,
 }
 
-impl StartClock {
+impl StartTimeConverter {
     /// The system's wall-clock time.
-    pub fn wall() -> UnixTime {
+    pub fn wall_clock_now() -> UnixTime {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         UnixTime(unix.as_micros() as i64)
     }
 
     /// Records the readings of both clocks at the same moment.
-    pub fn observe(&mut self, now: Timestamp, wall: UnixTime) {
+    pub fn record_clocks(&mut self, now: Timestamp, wall: UnixTime) {
         let offset = TimeDelta(wall.0.saturating_sub(now.0));
         match self.offsets.back_mut() {
             Some(last) if (offset.0 - last.0).abs() <= MAX_DRIFT.0 => *last = offset,
@@ -53,7 +53,7 @@
     /// Of the times that the retained offsets give, the latest that is not in the future is used: an engine whose age
     /// is underestimated gets less load than it could take, while an overestimate would overload it. The time can't be
     /// long before `last_complete` either. If no offset gives a plausible time, the engine counts as started now.
-    pub fn started(&self, stamp: UnixTime, now: Timestamp, last_complete: Option<Timestamp>) -> Timestamp {
+    pub fn start_time(&self, stamp: UnixTime, now: Timestamp, last_complete: Option<Timestamp>) -> Timestamp {
         let candidates = self.offsets.iter().map(|offset| Timestamp(stamp.0.saturating_sub(offset.0)));
         let latest = candidates.filter(|candidate| *candidate <= now + MAX_AHEAD).max();
         let earliest = last_complete.map_or(Timestamp(i64::MIN), |complete| complete - MAX_LISTING_DELAY);
--- a/crates/server/tests/server/main.rs
+++ b/crates/server/tests/server/main.rs
@@ -22,5 +22,5 @@
 mod resource_budgets;
 mod results;
 mod shutdown;
-mod start_clock;
+mod start_time_converter;
 mod support;
--- a/crates/server/tests/server/start_clock.rs
+++ b/crates/server/tests/server/start_time_converter.rs
@@ -3,7 +3,7 @@
 use expect_test::expect;
 use pebblevane::time::Timestamp;
 use pebblevane_server::codec::event_bus::UnixTime;
-use pebblevane_server::discovery::start_clock::StartClock;
+use pebblevane_server::discovery::start_time_converter::StartTimeConverter;
 use std::fmt::Write as _;
 
 /// In microseconds.
@@ -17,13 +17,13 @@
 /// How old an engine is by a clock that began at second 400, was stepped at second 497 and is read at second 500, if
 /// its stamp was `ago` seconds before that by a wall clock `stamped` seconds ahead of the first one.
 fn age(steps: &[i64], stamped: i64, ago: i64, complete: Option<i64>) -> f64 {
-    let mut clock = StartClock::default();
-    clock.observe(Timestamp(400 * SECOND), UnixTime(WALL + 400 * SECOND));
+    let mut converter = StartTimeConverter::default();
+    converter.record_clocks(Timestamp(400 * SECOND), UnixTime(WALL + 400 * SECOND));
     for (at, step) in (497..).zip(steps) {
-        clock.observe(Timestamp(at * SECOND), UnixTime(WALL + (at + step) * SECOND));
+        converter.record_clocks(Timestamp(at * SECOND), UnixTime(WALL + (at + step) * SECOND));
     }
     let stamp = UnixTime(WALL + NOW + (stamped - ago) * SECOND);
-    let started = clock.started(stamp, Timestamp(NOW), complete.map(|at| Timestamp(at * SECOND)));
+    let started = converter.start_time(stamp, Timestamp(NOW), complete.map(|at| Timestamp(at * SECOND)));
     (Timestamp(NOW) - started).as_millis_f64() / 1000.0
 }
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_start_clock_retains_only_the_last_steps() {
+fn a_start_time_converter_retains_only_the_last_steps() {
     let steps: Vec<i64> = (0..40).map(|step| step * 7).collect();
 
     expect!["1.0"].assert_eq(&format!("{:.1}", age(&steps, 39 * 7, 1, Some(499))));
