--- a/crates/server/src/client/event_loop/close.rs
+++ b/crates/server/src/client/event_loop/close.rs
@@ -59,7 +59,7 @@
             return;
         };
         if !connection.session.is_idle() {
-            invariants::violated(Invariant::ClosedOnlyWhenIdle, &reason.to_string());
+            invariants::report_violation(Invariant::ClosedOnlyWhenIdle, &reason.to_string());
         }
         self.close(id, reason);
     }
--- a/crates/server/src/client/reading.rs
+++ b/crates/server/src/client/reading.rs
@@ -90,7 +90,7 @@
     /// been processed. Otherwise its client, whose connection is still open, waits for an answer that never comes.
     fn check_cancellations(&self) {
         for request_id in self.session.take_unconfirmed_cancellations() {
-            invariants::violated(Invariant::CancelledByClient, &request_id.0.to_string());
+            invariants::report_violation(Invariant::CancelledByClient, &request_id.0.to_string());
         }
     }
 
--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -61,7 +61,7 @@
             _ => None,
         };
         match violation {
-            Some(invariant) => invariants::violated(invariant, &self.id),
+            Some(invariant) => invariants::report_violation(invariant, &self.id),
             None => entries.in_flight += 1,
         }
         violation.is_none()
@@ -93,7 +93,7 @@
             RetrySemantics::RunOnce => false,
         };
         if may_have_run && !retry_is_harmless {
-            invariants::violated(Invariant::RejectedOnlyIfHarmless, &self.id);
+            invariants::report_violation(Invariant::RejectedOnlyIfHarmless, &self.id);
         }
     }
 }
--- a/crates/server/src/session/responder.rs
+++ b/crates/server/src/session/responder.rs
@@ -80,7 +80,7 @@
             counters::LATE_RESPONSES.increment();
         }
         if overdue > LOST_AFTER {
-            invariants::violated(Invariant::AnsweredInTime, &self.job_id);
+            invariants::report_violation(Invariant::AnsweredInTime, &self.job_id);
         }
     }
 
@@ -103,7 +103,7 @@
 impl Drop for Responder {
     fn drop(&mut self) {
         if self.is_open() {
-            invariants::violated(Invariant::Answered, &self.job_id);
+            invariants::report_violation(Invariant::Answered, &self.job_id);
         }
     }
 }
--- a/crates/server/src/telemetry/counters.rs
+++ b/crates/server/src/telemetry/counters.rs
@@ -69,5 +69,5 @@
 pub fn line() -> String {
     let pairs: Vec<String> =
         ALL.iter().map(|counter| format!("{}={}", counter.name, counter.count.load(Relaxed))).collect();
-    format!("{} violations={}", pairs.join(" "), invariants::violations())
+    format!("{} violations={}", pairs.join(" "), invariants::violation_count())
 }
--- a/crates/server/src/telemetry/invariants.rs
+++ b/crates/server/src/telemetry/invariants.rs
@@ -47,12 +47,12 @@
 static VIOLATIONS: [AtomicU64; Invariant::ALL.len()] = [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 
 /// Counts and logs a violation. `subject` is the client's id of the job, or the operation in progress.
-pub fn violated(invariant: Invariant, subject: &str) {
+pub fn report_violation(invariant: Invariant, subject: &str) {
     VIOLATIONS[invariant as usize].fetch_add(1, Relaxed);
     tracing::error!(?invariant, subject, "invariant violated");
 }
 
 /// The number of violations since the process started, of all invariants.
-pub fn violations() -> u64 {
+pub fn violation_count() -> u64 {
     VIOLATIONS.iter().map(|count| count.load(Relaxed)).sum()
 }
