--- a/crates/server/src/engine/dialer.rs
+++ b/crates/server/src/engine/dialer.rs
@@ -4,7 +4,7 @@
 use crate::engine::connection::DialedConnection;
 use crate::engine::connection_error::ConnectError;
 use crate::engine::ids::PoolId;
-use crate::lifecycle::threads::{STACK_BYTES, SpawnThread};
+use crate::lifecycle::threads::{SMALL_STACK_BYTES, SpawnThread};
 use crate::limits::Permit;
 use crossbeam_channel::Sender;
 use std::io;
@@ -46,6 +46,6 @@
             // The `engines` thread ends only with the program.
             let _ = messages.send(RegistryMessage::Command { pool, command });
         };
-        (self.spawn_thread)(&format!("dial {}", target.name), STACK_BYTES, Box::new(connect))
+        (self.spawn_thread)(&format!("dial {}", target.name), SMALL_STACK_BYTES, Box::new(connect))
     }
 }
--- a/crates/server/src/engine/registry.rs
+++ b/crates/server/src/engine/registry.rs
@@ -9,7 +9,7 @@
 use crate::engine::pool::PoolContext;
 use crate::engine::registry_loop::RegistryLoop;
 use crate::engine::socket_poller::SocketPoller;
-use crate::lifecycle::threads::{STACK_BYTES, SpawnThread, spawn_required};
+use crate::lifecycle::threads::{SMALL_STACK_BYTES, SpawnThread, spawn_required};
 use crate::limits::ResourceBudget;
 use crossbeam_channel::{Sender, bounded};
 use pebblevane::time::Timestamp;
@@ -48,7 +48,7 @@
         let poller = SocketPoller::start()?;
         let context = PoolContext { settings, descriptors, poller, now, dialer, messages: messages.clone() };
         let registry_loop = RegistryLoop::new(updates.clone(), inbox, context);
-        spawn_required("engines", STACK_BYTES, move || registry_loop.run())?;
+        spawn_required("engines", SMALL_STACK_BYTES, move || registry_loop.run())?;
         Ok(Arc::new(EngineRegistry { messages, updates, next_pool: AtomicU64::new(0) }))
     }
 
--- a/crates/server/src/engine/socket_poller.rs
+++ b/crates/server/src/engine/socket_poller.rs
@@ -4,7 +4,7 @@
 use crate::engine::connection_error::ConnectionLostReason;
 use crate::engine::connection_input::{ConnectionInput, ReadProgress, ReadResult, ReceivedMessage};
 use crate::lifecycle::startup::retry_transient_errors;
-use crate::lifecycle::threads::{STACK_BYTES, spawn_required};
+use crate::lifecycle::threads::{SMALL_STACK_BYTES, spawn_required};
 use crate::lifecycle::wakeup::wake;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use mio::unix::SourceFd;
@@ -82,7 +82,7 @@
         let (new_connections, added) = bounded(NEW_CONNECTION_QUEUE_CAPACITY);
         let waker = retry_transient_errors(|| Waker::new(poll.registry(), WAKE_TOKEN))?;
         let poll_loop = PollLoop { poll, added, connections: HashMap::new(), next_token: 0 };
-        spawn_required("engine reader", STACK_BYTES, move || poll_loop.run())?;
+        spawn_required("engine reader", SMALL_STACK_BYTES, move || poll_loop.run())?;
         Ok(Arc::new(SocketPoller { new_connections, waker }))
     }
 
--- a/crates/server/src/job/worker_pool.rs
+++ b/crates/server/src/job/worker_pool.rs
@@ -6,7 +6,7 @@
 
 use crate::job::task::JobTask;
 use crate::lifecycle::sync::lock;
-use crate::lifecycle::threads::{self, STACK_BYTES};
+use crate::lifecycle::threads::{self, SMALL_STACK_BYTES};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -44,7 +44,7 @@
             None => task,
         };
         let pool = self.clone();
-        threads::spawn("job", STACK_BYTES, Box::new(move || pool.work(task)))
+        threads::spawn("job", SMALL_STACK_BYTES, Box::new(move || pool.work(task)))
     }
 
     fn idle(&self) -> MutexGuard<'_, Vec<IdleWorker>> {
--- a/crates/server/src/lifecycle/threads.rs
+++ b/crates/server/src/lifecycle/threads.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 
 /// The stack size of threads with shallow calls and small buffers, in bytes.
-pub const STACK_BYTES: usize = 64 * 1024;
+pub const SMALL_STACK_BYTES: usize = 64 * 1024;
 
 /// Starts a thread with this name and stack size in bytes. Tests pass a function of this type that fails.
 pub type SpawnThread = fn(&str, usize, Box<dyn FnOnce() + Send>) -> io::Result<()>;
--- a/crates/server/src/server/signals.rs
+++ b/crates/server/src/server/signals.rs
@@ -3,7 +3,7 @@
 //! A signal's handler sets a flag, then wakes a thread, which wakes the main thread. The flag alone counts. A lost wake-up,
 //! as when the handler's write is interrupted, delays the signal until the main thread looks at the flags by itself.
 
-use crate::lifecycle::threads::{STACK_BYTES, spawn_required};
+use crate::lifecycle::threads::{SMALL_STACK_BYTES, spawn_required};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::flag;
@@ -53,7 +53,7 @@
     pub(super) fn start(self) -> io::Result<PendingSignals> {
         let SignalHandlers { stop, reload, wakeups } = self;
         let (sender, receiver) = bounded(1);
-        spawn_required("signals", STACK_BYTES, move || forward_wakeups(wakeups, &sender))?;
+        spawn_required("signals", SMALL_STACK_BYTES, move || forward_wakeups(wakeups, &sender))?;
         Ok(PendingSignals { stop, reload, wakeups: receiver })
     }
 }
--- a/crates/server/src/server/startup.rs
+++ b/crates/server/src/server/startup.rs
@@ -14,7 +14,7 @@
 use crate::lifecycle::clock;
 use crate::lifecycle::shutdown::ShutdownState;
 use crate::lifecycle::startup::retry_transient_errors;
-use crate::lifecycle::threads::{self, STACK_BYTES};
+use crate::lifecycle::threads::{self, SMALL_STACK_BYTES};
 use crate::limits::{ResourceBudget, ResourceQuotas};
 use crossbeam_channel::{Receiver, bounded};
 use pebblevane::time::TimeDelta;
@@ -97,7 +97,8 @@
         // The receiver is gone if the service has ended with an error.
         let _ = closed.send(());
     };
-    threads::spawn_required("clients", STACK_BYTES, serve).map_err(ServerError::cannot("start a thread"))?;
+    threads::spawn_required("clients", SMALL_STACK_BYTES, serve)
+        .map_err(ServerError::cannot("start a thread"))?;
     Ok(clients_closed)
 }
 
@@ -111,7 +112,7 @@
     let follower = event_bus.clone();
     let (last_event, seed) = (config.last_event, config.seed);
     let follow = move || follower.follow(&*controller, last_event, seed);
-    threads::spawn_required("event bus", STACK_BYTES, follow)
+    threads::spawn_required("event bus", SMALL_STACK_BYTES, follow)
         .map_err(ServerError::cannot("start a thread"))?;
     Ok(event_bus)
 }
