--- a/crates/server/src/config/connection_settings.rs
+++ b/crates/server/src/config/engine_connection_settings.rs
@@ -13,7 +13,7 @@
 
 /// How connections to engines are made and kept.
 #[derive(Clone, Copy)]
-pub struct ConnectionSettings {
+pub struct EngineConnectionSettings {
     /// Requests that may be in flight on one connection at a time.
     pub streams_per_connection: usize,
     /// How long connecting to an engine may take. Also the timeout of health checks, and of the rest of a message whose
@@ -29,13 +29,13 @@
     pub request_load_reports: bool,
 }
 
-impl ConnectionSettings {
+impl EngineConnectionSettings {
     /// Reads the settings; `max_connections` is the limit for one engine. The idle timeout is three quarters of that of
     /// the engines, so that no connection is reused that its engine is about to close.
-    pub fn read(settings: &Settings, max_connections: usize) -> ConnectionSettings {
+    pub fn read(settings: &Settings, max_connections: usize) -> EngineConnectionSettings {
         let streams = settings.number(STREAMS_PER_CONNECTION).unwrap_or(DEFAULT_STREAMS_PER_CONNECTION);
         let progress_interval = duration(settings, PROGRESS_INTERVAL, 0.0);
-        ConnectionSettings {
+        EngineConnectionSettings {
             streams_per_connection: streams.max(1.0) as usize,
             dial_timeout: duration(settings, DIAL_TIMEOUT, DEFAULT_DIAL_TIMEOUT_MS),
             idle_timeout: duration(settings, CONNECTION_IDLE_TIMEOUT, DEFAULT_IDLE_TIMEOUT_MS) * 3 / 4,
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -3,13 +3,13 @@
 //! It is read from a JSON file whose path is in the environment. It contains the controller's settings, of which the
 //! server reads a few itself.
 
-pub mod connection_settings;
+pub mod engine_connection_settings;
 mod error;
 mod location_names;
 pub mod retry_semantics;
 mod setting_names;
 
-pub use connection_settings::ConnectionSettings;
+pub use engine_connection_settings::EngineConnectionSettings;
 pub use error::ConfigError;
 pub use location_names::LocationNames;
 pub use retry_semantics::{IdempotencyScope, RetrySemantics};
@@ -114,8 +114,8 @@
     }
 
     /// How connections to engines are made and kept; `max_connections` is the limit for one engine.
-    pub fn connection_settings(&self, max_connections: usize) -> ConnectionSettings {
-        ConnectionSettings::read(&self.settings, max_connections)
+    pub fn engine_connection_settings(&self, max_connections: usize) -> EngineConnectionSettings {
+        EngineConnectionSettings::read(&self.settings, max_connections)
     }
 
     fn class_positions(&self) -> std::ops::Range<usize> {
--- a/crates/server/src/engine/pool/mod.rs
+++ b/crates/server/src/engine/pool/mod.rs
@@ -21,7 +21,7 @@
 mod tests;
 mod timeouts;
 
-use crate::config::connection_settings::ConnectionSettings;
+use crate::config::engine_connection_settings::EngineConnectionSettings;
 use crate::engine::command::{PoolCommand, RegistryMessage};
 use crate::engine::connection::EngineConnection;
 use crate::engine::connection_error::ConnectionLostReason;
@@ -44,7 +44,7 @@
 
 /// The settings and resources that all pools share.
 pub(crate) struct PoolContext {
-    pub(crate) settings: ConnectionSettings,
+    pub(crate) settings: EngineConnectionSettings,
     /// Limits the total number of connections of all pools.
     pub(crate) descriptors: Arc<ResourceBudget>,
     /// Reads all connections.
--- a/crates/server/src/engine/pool/tests.rs
+++ b/crates/server/src/engine/pool/tests.rs
@@ -2,7 +2,7 @@
 
 use super::in_flight::{InFlightRequest, RequestKind};
 use super::{EnginePool, PoolContext};
-use crate::config::connection_settings::ConnectionSettings;
+use crate::config::engine_connection_settings::EngineConnectionSettings;
 use crate::config::retry_semantics::RetrySemantics;
 use crate::engine::connection::EngineConnection;
 use crate::engine::connection_input::ConnectionInput;
@@ -30,7 +30,7 @@
 /// What a pool shares with others, where no thread can be started to connect with.
 fn context_without_threads() -> PoolContext {
     let (messages, _) = bounded(64);
-    let settings = ConnectionSettings {
+    let settings = EngineConnectionSettings {
         streams_per_connection: 32,
         dial_timeout: DIAL_TIMEOUT,
         idle_timeout: DIAL_TIMEOUT,
--- a/crates/server/src/engine/registry.rs
+++ b/crates/server/src/engine/registry.rs
@@ -1,7 +1,7 @@
 //! The handle on the `engines` thread, which owns the pools of all engines. One thread serves them all, because with a
 //! thread for each engine, hundreds of gateways on one machine would exhaust its thread ids.
 
-use crate::config::connection_settings::ConnectionSettings;
+use crate::config::engine_connection_settings::EngineConnectionSettings;
 use crate::engine::command::{PoolCommand, RegistryMessage};
 use crate::engine::dialer::Dialer;
 use crate::engine::endpoint_updates::{EndpointUpdate, EndpointUpdates};
@@ -37,7 +37,7 @@
     /// # Errors
     /// The system's error if it refuses a thread or a poller.
     pub fn start(
-        settings: ConnectionSettings,
+        settings: EngineConnectionSettings,
         descriptors: Arc<ResourceBudget>,
         now: fn() -> Timestamp,
         spawn_thread: SpawnThread,
--- a/crates/server/src/server/startup.rs
+++ b/crates/server/src/server/startup.rs
@@ -68,7 +68,7 @@
 /// Starts the thread of all engine connections.
 fn start_engines(config: &Config, quotas: &ResourceQuotas) -> Result<Arc<EngineRegistry>, ServerError> {
     let descriptors = ResourceBudget::new(quotas.engine_connections);
-    let settings = config.connection_settings(quotas.connections_per_engine);
+    let settings = config.engine_connection_settings(quotas.connections_per_engine);
     EngineRegistry::start(settings, descriptors, clock::now, threads::spawn)
         .map_err(ServerError::cannot("start the engines' thread"))
 }
--- a/crates/server/tests/server/connection_pool.rs
+++ b/crates/server/tests/server/connection_pool.rs
@@ -4,7 +4,7 @@
 use crate::support::engines::UnacceptingEngine;
 use expect_test::expect;
 use pebblevane::time::TimeDelta;
-use pebblevane_server::config::connection_settings::ConnectionSettings;
+use pebblevane_server::config::engine_connection_settings::EngineConnectionSettings;
 use pebblevane_server::config::retry_semantics::RetrySemantics;
 use pebblevane_server::engine::dispatch_ledger::DispatchLedger;
 use pebblevane_server::engine::handle::{DispatchHandle, EngineHandle, EngineRequest};
@@ -33,7 +33,7 @@
 
 /// A pool that waits long for a connection and may have a few of them.
 fn start_pool() -> Arc<EngineRegistry> {
-    let settings = ConnectionSettings {
+    let settings = EngineConnectionSettings {
         streams_per_connection: 32,
         dial_timeout: Duration::from_secs(9),
         idle_timeout: Duration::from_secs(9),
