--- a/crates/server/src/client/admission.rs
+++ b/crates/server/src/client/admission.rs
@@ -126,7 +126,7 @@
         time_left: request.client_timeout,
         cost: request.estimated_cost,
         memory_mb: request.memory_mb,
-        table_group: sql::group(&request.statement).unwrap_or(0),
+        table_group: sql::table_group(&request.statement).unwrap_or(0),
         is_retry: request.is_retry,
         ..Job::default()
     }
--- a/crates/server/src/codec/sql.rs
+++ b/crates/server/src/codec/sql.rs
@@ -8,7 +8,7 @@
 
 /// The group of the first table that has one. If no table has one, the group of the first qualified name elsewhere in
 /// the statement whose schema has one.
-pub fn group(statement: &[u8]) -> Option<u64> {
+pub fn table_group(statement: &[u8]) -> Option<u64> {
     let mut search = GroupSearch::default();
     let found = Tokens { rest: statement }.find_map(|token| search.add(token));
     found.or_else(|| search.finish())
--- a/crates/server/tests/server/decoding.rs
+++ b/crates/server/tests/server/decoding.rs
@@ -53,7 +53,7 @@
                         && request.client_timeout.0 >= 0
                         && request.statement.len() <= length
                 );
-                sql::group(&request.statement);
+                sql::table_group(&request.statement);
                 jobs += 1;
             }
             rest = &rest[length..];
@@ -108,6 +108,6 @@
         ("", None),
     ];
     for (statement, wanted) in table {
-        assert_eq!(sql::group(statement.as_bytes()), wanted, "{statement}");
+        assert_eq!(sql::table_group(statement.as_bytes()), wanted, "{statement}");
     }
 }
