--- a/crates/server/src/client/admission.rs
+++ b/crates/server/src/client/admission.rs
@@ -1,4 +1,4 @@
-//! Processes the messages of clients, and hands jobs to the admission controller.
+//! Processes client messages, and submits jobs to the admission controller.
 
 use super::close_reason::ReadError;
 use super::context::ClientContext;
@@ -11,7 +11,7 @@
 use crate::job::{AdmittedJob, RESERVED_RESULT_BYTES};
 use crate::lifecycle::clock;
 use crate::limits::Permit;
-use crate::session::client_job_ids::ClientJobId;
+use crate::session::client_job_ids::ReservedJobId;
 use crate::session::client_session::ClientSession;
 use crate::session::responder::Responder;
 use crate::telemetry::counters;
@@ -22,13 +22,13 @@
 /// Whether a message was accepted. Clients whose messages are refused are read more slowly.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// The job was handed to the controller, or the message was carried out.
+    /// The job was submitted to the controller, or the message was processed.
     Accepted,
     /// The message is invalid, or a limit of the program is reached.
     Refused,
 }
 
-/// The permits that a job holds while it is open.
+/// The permits that an open job holds.
 struct JobPermits {
     job_slot: Permit,
     memory: Permit,
@@ -37,7 +37,7 @@
 /// Processes a message. `arrived_at` is the earliest time at which it can have arrived.
 ///
 /// # Errors
-/// If a request has the id of an open request: its client could not tell the two answers apart.
+/// If a request has the id of an open request, because its client could not distinguish the two answers.
 pub(super) fn handle_message(
     context: &ClientContext,
     session: &Arc<ClientSession>,
@@ -75,7 +75,7 @@
     Outcome::Refused
 }
 
-/// Hands a job to the controller, if its id is free and the program's own limits allow it.
+/// Submits a job to the controller, unless its id is in use or one of the program's own limits is reached.
 fn admit(
     context: &ClientContext,
     session: &Arc<ClientSession>,
@@ -102,6 +102,7 @@
     }
 }
 
+/// The permits for a job and its usual result; `None` if the connection or the program is at its limit.
 fn acquire_permits(
     context: &ClientContext,
     session: &ClientSession,
@@ -132,12 +133,12 @@
     }
 }
 
-/// The job as the thread that dispatches and answers it receives it.
+/// The job in the form that the thread which dispatches and answers it receives.
 fn admitted_job(
     context: &ClientContext,
     session: &Arc<ClientSession>,
     request: ClientRequest,
-    job_id: ClientJobId,
+    job_id: ReservedJobId,
     permits: JobPermits,
     deadline: Timestamp,
 ) -> AdmittedJob {
--- a/crates/server/src/client/arrival_time.rs
+++ b/crates/server/src/client/arrival_time.rs
@@ -3,11 +3,11 @@
 
 use pebblevane::time::{TimeDelta, Timestamp};
 
-/// If a wait returns within this time, its events had arrived before it began. The call itself may take some tenths of
-/// a millisecond on a fraction of a core.
-const IMMEDIATE_RETURN: TimeDelta = TimeDelta(2_000);
-/// A wait that returns this much later than its timeout was delayed by the system.
-const DELAYED_RETURN: TimeDelta = TimeDelta(10_000);
+/// The events of a wait that returns within this time (2 ms) had arrived before it began. The call itself may take some
+/// tenths of a millisecond if the process has only a fraction of a core.
+const MAX_IMMEDIATE_RETURN: TimeDelta = TimeDelta(2_000);
+/// A wait that exceeds its timeout by more than this (10 ms) was delayed by the system.
+const MAX_RETURN_DELAY: TimeDelta = TimeDelta(10_000);
 
 /// Estimates arrival times from the waits for events of one thread.
 pub struct ArrivalTimeEstimator {
@@ -17,24 +17,24 @@
 
 /// One wait for events.
 pub struct PollWait {
-    /// When the wait was begun.
+    /// When the wait began.
     pub started_at: Timestamp,
     /// When it returned.
     pub returned_at: Timestamp,
-    /// The timeout of the wait.
+    /// The maximum duration that was requested.
     pub timeout: TimeDelta,
-    /// Whether a signal ended it.
+    /// Whether a signal interrupted the wait, which then returned no events.
     pub interrupted: bool,
 }
 
 impl PollWait {
-    /// Whether the events were there when the wait began.
+    /// Whether the events had arrived before the wait began.
     pub fn returned_immediately(&self) -> bool {
-        self.returned_at - self.started_at < IMMEDIATE_RETURN
+        self.returned_at - self.started_at < MAX_IMMEDIATE_RETURN
     }
 
     fn was_delayed(&self) -> bool {
-        self.returned_at - self.started_at > self.timeout + DELAYED_RETURN
+        self.returned_at - self.started_at > self.timeout + MAX_RETURN_DELAY
     }
 }
 
--- a/crates/server/src/client/close_reason.rs
+++ b/crates/server/src/client/close_reason.rs
@@ -10,28 +10,28 @@
     /// The client has closed the connection, or its side of it.
     #[error("closed by the client")]
     ClosedByClient,
-    /// A read or write failed, or the client did not read its answers.
+    /// A read or write failed, or answers that the client did not read exceeded a limit.
     #[error(transparent)]
     Failed(#[from] ConnectionError),
     /// The client kept sending after this side of the connection was shut down.
     #[error("the client sent too much during the graceful close")]
     LingerBytesExceeded,
-    /// The client did not shut down its side after this side was shut down.
+    /// The client did not shut down its side in time after this side was shut down.
     #[error("the client did not close its side in time")]
     LingerTimeout,
     /// The received bytes are not of the client protocol.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// The budget of buffer bytes is used up.
+    /// The budget of buffer bytes is exhausted.
     #[error("no buffer memory left for an incomplete message")]
     OutOfBufferBytes,
     /// No message, or only a part of one, was received within the time limit.
     #[error("idle, or a message was not completed in time")]
     Idle,
-    /// Its descriptor is needed for a new connection.
+    /// The connection was idle, and its descriptor is needed for a new connection.
     #[error("evicted for a new connection")]
     Evicted,
-    /// The process shuts down.
+    /// The process is shutting down.
     #[error("shutting down")]
     ShuttingDown,
 }
--- a/crates/server/src/client/connection.rs
+++ b/crates/server/src/client/connection.rs
@@ -13,26 +13,27 @@
     pub session: Arc<ClientSession>,
     /// The bytes of an incomplete message.
     pub received: Vec<u8>,
-    /// Covers the received bytes beyond a small allowance.
+    /// Permit for the received bytes beyond those that each connection may buffer without one.
     pub received_permit: Permit,
-    /// Since when a message is due: the first one since the connection was accepted, later ones since their first byte.
-    pub message_due_since: Option<Instant>,
-    /// The pass of the event loop in which it was accepted.
+    /// Since when a message is expected: since the accept for the first one, since its first byte for a later one.
+    /// `None` between messages.
+    pub message_expected_since: Option<Instant>,
+    /// The pass of the event loop that accepted the connection.
     pub accepted_in: Pass,
-    /// No complete message has been received yet, so the first request may still be in transit.
+    /// Whether no complete message has been received yet, so that the first request may still be in transit.
     pub awaits_first_message: bool,
     /// Messages refused since the last accepted one.
     pub consecutive_refusals: u32,
     /// Nothing is read before this time.
     pub paused_until: Option<Instant>,
-    /// Set during a graceful close, when nothing that is received is processed any more.
+    /// Set during a graceful close, in which received bytes are discarded.
     pub closing: Option<ClosingConnection>,
 }
 
 /// One pass of the event loop.
 #[derive(Clone, Copy)]
 pub(super) struct Pass {
-    /// Passes before this one.
+    /// The number of passes before this one.
     pub number: u64,
     /// The earliest time at which the events of the pass can have arrived.
     pub earliest_arrival: Timestamp,
@@ -45,7 +46,7 @@
             session: Arc::new(session),
             received: Vec::new(),
             received_permit,
-            message_due_since: Some(Instant::now()),
+            message_expected_since: Some(Instant::now()),
             accepted_in,
             awaits_first_message: true,
             consecutive_refusals: 0,
@@ -54,11 +55,11 @@
         }
     }
 
-    /// How long it has been silent, if that exceeds the limits. `None` also while a request is open, the client has not
-    /// read all answers, or the connection is being closed.
+    /// How long the client has been silent, if this exceeds the limit for the connection's state. `None` also while a
+    /// request is open, the client has not read all answers, or the connection is being closed.
     pub fn overdue_for(&self, limits: &IdleLimits) -> Option<Duration> {
         let idle_for = self.session.idle_for().filter(|_| self.closing.is_none())?;
-        let (silent_for, limit) = match self.message_due_since {
+        let (silent_for, limit) = match self.message_expected_since {
             Some(since) if self.received.is_empty() => (since.elapsed(), limits.first_message),
             Some(since) => (since.elapsed(), limits.rest_of_message),
             None => (idle_for, limits.idle),
@@ -71,11 +72,11 @@
         self.closing.is_none() && self.received.is_empty() && self.session.is_idle()
     }
 
-    /// Enters the graceful close: nothing that was or is received is processed any more.
+    /// Begins a graceful close: an incomplete message and all bytes that are received later are discarded.
     pub fn begin_closing(&mut self) {
         self.closing = Some(ClosingConnection::new());
         self.paused_until = None;
-        self.message_due_since = None;
+        self.message_expected_since = None;
         self.received = Vec::new();
         self.received_permit.shrink_to(0);
     }
--- a/crates/server/src/client/context.rs
+++ b/crates/server/src/client/context.rs
@@ -15,15 +15,15 @@
     pub(super) class_names: Vec<String>,
     pub(super) classes: Vec<JobClass>,
     pub(super) client_job_ids: Arc<ClientJobIds>,
-    /// Descriptors of client connections.
+    /// Limits the descriptors of client connections.
     pub(super) descriptors: Arc<ResourceBudget>,
-    /// Bytes of statements, results, incomplete messages and answers that clients have not read yet.
+    /// Limits the bytes of statements, results, incomplete messages and answers that clients have not read yet.
     pub(super) buffer_bytes: Arc<ResourceBudget>,
-    /// Open jobs.
+    /// Limits the open jobs.
     pub(super) open_jobs: Arc<ResourceBudget>,
 }
 
-/// What admission needs to know of a job class.
+/// The properties of a job class that admission uses.
 pub(super) struct JobClass {
     pub name: Arc<str>,
     pub retry_semantics: RetrySemantics,
@@ -31,7 +31,7 @@
 
 /// The parts of the program that client connections use, and the settings and limits that apply to them.
 pub struct ClientContextConfig<'a> {
-    /// Decides about the jobs of the clients.
+    /// Decides on the clients' jobs.
     pub controller: Arc<ControllerHandle>,
     /// Whether the process is shutting down.
     pub shutdown: Arc<ShutdownState>,
@@ -44,7 +44,7 @@
 }
 
 impl ClientContext {
-    /// A context without connections, with budgets of the size that the quotas allow.
+    /// Creates the context, with budgets as large as the quotas.
     pub fn new(config: ClientContextConfig) -> ClientContext {
         let ClientContextConfig { controller, shutdown, class_names, retry_semantics, quotas } = config;
         let names = class_names.iter().map(|name| name.as_str().into());
--- a/crates/server/src/client/event_loop/accept.rs
+++ b/crates/server/src/client/event_loop/accept.rs
@@ -11,7 +11,7 @@
 use std::os::fd::AsRawFd;
 
 impl ClientEventLoop {
-    /// Accepts pending connections as long as descriptors are left. The others are accepted in a later pass.
+    /// Accepts pending connections while descriptors are available. The others are accepted in a later pass.
     pub(super) fn accept(&mut self) {
         self.accept_pending = false;
         loop {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A descriptor for a client, after evicting idle connections if none is left.
+    /// Acquires a descriptor for a client connection, and evicts idle connections if none is available.
     fn acquire_descriptor(&mut self) -> Option<Permit> {
         self.context.descriptors.acquire(1).or_else(|| {
             self.evict();
--- a/crates/server/src/client/event_loop/close.rs
+++ b/crates/server/src/client/event_loop/close.rs
@@ -35,19 +35,19 @@
         let session = connection.session.clone();
         self.cancel_open_requests(&session);
         self.advance_close(id);
-        // What is left to read is discarded, and a dead connection shows its end.
+        // The event causes a read, which discards unread bytes and notices a dead connection.
         self.request_event(id);
     }
 
-    /// Ends the connections that have failed, whichever thread noticed it.
+    /// Closes the connections whose failure was reported, by whichever thread.
     pub(super) fn close_failed(&mut self) {
         for failure in self.failures.take() {
             self.close(failure.connection, &failure.error.into());
         }
     }
 
-    /// Closes a connection that `is_unneeded`, after reading it: bytes received in the meantime may mean that it is
-    /// needed.
+    /// Reads a connection and closes it if it then still `is_unneeded`: bytes received in the meantime may contain a
+    /// request.
     pub(super) fn close_unless_needed(
         &mut self,
         id: ConnectionId,
@@ -68,8 +68,8 @@
     pub(super) fn advance_close(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let Some(closing) = &mut connection.closing else { return };
-        if !closing.has_ended() && connection.session.finish_writing() {
-            closing.set_ended();
+        if !closing.is_half_closed() && connection.session.finish_writing() {
+            closing.record_half_close();
         }
         if closing.is_overdue() {
             self.abort(id, &CloseReason::LingerTimeout);
--- a/crates/server/src/client/event_loop/evict.rs
+++ b/crates/server/src/client/event_loop/evict.rs
@@ -9,17 +9,17 @@
 use crate::telemetry::counters;
 use std::time::Duration;
 
-/// Connections that are evicted at a time. When hundreds of new connections arrive, searching all connections for each
-/// of them would take too much time.
+/// The maximum number of connections evicted at a time. When hundreds of new connections arrive, searching all
+/// connections for each of them would take too much time.
 const EVICTION_BATCH: usize = 8;
-/// No more connections are evicted while this many are being closed.
-const MAX_CLOSING: usize = 32;
+/// No connections are evicted while this many are being closed.
+const MAX_CLOSING_CONNECTIONS: usize = 32;
 
-/// The order in which connections are evicted, the greatest first.
+/// Orders connections for eviction; the one with the greatest rank is evicted first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
-    /// Whether a message is due. Such connections are evicted before those that are idle between messages.
-    message_is_due: bool,
+    /// Whether a message is expected. Such connections are evicted before those that are idle between messages.
+    message_is_expected: bool,
     overdue_for: Duration,
 }
 
@@ -27,13 +27,13 @@
     /// The rank of a connection, or `None` if it may not be evicted.
     fn of(connection: &ClientConnection) -> Option<EvictionRank> {
         let overdue_for = connection.overdue_for(&IDLE_LIMITS_AT_CAPACITY)?;
-        Some(EvictionRank { message_is_due: connection.message_due_since.is_some(), overdue_for })
+        Some(EvictionRank { message_is_expected: connection.message_expected_since.is_some(), overdue_for })
     }
 }
 
 impl ClientEventLoop {
-    /// Closes connections that have been silent for too long, and writes buffered answers, which cuts off clients that
-    /// do not read theirs.
+    /// Closes connections that have been silent for too long. Also writes buffered answers, which disconnects clients
+    /// that have not read theirs in time.
     pub(super) fn sweep(&mut self) {
         let is_overdue = |connection: &ClientConnection| connection.overdue_for(&IDLE_LIMITS).is_some();
         for id in self.connections.keys().copied().collect::<Vec<ConnectionId>>() {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Closes connections to free descriptors for new ones: those in the last step of a graceful close, then those with
-    /// a message due, then those idle between messages, in each group the longest first.
+    /// Closes connections to free descriptors for new ones: first those in the last step of a graceful close, then those
+    /// that expect a message, then those that are idle between messages, in each group the longest silent first.
     pub(super) fn evict(&mut self) {
         self.abort_lingering();
         for id in self.eviction_candidates() {
@@ -81,7 +81,7 @@
         });
         let mut ranked: Vec<(EvictionRank, ConnectionId)> = ranked.collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        let count = EVICTION_BATCH.min(MAX_CLOSING.saturating_sub(closing));
+        let count = EVICTION_BATCH.min(MAX_CLOSING_CONNECTIONS.saturating_sub(closing));
         ranked.into_iter().take(count).map(|(_, id)| id).collect()
     }
 }
--- a/crates/server/src/client/event_loop/mod.rs
+++ b/crates/server/src/client/event_loop/mod.rs
@@ -31,9 +31,9 @@
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// How often the counters are logged.
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(30);
-/// The longest wait for events. A wait that is delayed by the system is noticed only if it is longer than this.
+/// The maximum wait for events. That the system delayed a wait is noticed only if the wait takes longer than this.
 const POLL_TIMEOUT: Duration = Duration::from_millis(100);
-/// The same while new connections wait for a descriptor, and during a shutdown.
+/// The maximum wait for events while new connections wait for a descriptor, and during a shutdown.
 const BUSY_POLL_TIMEOUT: Duration = Duration::from_millis(20);
 const EVENTS_CAPACITY: usize = 256;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
@@ -51,10 +51,10 @@
     poll: Poll,
     /// `None` once no new connections are accepted.
     listener: Option<TcpListener>,
-    /// Whether connections may be pending that are to be accepted in a later pass.
+    /// Whether further connections may be pending, to be accepted in a later pass.
     accept_pending: bool,
     connections: HashMap<ConnectionId, ClientConnection>,
-    /// Connections that any thread has seen to fail.
+    /// Failures of connections, which any thread may report.
     failures: Arc<ConnectionFailures>,
     /// Connections whose reading is paused.
     paused: Vec<ConnectionId>,
@@ -62,7 +62,7 @@
     read_buffer: Vec<u8>,
     arrivals: ArrivalTimeEstimator,
     pass: Pass,
-    /// The events of the last wait had arrived before it began.
+    /// Whether the events of the last wait had arrived before it began.
     returned_immediately: bool,
     last_sweep: Instant,
     last_counters_line: Instant,
@@ -105,7 +105,7 @@
         })
     }
 
-    /// Serves clients until a shutdown is over: all connections are closed, or the time for it has run out.
+    /// Serves clients until a graceful shutdown is over: all connections are closed, or its time has run out.
     pub fn run(mut self) {
         let mut events = Events::with_capacity(EVENTS_CAPACITY);
         loop {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Waits for events and records when they can have arrived.
+    /// Waits for events and records the earliest time at which they can have arrived.
     fn wait(&mut self, events: &mut Events, is_shutting_down: bool) -> PollOutcome {
         let timeout = self.poll_timeout(is_shutting_down);
         let started_at = clock::now();
@@ -134,7 +134,7 @@
         self.collect_ready(events)
     }
 
-    /// The time to the end of the first pause, within the usual timeout.
+    /// The time until the first paused connection can be read again, but not more than the usual timeout.
     fn poll_timeout(&self, is_shutting_down: bool) -> Duration {
         let timeout = if self.accept_pending || is_shutting_down { BUSY_POLL_TIMEOUT } else { POLL_TIMEOUT };
         let paused = self.paused.iter().filter_map(|id| self.connections.get(id)?.paused_until);
@@ -204,7 +204,7 @@
         }
         connection.session.flush();
         if connection.closing.is_none() && connection.session.has_failed() {
-            // It is ended in the next pass, with the reason that was reported.
+            // The next pass closes it, with the reason that was reported.
             return;
         }
         // Events that the first wait after the accept returned immediately may have arrived before the accept.
--- a/crates/server/src/client/event_loop/shutdown.rs
+++ b/crates/server/src/client/event_loop/shutdown.rs
@@ -14,7 +14,7 @@
             return false;
         }
         self.stop_accepting();
-        // After `answered_by`, incomplete and first messages are no longer waited for.
+        // After `answered_by`, connections are closed even if a first or incomplete message may still arrive.
         let may_still_send = now < schedule.answered_by;
         for id in self.connections.keys().copied().collect::<Vec<ConnectionId>>() {
             self.close_for_shutdown(id, may_still_send);
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Closes a connection once it is idle, or advances its close.
+    /// Closes a connection if it is idle, or advances its close.
     fn close_for_shutdown(&mut self, id: ConnectionId, may_still_send: bool) {
         let is_unneeded = |connection: &ClientConnection| {
             if may_still_send {
--- a/crates/server/src/client/idle.rs
+++ b/crates/server/src/client/idle.rs
@@ -4,9 +4,9 @@
 
 /// How long a connection may be silent in each of its states.
 pub(super) struct IdleLimits {
-    /// Before its first message.
+    /// Before the first byte of its first message.
     pub first_message: Duration,
-    /// Within a message.
+    /// After the first byte of a message and before its last.
     pub rest_of_message: Duration,
     /// Between messages.
     pub idle: Duration,
--- a/crates/server/src/client/reading.rs
+++ b/crates/server/src/client/reading.rs
@@ -14,16 +14,18 @@
 use std::io::{self, ErrorKind, Read};
 use std::time::{Duration, Instant};
 
-/// Bytes of an incomplete message that are not taken from the budget, and the capacity that an empty buffer retains.
+/// How many bytes of an incomplete message need no permit of the budget. Also the buffer capacity that a connection
+/// retains when no message is incomplete.
 const SMALL_BUFFER_BYTES: usize = 4096;
-/// Reads from one connection before others are served.
+/// The maximum number of reads from one connection before other connections are served.
 const READS_PER_TURN: usize = 4;
-/// Reading pauses for this long after each refused message in a row.
-const REFUSAL_PAUSE: Duration = Duration::from_millis(5);
-/// The pause grows with the refused messages up to this many.
+/// How long reading pauses after a refused message, multiplied by the number of consecutive refusals. Also the pause
+/// after a temporary read error.
+const BASE_PAUSE: Duration = Duration::from_millis(5);
+/// The maximum factor by which consecutive refusals lengthen the pause.
 const MAX_PAUSE_FACTOR: u32 = 20;
-/// The same while a request is open: a cancellation has to be read well within 0.1 s, after which no dispatch of the
-/// cancelled job may be sent.
+/// The maximum factor while a request is open. A cancellation has to be read well within 0.1 s, since no dispatch of
+/// the cancelled job may be sent after that.
 const MAX_PAUSE_FACTOR_WITH_OPEN_REQUEST: u32 = 4;
 
 /// Why reading a connection stopped.
@@ -33,7 +35,7 @@
     Drained,
     /// There may be more to read.
     MoreAvailable,
-    /// Reading is paused because messages were refused.
+    /// Reading is paused because messages were refused or a read failed temporarily.
     Paused,
 }
 
@@ -41,9 +43,9 @@
 #[derive(Default)]
 struct ReceivedMessages {
     messages: Vec<Message>,
-    /// Their length in bytes.
+    /// The total length of `messages` in bytes.
     length: usize,
-    /// What is wrong with the bytes after them.
+    /// What is wrong with the bytes after `messages`.
     error: Option<ProtocolError>,
 }
 
@@ -86,19 +88,19 @@
         Ok(progress)
     }
 
-    /// Checks that each request that a read-ahead has cancelled was cancelled by one of the messages, all of which have
-    /// been processed. Otherwise its client, whose connection is still open, waits for an answer that never comes.
+    /// Checks that each request that was cancelled by a peek at unread bytes has also been cancelled by a message. All
+    /// received messages have been processed, so without one the client is waiting for an answer that will not come.
     fn check_cancellations(&self) {
         for request_id in self.session.take_unconfirmed_cancellations() {
             invariants::report_violation(Invariant::CancelledByClient, &request_id.0.to_string());
         }
     }
 
-    /// The pause slows down clients that send many messages which are refused.
+    /// The pause after a refused message. It slows down clients that send many messages which are refused.
     fn refusal_pause(&self) -> Duration {
         let max_factor =
             if self.session.is_idle() { MAX_PAUSE_FACTOR } else { MAX_PAUSE_FACTOR_WITH_OPEN_REQUEST };
-        REFUSAL_PAUSE * self.consecutive_refusals.min(max_factor)
+        BASE_PAUSE * self.consecutive_refusals.min(max_factor)
     }
 
     /// Reads received bytes, up to a limit. During a graceful close they are discarded.
@@ -112,7 +114,7 @@
                 Err(e) if is_reset_by_client(&e) => {
                     return Err(ReadError::Abort(ConnectionError::from(e).into()));
                 }
-                // What is to be written still leaves; a dead connection shows its end at the next read.
+                // Pending answers are still written; if the connection is dead, a later read reports its end.
                 Err(_) if self.closing.is_some() => return Ok(ReadProgress::Drained),
                 Err(e) if is_transient_io_error(&e) => return Ok(self.pause_reading()),
                 Err(e) => return Err(ReadError::Close(ConnectionError::from(e).into())),
@@ -121,9 +123,9 @@
         Ok(ReadProgress::MoreAvailable)
     }
 
-    /// Lets the connection rest after the system had no memory to read it.
+    /// Pauses reading after a temporary error of the system, such as a lack of memory.
     fn pause_reading(&mut self) -> ReadProgress {
-        self.paused_until = Some(Instant::now() + REFUSAL_PAUSE);
+        self.paused_until = Some(Instant::now() + BASE_PAUSE);
         ReadProgress::Paused
     }
 
@@ -133,7 +135,7 @@
         }
         self.session.record_activity();
         if self.received.is_empty() {
-            self.message_due_since = Some(Instant::now());
+            self.message_expected_since = Some(Instant::now());
         }
         self.received.extend_from_slice(bytes);
         Ok(())
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Whether this message submits a job that a later message read with it cancels. Such a job is never admitted.
+    /// Whether this message submits a job that a later message of the same read cancels. Such a job is not admitted.
     fn is_cancelled_later(
         &self,
         message: &Message,
@@ -199,11 +201,11 @@
         self.received.drain(..length);
         if length > 0 {
             self.received.shrink_to(SMALL_BUFFER_BYTES);
-            self.message_due_since = None;
+            self.message_expected_since = None;
             self.awaits_first_message = false;
         }
         if !self.received.is_empty() {
-            self.message_due_since.get_or_insert_with(Instant::now);
+            self.message_expected_since.get_or_insert_with(Instant::now);
         }
         let budgeted_bytes = self.received.len().saturating_sub(SMALL_BUFFER_BYTES);
         if !self.received_permit.grow_to(budgeted_bytes) {
@@ -214,7 +216,7 @@
     }
 }
 
-/// Whether an error of a read shows that the client has ended the connection, so that nothing can reach it any more.
+/// Whether a read error shows that the client has ended the connection, so that no answer can reach it any more.
 fn is_reset_by_client(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/server/src/session/cancellation.rs
+++ b/crates/server/src/session/cancellation.rs
@@ -1,11 +1,12 @@
 //! Cancellation of jobs.
 //!
-//! A job's token is cancelled as soon as its client disconnects or cancels it, or the job is answered. It is checked
-//! directly before anything is sent for the job, so that a cancellation takes effect without passing through a queue.
+//! A job's token is cancelled as soon as its client disconnects, the client cancels the job, or the job is answered.
+//! Threads check the token directly before they send anything for the job, so that a cancellation takes effect without
+//! passing through a queue.
 
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 
-/// A flag that is set once, after which nothing is sent for the job.
+/// A flag that is set once. After that, nothing is sent for the job.
 #[derive(Debug, Default)]
 pub struct CancellationToken(AtomicBool);
 
@@ -21,9 +22,10 @@
     }
 }
 
-/// Whether a job's client still waits: the last check before the job's first byte is sent to an engine.
+/// Tells whether a job's client is still waiting. This is the last check before the job's first byte is sent to an
+/// engine.
 pub trait ClientLiveness: Send + Sync {
-    /// Whether the client still waits for the job's answer.
+    /// Whether the client is still waiting for the job's answer.
     fn is_waiting(&self) -> bool;
 }
 
--- a/crates/server/src/session/client_session.rs
+++ b/crates/server/src/session/client_session.rs
@@ -1,4 +1,4 @@
-//! The part of a client connection that several threads use: its open requests and unsent answers.
+//! The state of a client connection that several threads use: its open requests and unwritten answers.
 //!
 //! Locks are taken in the order `read_position`, `requests`, `output`.
 
@@ -17,12 +17,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The protocol's limit of open requests on one connection.
+/// The maximum number of open requests on one connection, as the protocol specifies it.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Unread bytes that are searched for a cancellation before something is sent to an engine.
+/// The maximum number of unread bytes that are searched for a cancellation before something is sent to an engine.
 const PEEK_BYTES: usize = 4096;
 
-/// A client connection. Answers are written one after another, and no thread blocks until the client reads them.
+/// A client connection. Answers are written one at a time, and no thread blocks until the client reads them.
 pub struct ClientSession {
     id: ConnectionId,
     stream: TcpStream,
@@ -30,32 +30,32 @@
     requests: Mutex<OpenRequests>,
     read_position: Mutex<ReadPosition>,
     failures: Arc<ConnectionFailures>,
-    /// A failure has been reported.
+    /// Whether a failure of the connection has been reported.
     has_failed: AtomicBool,
     _descriptor: Permit,
 }
 
-/// What the bytes that were received but not yet read say about a request.
-enum ReadAhead {
-    /// Nothing of it.
-    Nothing,
-    /// The client has cancelled it, or closed the connection.
+/// What a peek at the bytes that were received but not yet read shows about a request.
+enum PeekOutcome {
+    /// No cancellation of the request was found.
+    NotCancelled,
+    /// The client has cancelled the request, or closed the connection.
     Cancelled,
     /// The connection has failed.
     Failed(io::Error),
 }
 
-/// How far a connection has been read. The thread that reads holds its lock until it has processed what it read.
+/// How far a connection has been read. The thread that reads holds the lock until it has processed what it has read.
 #[derive(Default)]
 pub struct ReadPosition {
-    /// Whether the last message was read only in part.
+    /// Whether the last message has been read only partly, so that the unread bytes do not begin with a message.
     pub inside_message: bool,
 }
 
 struct OpenRequests {
     by_id: HashMap<RequestId, OpenRequest>,
-    /// Requests that a read-ahead has cancelled, until the thread that reads comes to their cancellation.
-    cancelled_ahead: HashSet<RequestId>,
+    /// Requests that were cancelled by a peek at unread bytes, until the thread that reads processes the cancellation.
+    cancelled_by_peek: HashSet<RequestId>,
     /// When bytes were last received, or a request was last answered or cancelled.
     last_activity: Instant,
 }
@@ -66,8 +66,9 @@
 }
 
 impl ClientSession {
-    /// A session on a connected, non-blocking stream. `descriptor` is held as long as the session, `output` covers
-    /// answers that the client has not read yet. `failures` receives the failure of the connection.
+    /// Creates a session on a connected, non-blocking stream. The session holds `descriptor` as long as it exists;
+    /// `output` is the permit for answers that the client has not read yet. A failure of the connection is reported to
+    /// `failures`.
     pub fn new(
         id: ConnectionId,
         stream: TcpStream,
@@ -77,7 +78,7 @@
     ) -> ClientSession {
         let requests = OpenRequests {
             by_id: HashMap::new(),
-            cancelled_ahead: HashSet::new(),
+            cancelled_by_peek: HashSet::new(),
             last_activity: Instant::now(),
         };
         ClientSession {
@@ -92,72 +93,72 @@
         }
     }
 
-    /// The connection, to be read and polled. It is written to by the session only.
+    /// The connection, for reading and polling. Only the session writes to it.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Locks the read position. The lock is to be held until the bytes that were read have been processed.
+    /// Locks the read position. The caller holds the lock until it has processed the bytes that it has read.
     pub fn lock_read_position(&self) -> MutexGuard<'_, ReadPosition> {
         lock(&self.read_position)
     }
 
-    /// Cancels this request if bytes that were received but not yet read cancel it, or the connection has ended. Returns
-    /// whether it did.
-    pub fn cancel_if_unread(&self, request_id: RequestId) -> bool {
+    /// Cancels this request if bytes that were received but not yet read contain its cancellation, or the connection has
+    /// ended or failed. Returns whether the request is cancelled.
+    pub fn apply_unread_cancellation(&self, request_id: RequestId) -> bool {
         // The thread that holds the lock processes cancellations itself.
         let Ok(position) = self.read_position.try_lock() else { return false };
-        match self.read_ahead(&position, request_id) {
-            ReadAhead::Nothing => return false,
-            ReadAhead::Cancelled => {}
-            ReadAhead::Failed(error) => self.fail(error.into()),
+        match self.peek(&position, request_id) {
+            PeekOutcome::NotCancelled => return false,
+            PeekOutcome::Cancelled => {}
+            PeekOutcome::Failed(error) => self.fail(error.into()),
         }
-        self.cancel_ahead(request_id);
+        self.cancel_by_peek(request_id);
         true
     }
 
-    fn read_ahead(&self, position: &ReadPosition, request_id: RequestId) -> ReadAhead {
+    fn peek(&self, position: &ReadPosition, request_id: RequestId) -> PeekOutcome {
         let mut unread = [0; PEEK_BYTES];
         loop {
             return match self.stream.peek(&mut unread) {
-                Ok(0) => ReadAhead::Cancelled,
-                Ok(_) if position.inside_message => ReadAhead::Nothing,
+                Ok(0) => PeekOutcome::Cancelled,
+                Ok(_) if position.inside_message => PeekOutcome::NotCancelled,
                 Ok(count) if codec::contains_cancellation(&unread[..count], request_id) => {
-                    ReadAhead::Cancelled
+                    PeekOutcome::Cancelled
                 }
-                Ok(_) => ReadAhead::Nothing,
+                Ok(_) => PeekOutcome::NotCancelled,
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(e) if is_transient_io_error(&e) => ReadAhead::Nothing,
-                Err(e) => ReadAhead::Failed(e),
+                Err(e) if is_transient_io_error(&e) => PeekOutcome::NotCancelled,
+                Err(e) => PeekOutcome::Failed(e),
             };
         }
     }
 
-    fn cancel_ahead(&self, request_id: RequestId) {
+    fn cancel_by_peek(&self, request_id: RequestId) {
         let mut requests = lock(&self.requests);
         if let Some(open) = requests.by_id.remove(&request_id) {
             open.cancellation.cancel();
-            requests.cancelled_ahead.insert(request_id);
+            requests.cancelled_by_peek.insert(request_id);
         }
     }
 
-    /// Whether a request was cancelled by a read-ahead, and the thread that reads has not come to its cancellation.
+    /// Whether a request was cancelled by a peek and its cancellation has not been processed yet.
     pub fn has_unconfirmed_cancellations(&self) -> bool {
-        !lock(&self.requests).cancelled_ahead.is_empty()
+        !lock(&self.requests).cancelled_by_peek.is_empty()
     }
 
-    /// Takes the requests that a read-ahead has cancelled and no message since.
+    /// Takes the requests that were cancelled by a peek and whose cancellation has not been processed since.
     #[must_use]
     pub fn take_unconfirmed_cancellations(&self) -> HashSet<RequestId> {
-        std::mem::take(&mut lock(&self.requests).cancelled_ahead)
+        std::mem::take(&mut lock(&self.requests).cancelled_by_peek)
     }
 
-    /// Whether the connection has failed, so that its owner is to end it.
+    /// Whether a failure has been reported, so that the connection's owner will close it.
     pub fn has_failed(&self) -> bool {
         self.has_failed.load(SeqCst)
     }
 
-    /// Reports that the connection has failed, so that its owner ends it.
+    /// Reports that the connection has failed, so that its owner closes it. Only the first report counts.
     fn fail(&self, error: ConnectionError) {
         if !self.has_failed.swap(true, SeqCst) {
             self.failures.report(self.id, error);
@@ -169,8 +170,8 @@
         lock(&self.requests).last_activity = Instant::now();
     }
 
-    /// The time since bytes were last received or an answer was given. `None` while a request is open or the client has
-    /// not read all answers.
+    /// The time since bytes were last received, or a request was last answered or cancelled. `None` while a request is
+    /// open or the client has not read all answers.
     pub fn idle_for(&self) -> Option<Duration> {
         let requests = lock(&self.requests);
         let is_idle = requests.by_id.is_empty() && lock(&self.output).is_empty();
@@ -182,13 +183,13 @@
         self.idle_for().is_some()
     }
 
-    /// Whether one more request may be open.
+    /// Whether one more request may be opened.
     pub fn has_capacity(&self) -> bool {
         lock(&self.requests).by_id.len() < MAX_OPEN_REQUESTS
     }
 
-    /// Whether the request with this id is open, and is that of this job.
-    pub fn awaits(&self, request_id: RequestId, job: JobId) -> bool {
+    /// Whether the request with this id is open and belongs to this job.
+    pub fn is_open_for(&self, request_id: RequestId, job: JobId) -> bool {
         lock(&self.requests).by_id.get(&request_id).is_some_and(|open| open.job == job)
     }
 
@@ -206,7 +207,7 @@
     pub fn cancel(&self, request_id: RequestId) -> Option<JobId> {
         let mut requests = lock(&self.requests);
         requests.last_activity = Instant::now();
-        requests.cancelled_ahead.remove(&request_id);
+        requests.cancelled_by_peek.remove(&request_id);
         let open = requests.by_id.remove(&request_id)?;
         open.cancellation.cancel();
         Some(open.job)
@@ -224,7 +225,7 @@
         jobs
     }
 
-    /// Answers an open request and returns true, or returns false if it has been answered or cancelled before. Every
+    /// Answers an open request and returns true, or returns false if it has already been answered or cancelled. Every
     /// answer to a job is written here.
     pub fn respond(&self, request_id: RequestId, reply: &Reply) -> bool {
         let mut requests = lock(&self.requests);
@@ -240,23 +241,23 @@
     pub fn write(&self, request_id: RequestId, reply: &Reply) {
         let mut output = lock(&self.output);
         if !output.is_closed() {
-            self.check(output.write(codec::encode(request_id, reply), &self.stream));
+            self.report_write_error(output.write(codec::encode(request_id, reply), &self.stream));
         }
     }
 
-    /// Writes as much of the buffered answers as the socket buffer has space for.
+    /// Writes as many bytes of the buffered answers as the socket buffer has space for.
     pub fn flush(&self) {
         let mut output = lock(&self.output);
         if !output.is_empty() {
-            self.check(output.flush(&self.stream));
+            self.report_write_error(output.flush(&self.stream));
         }
     }
 
-    /// Shuts down this side of the connection if all answers are written, and returns whether they are. The client
-    /// reads the end of the stream after its last answer, and what it still sends does not reset the connection.
+    /// Shuts down this side of the connection if all answers are written, and returns whether they are. The client reads
+    /// the end of the stream after its last answer, and bytes that it still sends do not reset the connection.
     pub fn finish_writing(&self) -> bool {
         let mut output = lock(&self.output);
-        self.check(output.flush(&self.stream));
+        self.report_write_error(output.flush(&self.stream));
         let finished = output.is_empty();
         if finished {
             output.shut_down(&self.stream);
@@ -264,13 +265,13 @@
         finished
     }
 
-    fn check(&self, written: Result<(), ConnectionError>) {
+    fn report_write_error(&self, written: Result<(), ConnectionError>) {
         if let Err(error) = written {
             self.fail(error);
         }
     }
 
-    /// Ends the connection at once. Answers that were not read are lost.
+    /// Ends the connection at once. Answers that the client has not read yet may be lost.
     pub fn abort(&self) {
         lock(&self.output).abort(&self.stream);
     }
--- a/crates/server/src/session/mod.rs
+++ b/crates/server/src/session/mod.rs
@@ -1,4 +1,4 @@
-//! Client sessions: the open requests of each client, their answers, and whether the client still waits for them.
+//! Client sessions: the open requests of each client, their answers, and whether the client is still waiting for them.
 
 pub mod cancellation;
 pub mod client_job_ids;
--- a/crates/server/src/session/responder.rs
+++ b/crates/server/src/session/responder.rs
@@ -1,7 +1,7 @@
-//! Ensures that a request is answered exactly once, whether by the controller, the job's thread, or admission.
+//! Ensures that a request is answered exactly once, whether by the controller's thread, the job's thread, or admission.
 
 use super::cancellation::{CancellationToken, ClientLiveness};
-use super::client_job_ids::ClientJobId;
+use super::client_job_ids::ReservedJobId;
 use super::client_session::ClientSession;
 use crate::codec::client::{Reply, RequestId};
 use crate::lifecycle::clock;
@@ -12,30 +12,31 @@
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::{Arc, Mutex, OnceLock};
 
-/// A request counts as lost if it is answered more than this after the client's timeout.
-const LOST_AFTER: TimeDelta = TimeDelta(500_000);
+/// An answer that is later than the client's timeout by more than this (0.5 s) counts as lost.
+const ANSWER_GRACE_PERIOD: TimeDelta = TimeDelta(500_000);
 
-/// Answers one request, at most once. A registered request has to be answered before this is dropped, unless its
-/// client has cancelled it.
+/// Answers one request, at most once. A registered request has to be answered before its responder is dropped, unless
+/// the client has cancelled it.
 pub struct Responder {
     session: Arc<ClientSession>,
     request_id: RequestId,
     /// The client's own id of the job, for the log.
     job_id: Box<str>,
-    /// Reserves that id until the request is answered.
-    reserved_id: Mutex<Option<ClientJobId>>,
+    /// The reservation of `job_id`, until the request is answered.
+    reserved_id: Mutex<Option<ReservedJobId>>,
     /// The end of the client's timeout.
     deadline: Timestamp,
+    /// The controller's id of the job, set when the request is registered.
     job: OnceLock<JobId>,
     cancellation: Arc<CancellationToken>,
 }
 
 impl Responder {
-    /// A responder for a request that is not registered yet. `deadline` is the end of the client's timeout.
+    /// Creates a responder for a request that is not registered yet. `deadline` is the end of the client's timeout.
     pub fn new(
         session: Arc<ClientSession>,
         request_id: RequestId,
-        job_id: ClientJobId,
+        job_id: ReservedJobId,
         deadline: Timestamp,
     ) -> Responder {
         Responder {
@@ -52,7 +53,7 @@
     /// Opens the request under the controller's id of its job. From then on it has to be answered, unless the client
     /// cancels it.
     pub fn register(&self, job: JobId) {
-        // A request is registered once.
+        // This fails only if the request is already registered, and a request is registered once.
         let _ = self.job.set(job);
         self.session.open(self.request_id, job, self.cancellation.clone());
     }
@@ -62,8 +63,8 @@
         self.cancellation.is_cancelled()
     }
 
-    /// Answers the request and returns true, or returns false if it has been answered or cancelled before. The
-    /// client's id of the job is released first, so that a client that has its answer may use the id again.
+    /// Answers the request and returns true, or returns false if it has already been answered or cancelled. The client's
+    /// id of the job is released first, so that a client that has its answer may use the id again.
     pub fn respond(&self, reply: &Reply) -> bool {
         drop(lock(&self.reserved_id).take());
         let responded = self.session.respond(self.request_id, reply);
@@ -79,21 +80,21 @@
         if overdue > TimeDelta(0) {
             counters::LATE_RESPONSES.increment();
         }
-        if overdue > LOST_AFTER {
+        if overdue > ANSWER_GRACE_PERIOD {
             invariants::report_violation(Invariant::AnsweredInTime, &self.job_id);
         }
     }
 
     /// Whether the request is registered and neither answered nor cancelled.
     fn is_open(&self) -> bool {
-        self.job.get().is_some_and(|job| self.session.awaits(self.request_id, *job))
+        self.job.get().is_some_and(|job| self.session.is_open_for(self.request_id, *job))
     }
 }
 
 impl ClientLiveness for Responder {
-    /// Also checks the bytes that were received from the client but not yet read for a cancellation.
+    /// Also searches the bytes that were received from the client but not yet read for a cancellation.
     fn is_waiting(&self) -> bool {
-        if self.is_open() && self.session.cancel_if_unread(self.request_id) {
+        if self.is_open() && self.session.apply_unread_cancellation(self.request_id) {
             tracing::debug!(job = %self.job_id, "job cancelled by unread bytes");
         }
         !self.is_finished()
--- a/crates/server/src/session/write_buffer.rs
+++ b/crates/server/src/session/write_buffer.rs
@@ -8,17 +8,17 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A client that has not read all of its answers within this time is cut off.
+/// A client that has not read all pending answers within this time is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The bytes of answers that are not written yet.
+/// The bytes of answers that have not been written to the socket yet.
 pub(super) struct WriteBuffer {
     unwritten: Vec<u8>,
-    /// Since when the buffer has not been empty.
+    /// When the buffer last ceased to be empty.
     unwritten_since: Instant,
-    /// Covers the unwritten bytes.
+    /// Permit for the unwritten bytes.
     permit: Permit,
-    /// Nothing more is written: the connection was aborted, or this side of it was shut down.
+    /// Whether nothing more is written: the connection was aborted, or this side of it was shut down.
     closed: bool,
 }
 
@@ -50,8 +50,8 @@
     /// Writes as much as the socket buffer has space for.
     ///
     /// # Errors
-    /// If the connection has failed, or the client reads too slowly. It is aborted then, since only its end shows the
-    /// client that an answer is incomplete.
+    /// If the connection has failed, the client reads too slowly, or the budget of buffer bytes is exhausted. The
+    /// connection is then aborted, since only its end shows the client that an answer is incomplete.
     pub fn flush(&mut self, stream: &TcpStream) -> Result<(), ConnectionError> {
         let flushed = self.try_flush(stream);
         if let Err(error) = &flushed {
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// The number of bytes that were written.
+    /// Writes until the socket buffer is full, and returns the number of bytes written.
     fn write_available(&self, mut stream: &TcpStream) -> Result<usize, ConnectionError> {
         let mut written = 0;
         while written < self.unwritten.len() {
@@ -95,7 +95,7 @@
         self.unwritten_since.elapsed() >= WRITE_TIMEOUT
     }
 
-    /// Ends the connection at once and discards what was not written.
+    /// Ends the connection at once and discards the unwritten bytes.
     pub fn abort(&mut self, stream: &TcpStream) {
         self.closed = true;
         self.unwritten = Vec::new();
