--- a/crates/server/src/lifecycle/clock.rs
+++ b/crates/server/src/lifecycle/clock.rs
@@ -4,7 +4,7 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-/// The time at which the clock starts: late enough that timestamp zero means "long ago".
+/// The timestamp at which the clock starts (about 11.6 days). It is so late that timestamp zero is long in the past.
 const CLOCK_START: Timestamp = Timestamp(1_000_000_000_000);
 
 static STARTED_AT: OnceLock<Instant> = OnceLock::new();
--- a/crates/server/src/lifecycle/shutdown.rs
+++ b/crates/server/src/lifecycle/shutdown.rs
@@ -8,23 +8,23 @@
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::OnceLock;
 
-/// How long new connections are accepted after the signal.
+/// How long new connections are accepted after the shutdown has begun (1 s).
 const ACCEPT_WINDOW: TimeDelta = TimeDelta(1_000_000);
-/// How long after the longest client timeout every admitted job is answered.
+/// The time allowed after the longest client timeout for answering every admitted job (0.4 s).
 const ANSWER_MARGIN: TimeDelta = TimeDelta(400_000);
-/// The longest client timeout that the schedule allows for.
-const MAX_CLIENT_TIMEOUT: TimeDelta = TimeDelta(3_000_000);
-/// How long clients may take to read the last answers. The process may be killed 0.1 s after that.
+/// The longest client timeout that the schedule waits for (3 s).
+const MAX_SCHEDULED_CLIENT_TIMEOUT: TimeDelta = TimeDelta(3_000_000);
+/// How long clients may take to read the last answers (0.2 s). The process may be killed 0.1 s after that.
 const FLUSH_WINDOW: TimeDelta = TimeDelta(200_000);
 
-/// When each step of a shutdown ends.
+/// When each step of a graceful shutdown ends.
 #[derive(Clone, Copy)]
 pub struct ShutdownSchedule {
-    /// Until then new connections are accepted, and idle ones stay open.
+    /// New connections are accepted, and idle ones stay open, until this time.
     pub accept_until: Timestamp,
-    /// By then every admitted job is answered.
+    /// Every admitted job is answered by this time.
     pub answered_by: Timestamp,
-    /// The process exits then at the latest.
+    /// The process exits at this time at the latest.
     pub exit_at: Timestamp,
 }
 
@@ -43,10 +43,10 @@
         self.0.get().copied()
     }
 
-    /// Begins the shutdown and returns its schedule, or `None` if it has begun before.
+    /// Begins the shutdown and returns its schedule, or returns `None` if it has already begun.
     pub fn begin(&self, longest_client_timeout: TimeDelta) -> Option<ShutdownSchedule> {
         let now = clock::now();
-        let answered_by = now + longest_client_timeout.min(MAX_CLIENT_TIMEOUT) + ANSWER_MARGIN;
+        let answered_by = now + longest_client_timeout.min(MAX_SCHEDULED_CLIENT_TIMEOUT) + ANSWER_MARGIN;
         let schedule = ShutdownSchedule {
             accept_until: (now + ACCEPT_WINDOW).min(answered_by),
             answered_by,
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -1,15 +1,15 @@
-//! Retrying at startup while the system temporarily refuses a resource: descriptors, memory, threads, or an address
-//! that the previous process still holds.
+//! Retries at startup while the system temporarily refuses a resource: descriptors, memory, threads, or an address that
+//! the previous process still uses.
 
-use crate::lifecycle::transient::is_transient;
+use crate::lifecycle::transient::is_transient_resource_error;
 use std::io::Result;
 use std::time::{Duration, Instant};
 
-/// A restarted process has to be ready within 10 s, so a longer refusal ends the startup.
+/// How long attempts are repeated. A restarted process has to be ready within 10 s, so the startup fails after that.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(6);
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Calls `attempt` until it succeeds, fails permanently or has failed for too long.
+/// Calls `attempt` until it succeeds, fails permanently, or has failed for longer than the retry timeout.
 ///
 /// # Errors
 /// The last error of `attempt`.
@@ -17,7 +17,7 @@
     let started = Instant::now();
     loop {
         match attempt() {
-            Err(error) if is_transient(&error) && started.elapsed() < RETRY_TIMEOUT => {
+            Err(error) if is_transient_resource_error(&error) && started.elapsed() < RETRY_TIMEOUT => {
                 std::thread::sleep(RETRY_INTERVAL);
             }
             result => return result,
--- a/crates/server/src/lifecycle/sync.rs
+++ b/crates/server/src/lifecycle/sync.rs
@@ -1,4 +1,4 @@
-//! Locking.
+//! Locking of mutexes, in a program that aborts when a thread panics.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/crates/server/src/lifecycle/wakeup.rs
+++ b/crates/server/src/lifecycle/wakeup.rs
@@ -1,9 +1,9 @@
-//! Waking a thread that waits for events of sockets.
+//! Wakes a thread that waits for socket events.
 
 use mio::Waker;
 use std::io::{self, ErrorKind};
 
-/// Wakes the thread. A call that a signal interrupts is repeated.
+/// Wakes the thread, and retries if a signal interrupts the call.
 ///
 /// # Errors
 /// The system's error if the thread can't be woken.
--- a/crates/server/src/limits/budget.rs
+++ b/crates/server/src/limits/budget.rs
@@ -3,13 +3,13 @@
 use crate::lifecycle::sync::lock;
 use std::sync::{Arc, Mutex};
 
-/// A fixed amount of one resource, from which [`Permit`]s are acquired.
+/// A fixed amount of one resource, of which parts are acquired as [`Permit`]s.
 pub struct ResourceBudget {
     capacity: usize,
     in_use: Mutex<usize>,
 }
 
-/// A part of a budget, which is returned when this is dropped.
+/// A part of a budget, returned to it when the permit is dropped.
 #[must_use = "dropping a permit returns its part of the budget at once"]
 pub struct Permit {
     budget: Arc<ResourceBudget>,
@@ -17,7 +17,7 @@
 }
 
 impl ResourceBudget {
-    /// A budget of this capacity, in units of its resource.
+    /// Creates a budget with this capacity, in units of its resource.
     pub fn new(capacity: usize) -> Arc<ResourceBudget> {
         Arc::new(ResourceBudget { capacity, in_use: Mutex::new(0) })
     }
@@ -31,8 +31,8 @@
 }
 
 impl Permit {
-    /// Raises the amount held to `amount` and returns true, or returns false and changes nothing if the budget has
-    /// less left. An amount that is held already is kept.
+    /// Raises the amount held to `amount` and returns true, or returns false and changes nothing if the budget does not
+    /// have enough left. If more is held already, it is kept.
     #[must_use = "false means that the amount was not granted"]
     pub fn grow_to(&mut self, amount: usize) -> bool {
         let additional = amount.saturating_sub(self.amount);
@@ -46,7 +46,7 @@
         granted
     }
 
-    /// Returns what is held beyond `amount`.
+    /// Returns the amount held beyond `amount` to the budget.
     pub fn shrink_to(&mut self, amount: usize) {
         let excess = self.amount.saturating_sub(amount);
         *lock(&self.budget.in_use) -= excess;
--- a/crates/server/src/limits/mod.rs
+++ b/crates/server/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Resource limits of the process: the quotas of its parts, and the budgets that enforce them.
+//! Resource limits of the process: the quotas of its parts, and the budgets that enforce the quotas.
 
 mod budget;
 mod quotas;
--- a/crates/server/src/limits/quotas.rs
+++ b/crates/server/src/limits/quotas.rs
@@ -1,7 +1,7 @@
 //! Divides the configured limits of descriptors and memory among the parts of the program.
 
 const MEBIBYTE: usize = 1024 * 1024;
-/// The memory of an idle process, including what the allocator holds in reserve.
+/// The resident memory of an idle process, including free memory that the allocator retains.
 const IDLE_PROCESS_BYTES: usize = 8 * MEBIBYTE;
 /// The resident memory of a connection.
 const CONNECTION_BYTES: usize = 4 * 1024;
@@ -11,34 +11,35 @@
 const MAX_OPEN_JOBS: usize = 1536;
 const MIN_BUFFER_BYTES: usize = MEBIBYTE;
 /// Descriptors for the listener, the event bus, the log, a connection that is being accepted, and the C library.
-const RESERVED_SOCKETS: usize = 24;
-/// A single engine may use this fraction of the descriptors for engines.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// The connections to a single engine may use at most one in this many of the descriptors for all engines.
 const ENGINE_SHARE_DIVISOR: usize = 6;
 const MIN_CONNECTIONS_PER_ENGINE: usize = 4;
 const MAX_CONNECTIONS_PER_ENGINE: usize = 48;
-/// A line of the event bus, which may contain the complete endpoint list, may use this fraction of the memory.
+/// A line of the event bus, which may contain the complete endpoint list, may use at most one in this many bytes of the
+/// configured memory.
 const EVENT_LINE_MEMORY_DIVISOR: usize = 16;
 const MIN_EVENT_LINE_BYTES: usize = MEBIBYTE;
 
-/// What the process may use in total.
+/// The configured limits of the whole process.
 #[derive(Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Open sockets.
+    /// The maximum number of open file descriptors, sockets in the main.
     pub sockets: usize,
-    /// Resident memory, in mebibytes.
+    /// The maximum resident memory, in mebibytes.
     pub memory_mb: usize,
 }
 
-/// What each part of the program may use.
+/// The maximum that each part of the program may use.
 pub struct ResourceQuotas {
-    /// Client connections. Clients have agreed to use a third of the descriptors; this is more, so that further
+    /// Client connections. By agreement, clients use a third of the descriptors. The quota is higher, so that further
     /// connections can be accepted and their jobs rejected.
     pub client_connections: usize,
     /// Connections to all engines together.
     pub engine_connections: usize,
     /// Connections to a single engine.
     pub connections_per_engine: usize,
-    /// Jobs that are open at a time.
+    /// Jobs that are open at the same time.
     pub open_jobs: usize,
     /// Bytes of statements, results, incomplete messages, and answers that clients have not read yet.
     pub buffer_bytes: usize,
@@ -51,7 +52,7 @@
     pub fn from_limits(limits: Limits) -> ResourceQuotas {
         let total_bytes = limits.memory_mb * MEBIBYTE;
         let client_connections = limits.sockets * 2 / 5;
-        let engine_connections = limits.sockets.saturating_sub(client_connections + RESERVED_SOCKETS);
+        let engine_connections = limits.sockets.saturating_sub(client_connections + RESERVED_DESCRIPTORS);
         let connection_bytes = (client_connections + engine_connections) * CONNECTION_BYTES;
         let available_bytes = total_bytes.saturating_sub(IDLE_PROCESS_BYTES + connection_bytes);
         ResourceQuotas {
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -6,11 +6,11 @@
 use pebblevane_server::server::{self, ServerError, SignalHandlers};
 use std::process::ExitCode;
 
-/// The variable of the environment that holds the log level.
+/// The environment variable that holds the log level.
 const LOG_LEVEL_VARIABLE: &str = "PEBBLEVANE_LOG";
 
 fn main() -> ExitCode {
-    // Starts the program's clock.
+    // The first call starts the program's clock.
     clock::now();
     init_logging();
     abort_on_panic();
@@ -26,12 +26,12 @@
 fn run() -> Result<(), ServerError> {
     // The signal handlers are installed first, so that no signal terminates the process abruptly.
     let signals = retry_transient_errors(SignalHandlers::install).map_err(ServerError::Signals)?;
-    let config = Config::read(server::environment)?;
+    let config = Config::read(server::environment_variable)?;
     server::run(signals, config)
 }
 
 fn init_logging() {
-    let level = server::environment(LOG_LEVEL_VARIABLE).and_then(|level| level.parse().ok());
+    let level = server::environment_variable(LOG_LEVEL_VARIABLE).and_then(|level| level.parse().ok());
     tracing_subscriber::fmt()
         .with_max_level(level.unwrap_or(tracing::Level::INFO))
         .with_ansi(false)
@@ -39,7 +39,7 @@
         .init();
 }
 
-/// Aborts the process when a thread panics, since a job of that thread might never be answered.
+/// Aborts the process when a thread panics, since the jobs of that thread might otherwise never be answered.
 fn abort_on_panic() {
     std::panic::set_hook(Box::new(|info| {
         eprintln!("pebblevane: {info}");
--- a/crates/server/src/server/error.rs
+++ b/crates/server/src/server/error.rs
@@ -8,16 +8,16 @@
 /// Why the program does not start, or ends early.
 #[derive(Debug, Error)]
 pub enum ServerError {
-    /// The configuration can't be used; the text names the field.
+    /// The configuration can't be used; the error names the field.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The system refuses to deliver signals.
-    #[error("cannot wait for signals: {0}")]
+    /// The system refuses a signal handler, or the sockets by which handlers wake a thread.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The system refuses a resource.
+    /// The system refuses a resource that the service needs.
     #[error("cannot {action}: {source}")]
     Start {
-        /// What was tried.
+        /// What failed, as a verb phrase.
         action: &'static str,
         /// The system's error.
         source: io::Error,
@@ -25,18 +25,18 @@
     /// The system refuses the address for clients.
     #[error("field listen: cannot listen on {address}: {source}")]
     Listen {
-        /// The address of the configuration.
+        /// The configured address.
         address: SocketAddr,
         /// The system's error.
         source: io::Error,
     },
-    /// The thread that receives signals has ended.
+    /// The thread that signal handlers wake has ended.
     #[error("the thread that waits for signals has ended")]
     SignalThreadEnded,
 }
 
 impl ServerError {
-    /// Turns an error of the system into that of a step of the startup.
+    /// Converts a system error into [`ServerError::Start`] for this action.
     pub(super) fn cannot(action: &'static str) -> impl FnOnce(io::Error) -> ServerError {
         move |source| ServerError::Start { action, source }
     }
--- a/crates/server/src/server/mod.rs
+++ b/crates/server/src/server/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::Ordering::SeqCst;
 
 /// Reads an environment variable; `None` if it is not set or not valid Unicode.
-pub fn environment(name: &str) -> Option<String> {
+pub fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
@@ -24,7 +24,7 @@
 /// shutdown.
 ///
 /// # Errors
-/// Whatever keeps the service from starting, or the end of the thread that signals wake.
+/// If the service can't start, or the thread that signal handlers wake has ended.
 pub fn run(handlers: SignalHandlers, mut config: Config) -> Result<(), ServerError> {
     let service = Service::start(&mut config)?;
     let signals = handlers.start().map_err(ServerError::cannot("start a thread"))?;
@@ -35,8 +35,8 @@
     Ok(())
 }
 
-/// Handles signals until all client connections have ended. A SIGHUP is also handled during a shutdown, which takes
-/// seconds.
+/// Handles signals until all client connections have ended. SIGHUP is also handled during a shutdown, which may take
+/// several seconds.
 fn handle_signals(service: &Service, signals: &PendingSignals, config: Config) -> Result<(), ServerError> {
     let longest_client_timeout = config.longest_client_timeout();
     let mut reloader = ConfigReloader::new(config, service.event_bus.clone());
--- a/crates/server/src/server/reload.rs
+++ b/crates/server/src/server/reload.rs
@@ -1,30 +1,31 @@
 //! Reloading the configuration while the program runs.
 //!
-//! The event bus connection moves to the new address; other changes take effect at the next start. The initial endpoint
-//! list is ignored, since the event numbers continue. An invalid file is read again for a while, since it may be
-//! incomplete because it is still being written.
+//! A new address of the event bus takes effect at once, other changes at the next start. The initial endpoint list is
+//! ignored, since the event numbers continue. If the file is invalid, it may still be being written, so it is read again
+//! for a while.
 
-use super::environment;
+use super::environment_variable;
 use crate::config::Config;
 use crate::discovery::EventBusFollower;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// How long after a reload request an invalid file is read again.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Applies configurations that are read while the program runs.
+/// Reads the configuration on request while the program runs, and applies it.
 pub(super) struct ConfigReloader {
     config: Config,
     event_bus: Arc<EventBusFollower>,
-    /// The failed reload that is being retried, if any.
+    /// The failed reload that is being retried; `None` if the last one succeeded or is no longer retried.
     failure: Option<ReloadFailure>,
 }
 
 /// A failed reload.
 struct ReloadFailure {
-    /// When it first failed.
+    /// When the first attempt failed.
     since: Instant,
-    /// Why the last attempt failed.
+    /// Why the most recent attempt failed.
     reason: String,
 }
 
@@ -40,17 +41,17 @@
         self.read();
     }
 
-    /// Reads the configuration again if the last reload failed. Without a request nothing is read: the file may be in
-    /// preparation.
+    /// Reads the configuration again if a failed reload is being retried. Without a reload request nothing is read, since
+    /// the file may be in the middle of an edit.
     pub fn retry(&mut self) {
         if self.failure.is_some() {
             self.read();
         }
     }
 
-    /// Applies the configuration. An invalid one changes nothing.
+    /// Reads and applies the configuration. An invalid one changes nothing.
     fn read(&mut self) {
-        match Config::read(environment) {
+        match Config::read(environment_variable) {
             Ok(config) => {
                 self.failure = None;
                 self.apply(&config);
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Logs a failure unless the previous one had the same reason, and ends the retries after the timeout.
+    /// Logs a failure unless the previous attempt failed for the same reason, and ends the retries after the timeout.
     fn record_failure(&mut self, reason: String) {
         let previous = self.failure.take();
         if previous.as_ref().is_none_or(|previous| previous.reason != reason) {
@@ -76,7 +77,7 @@
         self.config.event_bus = new.event_bus;
     }
 
-    /// Logs each change that takes effect at the next start only.
+    /// Logs each change that takes effect only at the next start.
     fn log_unapplied(&self, new: &Config) {
         let current = &self.config;
         let changes = [
--- a/crates/server/src/server/signals.rs
+++ b/crates/server/src/server/signals.rs
@@ -1,7 +1,8 @@
 //! The signals that the program handles: SIGTERM and SIGINT stop it, SIGHUP reloads its configuration.
 //!
-//! A signal's handler sets a flag, then wakes a thread, which wakes the main thread. The flag alone counts. A lost wake-up,
-//! as when the handler's write is interrupted, delays the signal until the main thread looks at the flags by itself.
+//! A signal's handler sets a flag, then wakes a thread, which wakes the main thread. Only the flag says whether a signal
+//! is pending. If a wake-up is lost, for instance because the handler's write was interrupted, the main thread finds the
+//! flag at its next regular check.
 
 use crate::lifecycle::threads::{SMALL_STACK_BYTES, spawn_required};
 use crossbeam_channel::{Receiver, Sender, bounded};
@@ -13,7 +14,8 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::Duration;
 
-/// How often the main thread looks at the flags without a wake-up. A stop has a margin of 0.1 s before the kill.
+/// How often the main thread checks the flags without a wake-up. A graceful shutdown leaves a margin of only 0.1 s before
+/// the process may be killed.
 pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The flags of the signals, and the wake-ups of their handlers.
@@ -27,7 +29,7 @@
 pub(super) struct PendingSignals {
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
-    /// Holds a message after a signal, unless its wake-up was lost.
+    /// Receives a message after a signal, unless its wake-up was lost.
     pub(super) wakeups: Receiver<()>,
 }
 
@@ -46,7 +48,7 @@
         Ok(SignalHandlers { stop, reload, wakeups })
     }
 
-    /// Starts the thread that the handlers wake. It is not joined: it ends with the process.
+    /// Starts the thread that the handlers wake. It is not joined; it ends with the process.
     ///
     /// # Errors
     /// The system's error if it refuses the thread.
@@ -58,20 +60,21 @@
     }
 }
 
+/// Wakes the main thread for each signal.
 fn forward_wakeups(mut wakeups: Signals, main_thread: &Sender<()>) {
     for _ in wakeups.forever() {
-        // If the channel is full the main thread has yet to look at the flags.
+        // If the channel is full, the main thread has yet to check the flags.
         let _ = main_thread.try_send(());
     }
 }
 
 impl PendingSignals {
-    /// Whether the program was told to stop since this was last called.
+    /// Whether SIGTERM or SIGINT was received since the last call.
     pub(super) fn take_stop(&self) -> bool {
         self.stop.swap(false, SeqCst)
     }
 
-    /// Whether the configuration is to be reloaded, by a signal since this was last called.
+    /// Whether SIGHUP was received since the last call.
     pub(super) fn take_reload(&self) -> bool {
         self.reload.swap(false, SeqCst)
     }
--- a/crates/server/src/server/startup.rs
+++ b/crates/server/src/server/startup.rs
@@ -1,7 +1,7 @@
 //! Starts the parts of the service in the order in which they depend on each other.
 //!
-//! None of their threads is joined: each ends with the process, and the service ends once the clients' thread reports
-//! that all connections are closed.
+//! None of their threads is joined; each ends with the process. The service ends once the clients' thread reports that
+//! all client connections are closed.
 
 use super::ServerError;
 use crate::client::context::{ClientContext, ClientContextConfig};
@@ -26,7 +26,7 @@
 pub(super) struct Service {
     pub controller: Arc<ControllerHandle>,
     pub event_bus: Arc<EventBusFollower>,
-    /// The address on which clients connect.
+    /// The address to which clients connect.
     pub address: SocketAddr,
     /// Receives a message once all client connections have ended.
     pub clients_closed: Receiver<()>,
@@ -55,7 +55,7 @@
         Ok(Service { controller, event_bus, address, clients_closed, shutdown })
     }
 
-    /// Begins a graceful shutdown, unless one has begun.
+    /// Begins a graceful shutdown, unless one has already begun.
     pub fn begin_shutdown(&self, longest_client_timeout: TimeDelta) {
         if let Some(schedule) = self.shutdown.begin(longest_client_timeout) {
             self.controller.begin_shutdown(schedule.answered_by);
@@ -65,7 +65,7 @@
     }
 }
 
-/// Starts the thread of all engine connections.
+/// Starts the thread that handles all engine connections.
 fn start_engines(config: &Config, quotas: &ResourceQuotas) -> Result<Arc<EngineRegistry>, ServerError> {
     let descriptors = ResourceBudget::new(quotas.engine_connections);
     let settings = config.engine_connection_settings(quotas.connections_per_engine);
@@ -88,7 +88,7 @@
         .map_err(|source| ServerError::Listen { address, source })
 }
 
-/// Starts the thread of all client connections. The receiver gets a message when it ends.
+/// Starts the thread that handles all client connections. The receiver gets a message when the thread ends.
 fn start_clients(context: ClientContext, listener: TcpListener) -> Result<Receiver<()>, ServerError> {
     let event_loop = ClientEventLoop::new(context, listener).map_err(ServerError::cannot("listen"))?;
     let (closed, clients_closed) = bounded(1);
--- a/crates/server/src/telemetry/counters.rs
+++ b/crates/server/src/telemetry/counters.rs
@@ -10,19 +10,19 @@
     count: AtomicU64,
 }
 
-/// Jobs handed to the admission controller.
+/// Jobs submitted to the admission controller.
 pub static JOBS_ADMITTED: Counter = Counter::new("jobs_admitted");
 /// Jobs answered with their complete result.
 pub static JOBS_COMPLETED: Counter = Counter::new("jobs_completed");
 /// Jobs that the admission controller rejected.
 pub static JOBS_REJECTED: Counter = Counter::new("jobs_rejected");
-/// Jobs that the admission controller cancelled for good.
+/// Jobs that the admission controller cancelled permanently.
 pub static JOBS_CANCELLED: Counter = Counter::new("jobs_cancelled");
-/// Jobs whose client cancelled them, or disconnected, before their answer.
+/// Jobs whose client cancelled them, or disconnected, before they were answered.
 pub static JOBS_ABANDONED: Counter = Counter::new("jobs_abandoned");
 /// Jobs rejected because one of the program's own limits was reached.
 pub static LOCAL_LIMIT_REJECTIONS: Counter = Counter::new("local_limit_rejections");
-/// Requests that were decoded but are invalid.
+/// Requests that could be decoded but are invalid.
 pub static INVALID_REQUESTS: Counter = Counter::new("invalid_requests");
 /// Idle connections, of clients and to engines, that were closed to free their descriptors.
 pub static CONNECTIONS_EVICTED: Counter = Counter::new("connections_evicted");
@@ -65,7 +65,7 @@
     }
 }
 
-/// All counts in one line, as `name=count` pairs.
+/// All counts and the number of invariant violations in one line, as `name=count` pairs.
 pub fn line() -> String {
     let pairs: Vec<String> =
         ALL.iter().map(|counter| format!("{}={}", counter.name, counter.count.load(Relaxed))).collect();
