--- a/crates/server/src/discovery/backoff.rs
+++ b/crates/server/src/discovery/backoff.rs
@@ -7,7 +7,7 @@
 /// The linear congruential generator of Knuth's MMIX.
 const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 const LCG_INCREMENT: u64 = 1_442_695_040_888_963_407;
-/// The low bits of such a generator have short periods.
+/// The low bits are discarded, since their periods are short.
 const LCG_DISCARDED_BITS: u32 = 33;
 
 /// Exponential backoff with jitter, so that processes that lost the event bus at the same time reconnect at different
@@ -18,12 +18,12 @@
 }
 
 impl Backoff {
-    /// A backoff whose jitter follows from this seed.
+    /// Creates a backoff whose jitter is determined by this seed.
     pub(super) fn new(seed: u64) -> Backoff {
         Backoff { pause_ms: INITIAL_PAUSE_MS, random: seed | 1 }
     }
 
-    /// Starts over with the shortest pause.
+    /// Starts again with the shortest pause.
     pub(super) fn reset(&mut self) {
         self.pause_ms = INITIAL_PAUSE_MS;
     }
@@ -33,7 +33,7 @@
         self.pause_ms = (self.pause_ms * 2).min(MAX_PAUSE_MS);
     }
 
-    /// The present pause, with jitter: from half of it to one and a half.
+    /// The current pause with jitter, which makes it 0.5 to 1.5 times as long.
     #[must_use]
     pub(super) fn next_pause(&mut self) -> Duration {
         self.random = self.random.wrapping_mul(LCG_MULTIPLIER).wrapping_add(LCG_INCREMENT);
--- a/crates/server/src/discovery/connection.rs
+++ b/crates/server/src/discovery/connection.rs
@@ -8,15 +8,15 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// How long a connect may take, and a write on the new connection.
+/// How long connecting may take, and then the write of the subscription.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Makes connections to the event bus, and closes the current one when the address changes.
 pub(super) struct EventBusConnector {
     state: Mutex<ConnectorState>,
-    /// Holds a message after the address has changed.
-    moved: Sender<()>,
-    was_moved: Receiver<()>,
+    /// Sends a message when the address has changed.
+    address_changed: Sender<()>,
+    address_changes: Receiver<()>,
 }
 
 struct ConnectorState {
@@ -26,16 +26,17 @@
 }
 
 impl EventBusConnector {
-    /// A connector to this address, without a connection.
+    /// Creates a connector to this address, without a connection.
     pub(super) fn new(address: SocketAddr) -> EventBusConnector {
-        let (moved, was_moved) = bounded(1);
-        EventBusConnector { state: Mutex::new(ConnectorState { address, stream: None }), moved, was_moved }
+        let (address_changed, address_changes) = bounded(1);
+        let state = Mutex::new(ConnectorState { address, stream: None });
+        EventBusConnector { state, address_changed, address_changes }
     }
 
     /// Connects, and subscribes to the events after this one.
     ///
     /// # Errors
-    /// The system's error if the connection can't be made or written to, or an error if the address changed meanwhile.
+    /// The system's error if the connection can't be made or written to, or an error if the address changes meanwhile.
     pub(super) fn connect(&self, last_event: u64) -> io::Result<TcpStream> {
         let address = self.state().address;
         let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
@@ -43,7 +44,7 @@
         stream.write_all(event_bus::subscribe_request(last_event).as_bytes())?;
         let mut state = self.state();
         if state.address != address {
-            return Err(io::Error::other("the address has changed meanwhile"));
+            return Err(io::Error::other("the address changed while connecting"));
         }
         state.stream = Some(stream.try_clone()?);
         Ok(stream)
@@ -54,26 +55,27 @@
         self.state().stream = None;
     }
 
-    /// Sets the address, and shuts down the connection to the old one at once.
-    pub(super) fn move_to(&self, address: SocketAddr) {
+    /// Changes the address, and shuts down the connection to the old one at once.
+    pub(super) fn set_address(&self, address: SocketAddr) {
         let mut state = self.state();
         if state.address == address {
             return;
         }
         state.address = address;
         if let Some(stream) = state.stream.take() {
+            // The bus may have closed the connection already.
             let _ = stream.shutdown(Shutdown::Both);
         }
-        let _ = self.moved.try_send(());
+        // If the channel is full, the follower has yet to receive the message of an earlier change.
+        let _ = self.address_changed.try_send(());
     }
 
     /// Waits for this time, or until the address changes. Returns whether it has changed.
-    pub(super) fn wait_for_move(&self, pause: Duration) -> bool {
-        self.was_moved.recv_timeout(pause).is_ok()
+    pub(super) fn wait_for_address_change(&self, pause: Duration) -> bool {
+        self.address_changes.recv_timeout(pause).is_ok()
     }
 
     fn state(&self) -> MutexGuard<'_, ConnectorState> {
-        // A panic aborts the process, so a poisoned mutex needs no handling.
         lock(&self.state)
     }
 }
--- a/crates/server/src/discovery/disconnect.rs
+++ b/crates/server/src/discovery/disconnect.rs
@@ -9,35 +9,35 @@
     #[error("cannot connect: {0}")]
     CannotConnect(#[source] io::Error),
     /// The system refused to set a read timeout.
-    #[error("{0}")]
+    #[error("cannot set the read timeout: {0}")]
     CannotSetTimeout(#[source] io::Error),
     /// No bytes were received in time, or reading failed.
-    #[error("no line came in time: {0}")]
-    NoLine(#[source] io::Error),
+    #[error("no line received in time: {0}")]
+    ReadFailed(#[source] io::Error),
     /// The bus has closed the connection.
-    #[error("the connection ended")]
-    Closed,
+    #[error("closed by the event bus")]
+    ClosedByEventBus,
     /// A line exceeds the maximum length.
-    #[error("a line is longer than {max_bytes} bytes")]
+    #[error("line longer than {max_bytes} bytes")]
     LineTooLong {
-        /// The longest line that is read, in bytes.
+        /// The maximum length of a line, in bytes.
         max_bytes: usize,
     },
     /// A line was begun but not completed in time.
-    #[error("a line does not come to its end")]
-    LineUnfinished,
+    #[error("line not completed in time")]
+    LineTimeout,
     /// A heartbeat names an event that was not received.
-    #[error("event {last_event} is there but did not come")]
+    #[error("event {last_event} was sent but not received")]
     EventMissed {
         /// The number of the last event on the bus.
         last_event: u64,
     },
     /// Events between two others were not received.
-    #[error("event {event} came after {previous}")]
+    #[error("received event {event} after event {previous}")]
     Gap {
         /// The number of the event that was received.
         event: u64,
-        /// The number of the event before it.
+        /// The number of the event that was received before it.
         previous: u64,
     },
 }
--- a/crates/server/src/discovery/follower.rs
+++ b/crates/server/src/discovery/follower.rs
@@ -1,5 +1,5 @@
-//! Follows the event bus: connects, subscribes to the events after the last one that was read, and reads them. It
-//! reconnects after a gap, after the connection was silent or has ended, and when the address changes.
+//! Follows the event bus: connects, subscribes to the events after the last one that was read, and reads them. The
+//! follower reconnects after a gap, when the connection is silent or has ended, and when the address changes.
 
 use crate::codec::event_bus::{self, Event, Line};
 use crate::discovery::backoff::Backoff;
@@ -12,16 +12,17 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long to wait for a complete line: two heartbeats and some slack.
+/// How long to wait for a complete line: two heartbeat intervals and some slack.
 const LINE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// How long to wait for the first line of a new connection; a heartbeat is due each second. It is shorter than
-/// [`LINE_TIMEOUT`] so that a draining engine is known within 7 s, even if the bus falls silent, a connect fails and
-/// two new connections stay silent.
+/// How long to wait for the first line of a new connection; the bus sends a heartbeat each second. It is shorter than
+/// [`LINE_TIMEOUT`] so that a draining engine is detected within 7 s, even if the bus becomes silent, one attempt to
+/// connect fails and two new connections stay silent.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Receives the changes of the endpoint list.
 pub trait EndpointListener {
-    /// The endpoint list has changed; `last_complete` is when it was last known to be complete before the change.
+    /// The endpoint list has changed. `last_complete` is the last time before the change at which the list was known to
+    /// include all changes.
     fn endpoints_changed(&self, event: Event, last_complete: Option<Timestamp>);
     /// The connection to the event bus was lost.
     fn connection_lost(&self);
@@ -39,23 +40,23 @@
     event: u64,
     /// The event before the most recent gap.
     gap_after: Option<u64>,
-    /// When the list was last known to be complete.
+    /// The last time at which the endpoint list was known to include all changes.
     complete_at: Option<Timestamp>,
 }
 
 impl EventBusFollower {
-    /// A follower of the bus at this address that reads lines of up to `max_line_bytes`.
+    /// Creates a follower of the bus at this address, which reads lines of up to `max_line_bytes`.
     pub fn new(address: SocketAddr, max_line_bytes: usize) -> EventBusFollower {
         EventBusFollower { connector: EventBusConnector::new(address), max_line_bytes }
     }
 
     /// Changes the address, with immediate effect even while the follower reads, connects or pauses.
-    pub fn move_to(&self, address: SocketAddr) {
-        self.connector.move_to(address);
+    pub fn set_address(&self, address: SocketAddr) {
+        self.connector.set_address(address);
     }
 
-    /// Follows the bus from the event after `last_event`, and never returns. `seed` determines the jitter of the
-    /// pauses.
+    /// Follows the bus from the event after `last_event`, and never returns. `seed` determines the jitter of the pauses
+    /// between connections.
     pub fn follow(&self, listener: &impl EndpointListener, last_event: u64, seed: u64) {
         let mut position = ReadPosition { event: last_event, gap_after: None, complete_at: None };
         let mut backoff = Backoff::new(seed);
@@ -65,19 +66,19 @@
             self.connector.disconnected();
             tracing::info!(reason = %reason, last_event = position.event, "event bus connection lost");
             listener.connection_lost();
-            let served = position.event > event_before || begun.elapsed() > LINE_TIMEOUT;
-            if served {
+            let was_useful = position.event > event_before || begun.elapsed() > LINE_TIMEOUT;
+            if was_useful {
                 backoff.reset();
             } else {
                 backoff.increase();
             }
-            if self.connector.wait_for_move(backoff.next_pause()) {
+            if self.connector.wait_for_address_change(backoff.next_pause()) {
                 backoff.reset();
             }
         }
     }
 
-    /// Makes a connection and reads it until it has to be closed; returns why.
+    /// Makes a connection and reads it until it has to be closed. Returns the reason.
     fn follow_connection(
         &self,
         listener: &impl EndpointListener,
@@ -108,7 +109,7 @@
 }
 
 impl ReadPosition {
-    /// Handles one line. A malformed one is counted and ignored: if it was an event, the next line shows the gap.
+    /// Handles one line. A malformed one is counted and ignored; if it was an event, the next line reveals the gap.
     ///
     /// # Errors
     /// If the line shows that an event was missed.
@@ -132,7 +133,7 @@
         Ok(())
     }
 
-    /// Passes on a new event, and ignores one that was received before.
+    /// Passes a new event to the listener, and ignores one that was received before.
     fn handle_event(
         &mut self,
         event: Event,
@@ -153,9 +154,9 @@
         Ok(())
     }
 
-    /// Records a gap after the last event; returns whether it is seen for the first time. If the gap is still there
-    /// after reconnecting, the bus no longer has the missing events, so they are skipped instead of reconnecting
-    /// forever.
+    /// Records a gap after the last event, and returns whether the gap is new. If the same gap is found again after
+    /// reconnecting, the bus no longer has the missing events. They are then skipped, since the follower would
+    /// otherwise reconnect forever.
     fn is_new_gap(&mut self) -> bool {
         self.gap_after.replace(self.event) != Some(self.event)
     }
--- a/crates/server/src/discovery/line_reader.rs
+++ b/crates/server/src/discovery/line_reader.rs
@@ -1,4 +1,4 @@
-//! Reads lines of a connection, each within a time limit.
+//! Reads lines from a connection, each within a time limit.
 
 use crate::discovery::disconnect::DisconnectReason;
 use std::borrow::Cow;
@@ -6,10 +6,10 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// The minimum read timeout, since the system rejects a timeout of zero.
+/// The minimum read timeout, since a timeout of zero is rejected.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// Reads the lines of one connection.
+/// Reads the lines of one connection to the event bus.
 pub(super) struct LineReader {
     stream: BufReader<TcpStream>,
     line: Vec<u8>,
@@ -17,7 +17,7 @@
 }
 
 impl LineReader {
-    /// Reads lines of up to `max_bytes`.
+    /// Creates a reader of lines of up to `max_bytes`.
     pub(super) fn new(stream: TcpStream, max_bytes: usize) -> LineReader {
         LineReader { stream: BufReader::new(stream), line: Vec::new(), max_bytes }
     }
@@ -34,17 +34,17 @@
                 return Err(DisconnectReason::LineTooLong { max_bytes: self.max_bytes });
             }
             if Instant::now() >= due {
-                return Err(DisconnectReason::LineUnfinished);
+                return Err(DisconnectReason::LineTimeout);
             }
         }
         Ok(String::from_utf8_lossy(&self.line))
     }
 
-    /// Reads the available part of the line; returns whether the line is complete.
+    /// Waits for bytes of the line until `due` and reads them. Returns whether the line is complete.
     fn read_part(&mut self, due: Instant) -> Result<bool, DisconnectReason> {
         let bytes = fill_buffer(&mut self.stream, due)?;
         if bytes.is_empty() {
-            return Err(DisconnectReason::Closed);
+            return Err(DisconnectReason::ClosedByEventBus);
         }
         let line_end = bytes.iter().position(|byte| *byte == b'\n');
         let count = line_end.map_or(bytes.len(), |position| position + 1);
@@ -54,16 +54,16 @@
     }
 }
 
-/// Returns received bytes that are not consumed yet; waits for some until `due`.
+/// Returns the received bytes that are not consumed yet. If there are none, waits for some until `due`.
 fn fill_buffer(stream: &mut BufReader<TcpStream>, due: Instant) -> Result<&[u8], DisconnectReason> {
     loop {
         let left = due.saturating_duration_since(Instant::now()).max(MIN_READ_TIMEOUT);
         stream.get_ref().set_read_timeout(Some(left)).map_err(DisconnectReason::CannotSetTimeout)?;
         match stream.fill_buf() {
             Ok(_) => break,
-            // The process was stopped and continued.
+            // A signal has interrupted the call, for instance because the process was stopped and continued.
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) => return Err(DisconnectReason::NoLine(e)),
+            Err(e) => return Err(DisconnectReason::ReadFailed(e)),
         }
     }
     Ok(stream.buffer())
--- a/crates/server/src/discovery/mod.rs
+++ b/crates/server/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Following the endpoint list on the event bus.
+//! Follows the endpoint list on the event bus, and converts the start times of engines.
 
 mod backoff;
 mod connection;
--- a/crates/server/src/discovery/start_time_converter.rs
+++ b/crates/server/src/discovery/start_time_converter.rs
@@ -1,22 +1,28 @@
 //! Converts the start times of engines, which the event bus reports in wall-clock time, to the program's monotonic
-//! clock. A wall clock may be stepped at any time, on this machine or the one that reports the start, so a start time
-//! is converted with the offset between both clocks that was in effect when it was taken.
+//! clock.
+//!
+//! A wall clock may be stepped at any time, on this machine or on the one that reports the start. A start time is
+//! therefore converted with the offset between both clocks that was in effect when it was taken.
 
 use crate::codec::event_bus::UnixTime;
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
 use std::time::SystemTime;
 
-/// A change of the wall clock against the monotonic clock by more than this is a step; less is its ordinary drift.
+/// If the wall clock has changed against the monotonic clock by more than this (50 ms) between two records, it was
+/// stepped; a smaller change is ordinary drift.
 const MAX_DRIFT: TimeDelta = TimeDelta(50_000);
-/// The number of offsets that are retained, one for each step; the oldest is dropped first.
+/// The maximum number of offsets that are retained, one for each step. The oldest is dropped first.
 const MAX_OFFSETS: usize = 16;
-/// How far in the future a timestamp may be: it is in whole milliseconds, and from another machine's clock.
-const MAX_AHEAD: TimeDelta = TimeDelta(100_000);
-/// The maximum delay between a start and its report in the list: 7 s by the protocol, plus the time until it is listed.
+/// How far in the future a start time may seem to be (0.1 s): it is in whole milliseconds, and from another machine's
+/// clock.
+const MAX_FUTURE_START: TimeDelta = TimeDelta(100_000);
+/// The maximum delay between a start and its report in the list (10 s): 7 s by the protocol, plus the time until the
+/// engine is listed.
 const MAX_LISTING_DELAY: TimeDelta = TimeDelta(10_000_000);
 
-/// The offsets that the wall clock has had from the monotonic clock since the program's start.
+/// Converts start times with the offsets that the wall clock has had from the monotonic clock since the program's
+/// start.
 #[derive(Default)]
 pub struct StartTimeConverter {
     /// Wall-clock time minus monotonic time, in order of time; the current offset is the last.
@@ -30,7 +36,7 @@
         UnixTime(unix.as_micros() as i64)
     }
 
-    /// Records the readings of both clocks at the same moment.
+    /// Records readings of the monotonic clock and the wall clock that were taken at the same moment.
     pub fn record_clocks(&mut self, now: Timestamp, wall: UnixTime) {
         let offset = TimeDelta(wall.0.saturating_sub(now.0));
         match self.offsets.back_mut() {
@@ -47,15 +53,20 @@
         }
     }
 
-    /// When an engine started whose start the list reports `now`; `last_complete` is when the list was last complete
-    /// without this start.
+    /// The start time, on the monotonic clock, of an engine whose start the list reports `now` as `wall_start`.
+    /// `last_complete` is the last time at which the list was complete without this start.
     ///
-    /// Of the times that the retained offsets give, the latest that is not in the future is used: an engine whose age
-    /// is underestimated gets less load than it could take, while an overestimate would overload it. The time can't be
-    /// long before `last_complete` either. If no offset gives a plausible time, the engine counts as started now.
-    pub fn start_time(&self, stamp: UnixTime, now: Timestamp, last_complete: Option<Timestamp>) -> Timestamp {
-        let candidates = self.offsets.iter().map(|offset| Timestamp(stamp.0.saturating_sub(offset.0)));
-        let latest = candidates.filter(|candidate| *candidate <= now + MAX_AHEAD).max();
+    /// Each retained offset gives a candidate. The latest one that is not in the future is used: an engine whose age is
+    /// underestimated gets less load than it could handle, while an overestimate would overload it. The candidate can't
+    /// be long before `last_complete` either. If no candidate is plausible, the engine counts as started now.
+    pub fn start_time(
+        &self,
+        wall_start: UnixTime,
+        now: Timestamp,
+        last_complete: Option<Timestamp>,
+    ) -> Timestamp {
+        let candidates = self.offsets.iter().map(|offset| Timestamp(wall_start.0.saturating_sub(offset.0)));
+        let latest = candidates.filter(|candidate| *candidate <= now + MAX_FUTURE_START).max();
         let earliest = last_complete.map_or(Timestamp(i64::MIN), |complete| complete - MAX_LISTING_DELAY);
         latest.filter(|candidate| *candidate >= earliest).unwrap_or(now)
     }
--- a/crates/server/src/server/reload.rs
+++ b/crates/server/src/server/reload.rs
@@ -1,8 +1,8 @@
 //! Reloading the configuration while the program runs.
 //!
 //! A new address of the event bus takes effect at once, other changes at the next start. The initial endpoint list is
-//! ignored, since the event numbers continue. If the file is invalid, it may still be being written, so it is read again
-//! for a while.
+//! ignored, since the event numbers continue. If the file is invalid, it may still be being written, so it is read
+//! again for a while.
 
 use super::environment_variable;
 use crate::config::Config;
@@ -41,8 +41,8 @@
         self.read();
     }
 
-    /// Reads the configuration again if a failed reload is being retried. Without a reload request nothing is read, since
-    /// the file may be in the middle of an edit.
+    /// Reads the configuration again if a failed reload is being retried. Without a reload request nothing is read,
+    /// since the file may be in the middle of an edit.
     pub fn retry(&mut self) {
         if self.failure.is_some() {
             self.read();
@@ -73,7 +73,7 @@
     fn apply(&mut self, new: &Config) {
         self.log_unapplied(new);
         tracing::info!(event_bus = %new.event_bus, "configuration reloaded");
-        self.event_bus.move_to(new.event_bus);
+        self.event_bus.set_address(new.event_bus);
         self.config.event_bus = new.event_bus;
     }
 
--- a/crates/server/src/server/signals.rs
+++ b/crates/server/src/server/signals.rs
@@ -1,8 +1,8 @@
 //! The signals that the program handles: SIGTERM and SIGINT stop it, SIGHUP reloads its configuration.
 //!
-//! A signal's handler sets a flag, then wakes a thread, which wakes the main thread. Only the flag says whether a signal
-//! is pending. If a wake-up is lost, for instance because the handler's write was interrupted, the main thread finds the
-//! flag at its next regular check.
+//! A signal's handler sets a flag, then wakes a thread, which wakes the main thread. Only the flag says whether a
+//! signal is pending. If a wake-up is lost, for instance because the handler's write was interrupted, the main thread
+//! finds the flag at its next regular check.
 
 use crate::lifecycle::threads::{SMALL_STACK_BYTES, spawn_required};
 use crossbeam_channel::{Receiver, Sender, bounded};
@@ -14,8 +14,8 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::Duration;
 
-/// How often the main thread checks the flags without a wake-up. A graceful shutdown leaves a margin of only 0.1 s before
-/// the process may be killed.
+/// How often the main thread checks the flags without a wake-up. A graceful shutdown leaves a margin of only 0.1 s
+/// before the process may be killed.
 pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The flags of the signals, and the wake-ups of their handlers.
