--- a/crates/server/src/config/error.rs
+++ b/crates/server/src/config/error.rs
@@ -7,8 +7,8 @@
 /// A configuration that can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no configuration file.
-    #[error("{ENV_CONFIG_PATH} is not set, the path of a file is wanted")]
+    /// The environment variable with the path of the configuration file is not set.
+    #[error("{ENV_CONFIG_PATH} is not set; it must be the path of the configuration file")]
     PathMissing,
     /// The configuration file can't be read.
     #[error("{ENV_CONFIG_PATH}: cannot read {path}: {source}")]
@@ -31,13 +31,13 @@
         origin: &'static str,
         /// The name of the field.
         field: &'static str,
-        /// Its value.
+        /// The malformed address.
         found: String,
     },
-    /// An event that is known at the start is malformed.
+    /// One of the initial events is malformed.
     #[error("configuration: field {INITIAL_EVENTS}: {0}")]
     InitialEvents(#[source] FieldError),
-    /// The settings name no job class.
+    /// The settings contain no job class with a name, or none with a latency objective.
     #[error("settings: field {CLASSES} is missing or empty, reservation types are wanted")]
     NoClasses,
 }
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! The configuration of the process, checked before anything starts.
 //!
-//! It is read from a JSON file whose path is in the environment. It contains the controller's settings, of which the
-//! server reads a few itself.
+//! It is read from a JSON file whose path is in the environment. It contains the controller's settings, some of which
+//! the server reads itself.
 
 pub mod engine_connection_settings;
 mod error;
@@ -27,21 +27,22 @@
 };
 use std::net::SocketAddr;
 
-/// The name of the environment in errors.
+/// What errors call the environment.
 const ENVIRONMENT: &str = "environment";
-/// The name of the configuration file's object in errors.
+/// What errors call the outermost object of the configuration file.
 const CONFIGURATION: &str = "configuration";
-/// With fewer descriptors, none would be left for engines.
+/// The minimum of the descriptor limit. With fewer descriptors, none would be left for engines.
 const MIN_SOCKETS: usize = 100;
-/// With less memory, none would be left for jobs.
+/// The minimum of the memory limit. With less memory, none would be left for jobs.
 const MIN_MEMORY_MB: usize = 24;
+/// The seed is written in hexadecimal digits.
 const SEED_RADIX: u32 = 16;
 
 /// The configuration of the process.
 pub struct Config {
-    /// The name of this process, for the log.
+    /// The name of this process in the log.
     pub name: String,
-    /// The address to listen on for clients.
+    /// The address on which to listen for clients.
     pub listen: SocketAddr,
     /// The seed of the controller's random numbers.
     pub seed: u64,
@@ -49,7 +50,7 @@
     pub limits: Limits,
     /// The address of the event bus.
     pub event_bus: SocketAddr,
-    /// The number of the last event in `initial_events`.
+    /// The number of the last event that `initial_events` includes.
     pub last_event: u64,
     /// The events of the event bus that are known at the start.
     pub initial_events: Vec<Event>,
@@ -69,8 +70,8 @@
             Some(address) => parse_address(ENVIRONMENT, ENV_LISTEN, &address)?,
             None => parse_address(CONFIGURATION, LISTEN, fields.text(LISTEN)?)?,
         };
-        let known = fields.object(INITIAL_EVENTS)?;
-        let initial_events = read_initial_events(known)?;
+        let initial = fields.object(INITIAL_EVENTS)?;
+        let initial_events = read_initial_events(initial)?;
         let limits = fields.object(LIMITS)?;
         let settings = read_settings(fields)?;
         let seed = fields.text(SEED)?;
@@ -87,19 +88,19 @@
                 memory_mb: at_least(limits, LIMITS_MEMORY_MB, MIN_MEMORY_MB)?,
             },
             event_bus: parse_address(CONFIGURATION, EVENT_BUS, fields.text(EVENT_BUS)?)?,
-            last_event: known.whole(INITIAL_EVENTS_LAST)?,
+            last_event: initial.whole(INITIAL_EVENTS_LAST)?,
             initial_events,
             settings,
         })
     }
 
-    /// The names of the job classes, in their order.
+    /// The names of the job classes, in the order of the settings.
     pub fn class_names(&self) -> Vec<String> {
         let positions = self.class_positions();
         positions.map(|position| self.settings.text(&class_field(position, CLASS_NAME)).to_string()).collect()
     }
 
-    /// Whether the jobs of each class may be retried, in the order of the classes.
+    /// Whether the jobs of each class may be retried, in the order of the settings.
     pub fn retry_semantics(&self) -> Vec<RetrySemantics> {
         let positions = self.class_positions();
         positions.map(|position| RetrySemantics::read(&self.settings, position)).collect()
@@ -113,7 +114,7 @@
         TimeDelta::from_millis_f64(timeouts_ms.fold(0.0, f64::max))
     }
 
-    /// How connections to engines are made and kept; `max_connections` is the limit for one engine.
+    /// The settings of connections to engines; `max_connections` is the limit for a single engine.
     pub fn engine_connection_settings(&self, max_connections: usize) -> EngineConnectionSettings {
         EngineConnectionSettings::read(&self.settings, max_connections)
     }
@@ -144,9 +145,9 @@
     address.parse().map_err(malformed)
 }
 
-/// Reads the events that are known at the start, of which no entry may be malformed.
-fn read_initial_events(known: Fields) -> Result<Vec<Event>, ConfigError> {
-    let events = known.list(INITIAL_EVENTS_LIST)?.iter().map(event_bus::decode_event);
+/// Reads the initial events. Unlike those of the event bus, they may contain no malformed entry.
+fn read_initial_events(initial: Fields) -> Result<Vec<Event>, ConfigError> {
+    let events = initial.list(INITIAL_EVENTS_LIST)?.iter().map(event_bus::decode_event);
     let events: Vec<Event> = events.collect::<Result<_, FieldError>>().map_err(ConfigError::InitialEvents)?;
     match events.iter().flat_map(|event| &event.malformed).next() {
         Some(error) => Err(ConfigError::InitialEvents(error.clone())),
@@ -161,7 +162,7 @@
     if has_classes && has_objectives { Ok(settings) } else { Err(ConfigError::NoClasses) }
 }
 
-fn at_least(limits: Fields, field: &str, least: usize) -> Result<usize, FieldError> {
+fn at_least(limits: Fields, field: &str, minimum: usize) -> Result<usize, FieldError> {
     let value = limits.whole(field)? as usize;
-    if value >= least { Ok(value) } else { Err(limits.error(field, Wanted::AtLeast(least))) }
+    if value >= minimum { Ok(value) } else { Err(limits.error(field, Wanted::AtLeast(minimum))) }
 }
--- a/crates/server/src/config/retry_semantics.rs
+++ b/crates/server/src/config/retry_semantics.rs
@@ -1,4 +1,4 @@
-//! Whether the jobs of a class may be retried once they may have run.
+//! Whether a job that may already have run may be retried, which depends on its class.
 
 use crate::config::setting_names::{
     CLASS_IDEMPOTENCY_SCOPE, CLASS_IDEMPOTENCY_WINDOW, CLASS_SEMANTICS, CLASSES, IDEMPOTENCY_SCOPE_ALL,
@@ -7,12 +7,12 @@
 use pebblevane::settings::Settings;
 use pebblevane::time::TimeDelta;
 
-/// Whether the jobs of a class may be retried once they may have run.
+/// Whether the jobs of a class may be retried after they may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetrySemantics {
     /// A retry is harmless at any time.
     Restartable,
-    /// A retry is harmless as long as engines remember the idempotency key of the first run.
+    /// A retry is harmless while the engines remember the idempotency key of the first run.
     IdempotencyKey {
         /// How long engines remember the key, counted from the first run.
         window: TimeDelta,
