--- a/crates/server/src/codec/client.rs
+++ b/crates/server/src/codec/client.rs
@@ -29,7 +29,7 @@
 const FIELD_ESTIMATED_COST_MS: &str = "h";
 const FIELD_MEMORY_MB: &str = "mem";
 const FIELD_IS_RETRY: &str = "r";
-/// The value of a field that is a flag, where the flag is set.
+/// The value of a flag field if the flag is set.
 const FLAG_SET: &str = "1";
 
 const ERROR_REJECTED: &str = "Busy";
@@ -37,22 +37,22 @@
 const DETAIL_RETRY_AFTER_MS: &str = "w";
 const DETAIL_REASON: &str = "why";
 
-/// The number by which a client matches a reply to its request, unique among the open requests of a connection.
+/// The number by which a client matches a reply to its request. It is unique among the open requests of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestId(pub u32);
 
 /// A message of a client.
 #[derive(Debug, PartialEq)]
 pub enum Message {
-    /// A job is to be run.
+    /// A request to run a job.
     Submit(ClientRequest),
-    /// The client no longer waits for these requests.
+    /// The client is no longer waiting for the answers to these requests.
     Cancel(Vec<RequestId>),
     /// The client asks whether the process accepts jobs.
     HealthCheck(RequestId),
-    /// A request that was decoded but is invalid.
+    /// A request that could be decoded but is invalid.
     Invalid {
-        /// The request to be answered.
+        /// The id of the request, for the answer.
         request_id: RequestId,
         /// What is wrong with it.
         reason: InvalidRequest,
@@ -62,7 +62,7 @@
 }
 
 impl Message {
-    /// The id of the request that this message begins, if it is a request.
+    /// The id of the request, if this message is one.
     pub fn request_id(&self) -> Option<RequestId> {
         match self {
             Message::Submit(request) => Some(request.request_id),
@@ -72,43 +72,43 @@
     }
 }
 
-/// A job as the client describes it.
+/// A job, as described by its client.
 #[derive(Debug, PartialEq)]
 pub struct ClientRequest {
     /// The id of the request on its connection.
     pub request_id: RequestId,
-    /// The client's own id of the job, 16 hexadecimal digits; passed on to engines unchanged.
+    /// The client's own id of the job, 16 hexadecimal digits. It is passed to engines unchanged.
     pub job_id: Box<str>,
     /// The position of the job class in the settings.
     pub class: usize,
-    /// How long the client waits for its answer.
+    /// How long the client waits for the answer.
     pub client_timeout: TimeDelta,
-    /// The client has submitted this job before.
+    /// Whether the client has submitted this job before.
     pub is_retry: bool,
     /// The client's estimate of the run time.
     pub estimated_cost: Option<TimeDelta>,
-    /// The client's estimate of the memory needed, in megabytes.
+    /// The client's estimate of the memory that the job needs, in megabytes.
     pub memory_mb: Option<f64>,
     /// The text of the query.
     pub statement: Box<[u8]>,
 }
 
-/// Why received bytes are not a message of this protocol. The connection is closed.
+/// Why received bytes violate the client protocol. The connection is then closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
-    /// A value that exceeds its limit, or has a type that the protocol does not use.
+    /// A value exceeds the size limit of its type, or has a type that the protocol does not use.
     #[error("a value is too long or of an unsupported type")]
     UnsupportedValue,
     /// The outermost value is not a list of three or four entries.
     #[error("neither a request nor a notification")]
     NotAMessage,
-    /// The message has too many bytes or values.
+    /// The message exceeds the limit on bytes or on values.
     #[error("message too long")]
     MessageTooLong,
-    /// Lists and maps are nested too deeply.
+    /// Lists and maps are nested more deeply than the limit.
     #[error("message nested too deeply")]
     NestedTooDeep,
-    /// The message is complete but neither a request nor a notification.
+    /// The message is complete, but is neither a valid request nor a valid notification.
     #[error("unknown message type")]
     UnknownMessageType,
     /// The id of a request equals that of an open request of the same connection.
@@ -137,7 +137,8 @@
     /// The statement is missing.
     #[error("the body is missing or odd")]
     MalformedStatement,
-    /// Engines identify jobs by the client's id, so no two open jobs may share one.
+    /// The id of the job is that of an open job. Engines identify jobs by the clients' ids, so open jobs may not share
+    /// one.
     #[error("field {FIELD_JOB_ID} is that of an open request")]
     DuplicateJobId,
 }
@@ -145,7 +146,7 @@
 /// Why a job has no result. The text is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FailureReason {
-    /// The admission controller has cancelled the job for good.
+    /// The admission controller has cancelled the job permanently.
     #[error("cancelled")]
     Cancelled,
     /// The request is invalid.
@@ -162,12 +163,12 @@
     },
     /// The job was not run and may be submitted again.
     Rejected {
-        /// When to submit it again; zero lets the client decide.
+        /// How long to wait before submitting it again; with zero, the client decides.
         retry_after: TimeDelta,
     },
-    /// The job has failed for good.
+    /// The job has failed permanently.
     Failed {
-        /// Why.
+        /// Why the job has failed.
         reason: FailureReason,
     },
     /// The answer to a health check: whether the process accepts jobs.
@@ -175,7 +176,7 @@
 }
 
 impl Reply<'_> {
-    /// The kind of reply as it appears in the log.
+    /// The name of the kind of reply in the log.
     pub fn kind(&self) -> &'static str {
         match self {
             Reply::Completed { .. } => "done",
--- a/crates/server/src/codec/client/decode.rs
+++ b/crates/server/src/codec/client/decode.rs
@@ -9,14 +9,15 @@
 use rmp::{Marker, decode};
 
 const JOB_ID_BYTES: usize = 16;
+/// Client timeouts are less than this (one day).
 const MAX_CLIENT_TIMEOUT_MS: f64 = 86_400_000.0;
-/// Numbers in fields are below this.
+/// Numbers in fields are less than this.
 const NUMBER_LIMIT: f64 = 1e12;
-/// The fields and the statement.
+/// The parameters of a job: the map of fields, and the statement. Further ones are ignored.
 const MIN_PARAMETERS: u32 = 2;
 
-/// Decodes a complete message, or returns `None` if it is neither a request nor a notification. `class_names` are
-/// the names of the job classes, in the order of the settings.
+/// Decodes a complete message, or returns `None` if it is neither a valid request nor a valid notification.
+/// `class_names` are the names of the job classes, in the order of the settings.
 pub fn decode(mut bytes: &[u8], class_names: &[String]) -> Option<Message> {
     let rest = &mut bytes;
     let parts = decode::read_array_len(rest).ok()?;
@@ -28,7 +29,7 @@
     }
 }
 
-/// Whether any of these messages cancels the request. The last of them may be incomplete.
+/// Whether any of the messages in `bytes` cancels the request. The last message may be incomplete and is then ignored.
 pub fn contains_cancellation(mut bytes: &[u8], request_id: RequestId) -> bool {
     while let Frame::Complete(length) = frame(bytes) {
         let message = decode(&bytes[..length], &[]);
@@ -89,7 +90,7 @@
     })
 }
 
-/// The fields of a job, as far as they are present and in range.
+/// The fields of a job; `None` for those that are missing or out of range.
 #[derive(Default)]
 struct JobFields {
     job_id: Option<Box<str>>,
@@ -136,7 +137,7 @@
     value.len() == JOB_ID_BYTES && value.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// A number that is not negative and below the limit.
+/// Parses a number from 0 up to the limit, which is excluded.
 fn parse_number(field: &str, value: &str) -> Result<f64, InvalidRequest> {
     let number = value.parse().ok().filter(|number| (0.0..NUMBER_LIMIT).contains(number));
     number.ok_or_else(|| malformed(field))
@@ -148,7 +149,7 @@
     Some(text)
 }
 
-/// The statement, which may be sent as bytes or as text.
+/// Reads the statement, which may be sent as bytes or as text.
 fn read_statement<'a>(rest: &mut &'a [u8]) -> Option<&'a [u8]> {
     let marker = rest.first().map(|first| Marker::from_u8(*first))?;
     let length = match marker {
--- a/crates/server/src/codec/client/encode.rs
+++ b/crates/server/src/codec/client/encode.rs
@@ -10,7 +10,7 @@
 
 type WriteResult = Result<(), Box<dyn Error>>;
 
-/// An upper bound of the bytes of a reply other than the rows of its result.
+/// An upper bound on the bytes of a reply in addition to the rows of its result.
 const RESULT_OVERHEAD_BYTES: usize = 32;
 /// The usual size of a reply without rows.
 const USUAL_REPLY_BYTES: usize = 64;
@@ -49,7 +49,7 @@
     }
 }
 
-/// A further field of a reply.
+/// The entry in the map of details at the end of an error or result.
 struct Detail {
     name: &'static str,
     value: String,
@@ -60,14 +60,14 @@
     (retry_after.0 > 0).then_some(Detail { name: DETAIL_RETRY_AFTER_MS, value })
 }
 
-/// No error, and the beginning of a result of two entries.
+/// Writes that there is no error, and the beginning of a result with two entries: its value and its details.
 fn write_success_header(to: &mut Vec<u8>) -> WriteResult {
     encode::write_nil(to)?;
     encode::write_array_len(to, 2)?;
     Ok(())
 }
 
-/// An error of two entries, its name and its details, and no result.
+/// Writes an error with two entries, its name and its details, and that there is no result.
 fn write_error(to: &mut Vec<u8>, name: &str, detail: Option<Detail>) -> WriteResult {
     encode::write_array_len(to, 2)?;
     encode::write_str(to, name)?;
--- a/crates/server/src/codec/client/frame.rs
+++ b/crates/server/src/codec/client/frame.rs
@@ -1,23 +1,27 @@
-//! Finds the end of a message, and enforces the limits on its size before anything of it is decoded.
+//! Finds the end of a message, and enforces the limits on its size before any of it is decoded.
 
 use super::ProtocolError;
 use rmp::Marker;
 
-/// The longest message, in bytes.
+/// The maximum length of a message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
-const MAX_NESTING: usize = 6;
-const MAX_TEXT_BYTES: usize = 4096;
+/// The maximum number of levels of nesting, including that of the message itself.
+const MAX_NESTING_LEVELS: usize = 6;
+/// The maximum length of a string, in bytes.
+const MAX_STRING_BYTES: usize = 4096;
+/// The maximum number of entries in a list or a map.
 const MAX_ENTRIES: usize = 64;
+/// The maximum number of values in a message, including lists, maps and the keys of maps.
 const MAX_VALUES: usize = 512;
 
-/// What a sequence of bytes begins with.
+/// What is found at the beginning of the received bytes.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
     /// A complete message of this many bytes.
     Complete(usize),
     /// The beginning of a message.
     Incomplete,
-    /// Bytes that are not a message of this protocol.
+    /// Bytes that violate the protocol.
     Invalid(ProtocolError),
 }
 
@@ -30,7 +34,7 @@
     }
 }
 
-/// The length of the first message in bytes, or `None` if its end is missing.
+/// The length of the first message in bytes, or `None` if the message is incomplete.
 fn scan(bytes: &[u8]) -> Result<Option<usize>, ProtocolError> {
     let mut nesting = Nesting::default();
     let (mut position, mut values) = (0, 0);
@@ -54,21 +58,21 @@
 
 /// The number of values still expected at each level of nesting.
 struct Nesting {
-    expected: [usize; MAX_NESTING],
+    expected: [usize; MAX_NESTING_LEVELS],
     depth: usize,
 }
 
 impl Default for Nesting {
     /// Expects one value, the message.
     fn default() -> Nesting {
-        let mut expected = [0; MAX_NESTING];
+        let mut expected = [0; MAX_NESTING_LEVELS];
         expected[0] = 1;
         Nesting { expected, depth: 0 }
     }
 }
 
 impl Nesting {
-    /// Leaves complete levels, and returns false if all are complete.
+    /// Leaves the levels that are complete, and returns false if all of them are.
     fn expects_value(&mut self) -> bool {
         while self.expected[self.depth] == 0 {
             if self.depth == 0 {
@@ -79,14 +83,14 @@
         true
     }
 
-    /// Counts a value, and enters it if it has entries of its own.
+    /// Counts a value, and enters a new level if the value has entries of its own.
     fn add_value(&mut self, entries: usize) -> Result<(), ProtocolError> {
         self.expected[self.depth] -= 1;
         if entries == 0 {
             return Ok(());
         }
         self.depth += 1;
-        if self.depth == MAX_NESTING {
+        if self.depth == MAX_NESTING_LEVELS {
             return Err(ProtocolError::NestedTooDeep);
         }
         self.expected[self.depth] = entries;
@@ -97,9 +101,9 @@
 /// The first bytes of a value, which encode its type and size.
 struct ValueHeader {
     marker: Marker,
-    /// Bytes of the value, without its entries.
+    /// The length of the value in bytes, without its entries.
     length: usize,
-    /// Values that belong to it, if it is a list or a map.
+    /// The number of values that it contains; 0 if it is not a list or map.
     entries: usize,
 }
 
@@ -123,7 +127,7 @@
     }
 }
 
-/// The bytes after the marker that encode the length of a string, or the number of entries of a list or map.
+/// The number of bytes after the marker that encode the length of a string, or the number of entries of a list or map.
 fn size_field_bytes(marker: Marker) -> usize {
     match marker {
         Marker::Str8 | Marker::Bin8 => 1,
@@ -133,7 +137,8 @@
     }
 }
 
-/// The number of values in a list or map; a map's keys are values, too. `None` for other types and above the limit.
+/// The number of values in a list or map, where the keys of a map are values, too. `None` for other types and above the
+/// limit.
 fn entries(marker: Marker, size: usize) -> Option<usize> {
     match marker {
         Marker::FixArray(count) => Some(usize::from(count)),
@@ -144,7 +149,7 @@
     }
 }
 
-/// The bytes after the header of a scalar value. `None` for other types and above the limit.
+/// The number of bytes after the header of a scalar value. `None` for other types and above the limit.
 fn payload_bytes(marker: Marker, size: usize) -> Option<usize> {
     match marker {
         Marker::FixPos(_) | Marker::FixNeg(_) | Marker::Null | Marker::True | Marker::False => Some(0),
@@ -153,7 +158,7 @@
         Marker::U32 | Marker::I32 | Marker::F32 => Some(4),
         Marker::U64 | Marker::I64 | Marker::F64 => Some(8),
         Marker::FixStr(length) => Some(usize::from(length)),
-        Marker::Str8 | Marker::Str16 | Marker::Str32 if size <= MAX_TEXT_BYTES => Some(size),
+        Marker::Str8 | Marker::Str16 | Marker::Str32 if size <= MAX_STRING_BYTES => Some(size),
         Marker::Bin8 | Marker::Bin16 | Marker::Bin32 if size <= MAX_MESSAGE_BYTES => Some(size),
         _ => None,
     }
--- a/crates/server/src/codec/engine.rs
+++ b/crates/server/src/codec/engine.rs
@@ -1,13 +1,15 @@
 //! Encoding of requests to engines and parsing of their messages.
 //!
-//! A message of an engine is a line `<id> <kind> <fields> <payload length>`, the payload and a line end. The names
-//! of the protocol appear in this module only.
+//! A message of an engine consists of a line `<id> <kind> <fields> <payload length>`, the payload and a line end. The
+//! names of the protocol appear only in this module.
 
 use pebblevane::interface::{ActualCost, LoadReport, ProgressUpdate};
 use pebblevane::time::TimeDelta;
 use thiserror::Error;
 
+/// The maximum length of the line of a message, including its line end.
 const MAX_LINE_BYTES: usize = 4096;
+/// The maximum length of the payload of a message.
 const MAX_PAYLOAD_BYTES: usize = 6_000;
 const COLUMNS_PER_ROW: usize = 3;
 const LINE_END: &[u8] = b"\r\n";
@@ -46,6 +48,7 @@
 const STALL_FOR_MEMORY: f64 = 1.0;
 const STALL_FOR_BULK_LOAD: f64 = 2.0;
 
+// Some values of load reports have more than one name.
 const REPORT_JOBS_IN_FLIGHT: [&str; 2] = ["inflight", "concurrent"];
 const REPORT_PROCESSOR_UTILIZATION: [&str; 2] = ["util", "load_share"];
 const REPORT_MEMORY_UTILIZATION: [&str; 1] = ["x0"];
@@ -53,9 +56,9 @@
 /// What a health check requests from an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckKind {
-    /// Only whether the engine is healthy.
+    /// Whether the engine is healthy.
     Liveness,
-    /// A load report as well.
+    /// Whether the engine is healthy, and a load report.
     LoadReport,
 }
 
@@ -64,20 +67,20 @@
 pub enum EngineMessage {
     /// The job has completed; the result's other pages can be fetched.
     FirstPage {
-        /// Page 0, which consists of complete rows.
+        /// The complete rows of page 0.
         page: Vec<u8>,
-        /// Number of pages of the result, this one included.
+        /// The number of pages of the result, including this one.
         page_count: u32,
         /// What the job cost, if the engine reports it.
         actual_cost: Option<ActualCost>,
-        /// The engine's load, if it reports one.
+        /// The engine's load, if the engine reports it.
         load_report: Option<LoadReport>,
     },
     /// A page that was fetched.
     FurtherPage {
         /// The complete rows of the page.
         page: Vec<u8>,
-        /// Position of the page in the result; the first page has 0.
+        /// The position of the page in the result; that of the first page is 0.
         page_number: u32,
     },
     /// A progress update; `None` if it is of an unknown kind.
@@ -97,43 +100,43 @@
 /// A message that was parsed from the bytes of a connection.
 #[derive(Debug, PartialEq)]
 pub struct ParsedMessage {
-    /// Bytes that the message takes on the wire.
+    /// The length of the message in bytes.
     pub length: usize,
     /// The id of the request that it answers.
     pub id: String,
-    /// The message itself.
+    /// The kind of the message and its fields.
     pub message: EngineMessage,
 }
 
-/// Why the bytes of an engine can't be parsed. The connection has to be closed.
+/// Why received bytes violate the engine protocol. The connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EngineProtocolError {
-    /// The line is longer than any line may be.
-    #[error("a line that does not end")]
+    /// No line end was found within the maximum length of a line.
+    #[error("no line end within {MAX_LINE_BYTES} bytes")]
     UnterminatedLine,
     /// The line isn't UTF-8 or doesn't end with CR LF.
-    #[error("a line that is no text")]
+    #[error("line is not UTF-8 or does not end with CR LF")]
     LineNotText,
-    /// The line doesn't consist of an id, a kind, fields and a length.
-    #[error("a line without four words")]
+    /// The line doesn't consist of an id, a kind, fields and a payload length.
+    #[error("line does not consist of id, kind, fields and payload length")]
     MalformedLine,
-    /// The payload's length is no number or beyond the limit.
-    #[error("a length that is odd or too long")]
+    /// The payload length is not a number or exceeds the maximum.
+    #[error("payload length is not a number or exceeds {MAX_PAYLOAD_BYTES} bytes")]
     InvalidLength,
-    /// The payload is not followed by a line end.
-    #[error("a payload that does not end where it should")]
+    /// The payload is not followed by CR LF.
+    #[error("payload is not followed by CR LF")]
     UnterminatedPayload,
     /// The payload doesn't consist of complete rows with the expected number of columns.
-    #[error("a payload that is not made of whole rows")]
+    #[error("payload does not consist of complete rows")]
     MalformedRows,
-    /// The number of pages is no number.
-    #[error("an odd number of pages")]
+    /// The number of pages is malformed.
+    #[error("page count is not a number")]
     InvalidPageCount,
     /// A further page has no valid page number.
-    #[error("a page without its number")]
+    #[error("page number is missing or malformed")]
     MissingPageNumber,
     /// The kind of the message is unknown.
-    #[error("an unknown word")]
+    #[error("unknown message kind")]
     UnknownKind,
 }
 
@@ -164,12 +167,12 @@
     format!("{KIND_FETCH} {id} {page_number}\r\n").into()
 }
 
-/// Encodes that the further pages of a result are not needed.
+/// Encodes the notification that further pages of a result will not be fetched.
 pub fn encode_end(id: &str) -> Vec<u8> {
     format!("{KIND_END} {id}\r\n").into()
 }
 
-/// Encodes a health check under this id.
+/// Encodes a health check with this id.
 pub fn encode_health_check(id: &str, kind: HealthCheckKind) -> Vec<u8> {
     let message_kind = match kind {
         HealthCheckKind::Liveness => KIND_HELLO,
@@ -207,7 +210,7 @@
     payload_length: usize,
 }
 
-/// The fields of a line, as in `sheets=2,toil=12.5`.
+/// The fields of a line, such as `sheets=2,toil=12.5`.
 struct Fields<'a>(&'a str);
 
 impl<'a> Fields<'a> {
@@ -293,7 +296,7 @@
     columns.len() == COLUMNS_PER_ROW && !columns.iter().any(|column| column.chars().any(char::is_control))
 }
 
-/// Parses a load report as in `inflight:7;util:0.61`; `None` if it contains no numbers.
+/// Parses a load report such as `inflight:7;util:0.61`; `None` if it contains no numbers.
 fn parse_load_report(text: &str) -> Option<LoadReport> {
     let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
     let numbers = pairs.filter_map(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
--- a/crates/server/src/codec/event_bus.rs
+++ b/crates/server/src/codec/event_bus.rs
@@ -4,12 +4,12 @@
 use pebblevane_adapter_common::{FieldError, Fields, Wanted};
 use serde_json::Value as Json;
 
-/// The name of an event in errors.
+/// What errors call an event.
 const EVENT_OBJECT: &str = "event";
-/// The name of an entry of the endpoint list in errors.
+/// What errors call an entry of the endpoint list.
 const ENTRY_OBJECT: &str = "instances";
 
-/// In an event: its number. As the only field of a line: the number of the last event.
+/// In an event: its number. In a heartbeat: the number of the last event.
 const OFFSET: &str = "offset";
 /// In an event: the change of the endpoint list.
 const TOPOLOGY: &str = "topology";
@@ -31,16 +31,16 @@
 const LIFECYCLE_GONE: &str = "terminated";
 const LIFECYCLE_WANTED: Wanted = Wanted::Described("in_service, terminating or terminated");
 
-/// The capacity of an engine without a weight in its entry.
+/// The weight of an engine whose entry has none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The request that the bus expects on a new connection: all events after this one.
+/// The request that the bus expects on a new connection: to send all events after `last_event`.
 pub fn subscribe_request(last_event: u64) -> String {
     format!("from {last_event}\n")
 }
 
-/// Unix time in microseconds, read from the wall clock of the machine that wrote the entry, not from the program's
-/// clock.
+/// Unix time in microseconds, by the wall clock of some machine; [`Timestamp`](pebblevane::time::Timestamp) is by the
+/// program's monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnixTime(pub i64);
 
@@ -53,7 +53,7 @@
 /// One line of the bus.
 #[derive(Debug, PartialEq)]
 pub enum Line {
-    /// The number of the last event on the bus, as a bare number or as the only field of an object.
+    /// The number of the last event on the bus, sent either as a bare number or as an object without a change.
     Heartbeat(u64),
     /// A change of the endpoint list.
     Event(Event),
@@ -62,9 +62,9 @@
 /// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// The event's number; numbers have no gaps.
+    /// The number of the event. Consecutive events have consecutive numbers.
     pub offset: u64,
-    /// Whether the entries are the complete list, not only those that have changed.
+    /// Whether the entries are the complete list, rather than only those that have changed.
     pub complete: bool,
     /// The well-formed entries.
     pub engines: Vec<EndpointEntry>,
@@ -75,9 +75,9 @@
 /// One engine of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The engine's name, which no other engine has.
+    /// The engine's unique name.
     pub name: String,
-    /// Host and port; not yet checked.
+    /// Host and port, not validated.
     pub address: String,
     /// The name of its zone.
     pub zone: String,
@@ -87,9 +87,9 @@
     pub cell: usize,
     /// Whether it accepts jobs, is draining, or is gone.
     pub lifecycle: LifecycleState,
-    /// Its capacity as a multiple of the usual one.
+    /// Its capacity, as a multiple of that of a usual engine.
     pub weight: f64,
-    /// When it started, by the clock of the machine that wrote the entry.
+    /// When it started, by the wall clock of the machine that wrote the entry.
     pub started: Option<UnixTime>,
 }
 
@@ -107,8 +107,8 @@
 /// Decodes one line.
 ///
 /// # Errors
-/// If the line is not JSON, or a field of the event itself can't be used. Single entries that can't be used are part
-/// of the event.
+/// If the line is not JSON, or a field of the event itself is missing or malformed. Malformed entries of the list are
+/// no error but are recorded in the event.
 pub fn decode_line(line: &str) -> Result<Line, LineError> {
     let json: Json = serde_json::from_str(line)?;
     if let Some(last_event) = json.as_u64() {
@@ -124,7 +124,7 @@
 /// Decodes one event.
 ///
 /// # Errors
-/// If a field of the event itself can't be used.
+/// If a field of the event itself is missing or malformed.
 pub fn decode_event(json: &Json) -> Result<Event, FieldError> {
     let event = Fields { name: EVENT_OBJECT, json };
     let topology = event.object(TOPOLOGY)?;
--- a/crates/server/src/codec/mod.rs
+++ b/crates/server/src/codec/mod.rs
@@ -1,4 +1,5 @@
-//! The protocols on the wire: each module decodes one of them into typed values and encodes them.
+//! Decoding and encoding of the protocols that clients, engines and the event bus use, and the search for the table
+//! group of an SQL statement.
 
 pub mod client;
 pub mod engine;
--- a/crates/server/src/codec/sql.rs
+++ b/crates/server/src/codec/sql.rs
@@ -6,8 +6,8 @@
 const TABLE_KEYWORDS: [&[u8]; 9] =
     [b"from", b"join", b"into", b"update", b"table", b"only", b"using", b"copy", b"truncate"];
 
-/// The group of the first table that has one. If no table has one, the group of the first qualified name elsewhere in
-/// the statement whose schema has one.
+/// Returns the group of the first table that has one. If no table has one, returns the group of the first other
+/// qualified name whose schema has one, if any.
 pub fn table_group(statement: &[u8]) -> Option<u64> {
     let mut search = GroupSearch::default();
     let found = Tokens { rest: statement }.find_map(|token| search.add(token));
@@ -19,16 +19,16 @@
 struct GroupSearch<'a> {
     /// The parts so far of a name with dots: schemas, then a table or column.
     qualified_name: Vec<&'a [u8]>,
-    /// Whether the last token was a dot within a qualified name.
+    /// Whether the previous token was a dot within a qualified name.
     after_dot: bool,
-    /// The keyword or unqualified name directly before the qualified name; empty if there is none.
+    /// The keyword or unqualified name immediately before the qualified name; empty if there is none.
     previous_word: &'a [u8],
-    /// The group of the first schema that is not that of a table.
+    /// The group to return if no table has one: the first in the schemas of any other qualified name.
     fallback: Option<u64>,
 }
 
 impl<'a> GroupSearch<'a> {
-    /// Adds a token; returns the group if the token ends the name of a table that has one.
+    /// Adds a token. Returns the group if the token ends the name of a table that has one.
     fn add(&mut self, token: Token<'a>) -> Option<u64> {
         match token {
             Token::Name(name) if self.after_dot || self.qualified_name.is_empty() => {
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Ends the search at the end of the statement.
+    /// Ends the search at the end of the statement, and returns the group that was found, if any.
     fn finish(mut self) -> Option<u64> {
         self.end_qualified_name().or(self.fallback)
     }
 
-    /// Ends the qualified name; returns the group if it is the name of a table that has one.
+    /// Ends the qualified name. Returns the group if it is the name of a table that has one.
     fn end_qualified_name(&mut self) -> Option<u64> {
         let names = std::mem::take(&mut self.qualified_name);
         self.after_dot = false;
@@ -87,7 +87,7 @@
 
 #[derive(Clone, Copy)]
 enum Token<'a> {
-    /// A keyword, a number that begins like one, or a name with or without quotes.
+    /// A keyword, a number, or a name with or without quotes.
     Name(&'a [u8]),
     Dot,
     /// A string or a symbol.
@@ -156,8 +156,8 @@
     byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'$' || byte >= 0x80
 }
 
-/// Splits the bytes after an opening quote into those before and those after the closing quote. A doubled quote is part
-/// of the quoted text.
+/// Splits the bytes after an opening quote into those before and those after the closing quote. A doubled quote belongs
+/// to the quoted text.
 fn split_quoted(bytes: &[u8], quote: u8) -> (&[u8], &[u8]) {
     let mut position = 0;
     loop {
@@ -169,7 +169,7 @@
     }
 }
 
-/// Skips the rest of a block comment after its opening, and returns what follows. Block comments nest.
+/// Skips the rest of a block comment after its `/*`, and returns what follows. Block comments may be nested.
 fn skip_block_comment(mut rest: &[u8]) -> &[u8] {
     let mut depth = 1;
     while depth > 0 {
--- a/crates/server/tests/server/engine_codec.rs
+++ b/crates/server/tests/server/engine_codec.rs
@@ -117,36 +117,48 @@
 #[test]
 fn what_can_not_become_a_message_is_refused_with_its_reason() {
     let cases = [
-        ("x".repeat(4096), EngineProtocolError::UnterminatedLine, "a line that does not end"),
-        (format!("{ID} HIT - 0\n"), EngineProtocolError::LineNotText, "a line that is no text"),
-        (format!("{ID} HIT 0\r\n"), EngineProtocolError::MalformedLine, "a line without four words"),
-        (format!("{ID} HIT - x\r\n"), EngineProtocolError::InvalidLength, "a length that is odd or too long"),
+        ("x".repeat(4096), EngineProtocolError::UnterminatedLine, "no line end within 4096 bytes"),
+        (
+            format!("{ID} HIT - 0\n"),
+            EngineProtocolError::LineNotText,
+            "line is not UTF-8 or does not end with CR LF",
+        ),
+        (
+            format!("{ID} HIT 0\r\n"),
+            EngineProtocolError::MalformedLine,
+            "line does not consist of id, kind, fields and payload length",
+        ),
+        (
+            format!("{ID} HIT - x\r\n"),
+            EngineProtocolError::InvalidLength,
+            "payload length is not a number or exceeds 6000 bytes",
+        ),
         (
             format!("{ID} HIT - 6001\r\n"),
             EngineProtocolError::InvalidLength,
-            "a length that is odd or too long",
+            "payload length is not a number or exceeds 6000 bytes",
         ),
         (
             format!("{ID} HIT - 0\r\nxx"),
             EngineProtocolError::UnterminatedPayload,
-            "a payload that does not end where it should",
+            "payload is not followed by CR LF",
         ),
         (
             format!("{ID} HIT - 4\r\na\tb\n\r\n"),
             EngineProtocolError::MalformedRows,
-            "a payload that is not made of whole rows",
+            "payload does not consist of complete rows",
         ),
         (
             format!("{ID} HIT sheets=x 0\r\n\r\n"),
             EngineProtocolError::InvalidPageCount,
-            "an odd number of pages",
+            "page count is not a number",
         ),
         (
             format!("{ID} PART - 0\r\n\r\n"),
             EngineProtocolError::MissingPageNumber,
-            "a page without its number",
+            "page number is missing or malformed",
         ),
-        (format!("{ID} WORD - 0\r\n\r\n"), EngineProtocolError::UnknownKind, "an unknown word"),
+        (format!("{ID} WORD - 0\r\n\r\n"), EngineProtocolError::UnknownKind, "unknown message kind"),
     ];
     for (bytes, expected, reason) in cases {
         assert_eq!(error(&bytes), expected, "{bytes}");
