--- a/crates/server/src/client/admission.rs
+++ b/crates/server/src/client/admission.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// The permits for a job and its usual result; `None` if the connection or the program is at its limit.
+/// The permits for a job, its statement and its result; `None` if the connection or the program is at its limit.
 fn acquire_permits(
     context: &ClientContext,
     session: &ClientSession,
--- a/crates/server/src/client/event_loop/evict.rs
+++ b/crates/server/src/client/event_loop/evict.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Closes connections to free descriptors for new ones: first those in the last step of a graceful close, then those
-    /// that expect a message, then those that are idle between messages, in each group the longest silent first.
+    /// Closes connections to free descriptors for new ones: first those in the last step of a graceful close, then
+    /// those that expect a message, then those that are idle between messages, in each group the longest silent first.
     pub(super) fn evict(&mut self) {
         self.abort_lingering();
         for id in self.eviction_candidates() {
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,7 +1,7 @@
 //! The admission controller as a network service.
 //!
-//! It connects clients, engines and the event bus to the decision library, and executes the library's decisions. It makes
-//! only one decision itself: it rejects jobs when one of its own limits is reached.
+//! It connects clients, engines and the event bus to the decision library, and executes the library's decisions. It
+//! makes only one decision itself: it rejects jobs when one of its own limits is reached.
 
 pub mod client;
 pub mod codec;
--- a/crates/server/src/session/client_session.rs
+++ b/crates/server/src/session/client_session.rs
@@ -103,8 +103,8 @@
         lock(&self.read_position)
     }
 
-    /// Cancels this request if bytes that were received but not yet read contain its cancellation, or the connection has
-    /// ended or failed. Returns whether the request is cancelled.
+    /// Cancels this request if bytes that were received but not yet read contain its cancellation, or the connection
+    /// has ended or failed. Returns whether the request is cancelled.
     pub fn apply_unread_cancellation(&self, request_id: RequestId) -> bool {
         // The thread that holds the lock processes cancellations itself.
         let Ok(position) = self.read_position.try_lock() else { return false };
@@ -253,8 +253,8 @@
         }
     }
 
-    /// Shuts down this side of the connection if all answers are written, and returns whether they are. The client reads
-    /// the end of the stream after its last answer, and bytes that it still sends do not reset the connection.
+    /// Shuts down this side of the connection if all answers are written, and returns whether they are. The client
+    /// reads the end of the stream after its last answer, and bytes that it still sends do not reset the connection.
     pub fn finish_writing(&self) -> bool {
         let mut output = lock(&self.output);
         self.report_write_error(output.flush(&self.stream));
--- a/crates/server/src/session/responder.rs
+++ b/crates/server/src/session/responder.rs
@@ -63,8 +63,8 @@
         self.cancellation.is_cancelled()
     }
 
-    /// Answers the request and returns true, or returns false if it has already been answered or cancelled. The client's
-    /// id of the job is released first, so that a client that has its answer may use the id again.
+    /// Answers the request and returns true, or returns false if it has already been answered or cancelled. The
+    /// client's id of the job is released first, so that a client that has its answer may use the id again.
     pub fn respond(&self, reply: &Reply) -> bool {
         drop(lock(&self.reserved_id).take());
         let responded = self.session.respond(self.request_id, reply);
