--- a/crates/server/src/client/event_loop/mod.rs
+++ b/crates/server/src/client/event_loop/mod.rs
@@ -234,8 +234,8 @@
     /// cancelled.
     fn closed_by_client(&mut self, id: ConnectionId) {
         match self.connections.get_mut(&id) {
-            // The client may still read the last answers. What it has sent is read to the end, since unread bytes
-            // would reset the connection.
+            // The client may still read the last answers. The bytes that it has sent are read to the end, since unread
+            // bytes would reset the connection.
             Some(connection) if connection.closing.is_some() => {
                 connection.paused_until = None;
                 self.read(id);
--- a/crates/server/src/server/startup.rs
+++ b/crates/server/src/server/startup.rs
@@ -94,7 +94,7 @@
     let (closed, clients_closed) = bounded(1);
     let serve = move || {
         event_loop.run();
-        // The receiver is gone if the service has ended with an error.
+        // The receiver has been dropped if the service has ended with an error.
         let _ = closed.send(());
     };
     threads::spawn_required("clients", SMALL_STACK_BYTES, serve)
--- a/crates/server/src/session/client_session.rs
+++ b/crates/server/src/session/client_session.rs
@@ -1,6 +1,6 @@
 //! The state of a client connection that several threads use: its open requests and unwritten answers.
 //!
-//! Locks are taken in the order `read_position`, `requests`, `output`.
+//! Locks are acquired in the order `read_position`, `requests`, `output`.
 
 use super::cancellation::CancellationToken;
 use super::connection_failures::{ConnectionError, ConnectionFailures, ConnectionId};
--- a/crates/server/src/telemetry/invariants.rs
+++ b/crates/server/src/telemetry/invariants.rs
@@ -14,8 +14,7 @@
     AnsweredInTime,
     /// The program closes a connection of its own accord only when no request is open on it (rule 1).
     ClosedOnlyWhenIdle,
-    /// If a peek at unread bytes cancels a request, its client has sent a cancellation, or the connection ends (rule
-    /// 1).
+    /// A request is cancelled by a peek at unread bytes only if its client cancels it or the connection ends (rule 1).
     CancelledByClient,
     /// A job has at most one dispatch in flight (rule 2).
     SingleDispatchInFlight,
