--- a/src/candidates/capacity.rs
+++ b/src/candidates/capacity.rs
@@ -48,7 +48,7 @@
     /// Whether an engine has capacity for the job.
     pub fn has_capacity(&self, engine: &Engine) -> bool {
         let utilization = utilization(engine, self.demand, &self.state.traffic, self.state.now);
-        let limit = engine.limit.limit * self.state.slow_start().capacity_fraction(engine);
+        let limit = engine.limit.max_utilization * self.state.slow_start().capacity_fraction(engine);
         if engine.limit.covers_all_gateways {
             return self.is_under_common_limit(engine, utilization, limit);
         }
@@ -88,8 +88,10 @@
     /// Whether this gateway uses less of the pool than the limits together allow.
     fn pool_has_capacity(&self) -> bool {
         let total = |of: fn(&Engine) -> f64| self.state.pool.running_engines().map(of).sum::<f64>();
-        let has_capacity =
-            || total(|engine| own_utilization(engine, Demand::NONE)) < total(|engine| engine.limit.limit);
+        let has_capacity = || {
+            total(|engine| own_utilization(engine, Demand::NONE))
+                < total(|engine| engine.limit.max_utilization)
+        };
         *self.pool_has_capacity.get_or_init(has_capacity)
     }
 }
--- a/src/concurrency/engine_limit.rs
+++ b/src/concurrency/engine_limit.rs
@@ -21,7 +21,7 @@
 #[derive(Default)]
 pub struct EngineLimit {
     /// The limit.
-    pub limit: f64,
+    pub max_utilization: f64,
     /// This gateway's equal share of the engine; 1 where the limit is for all gateways.
     pub equal_share: f64,
     /// The limit is on the utilization that all gateways cause, according to load reports: an equal share would be
@@ -63,19 +63,19 @@
     pub fn update(&mut self, now: Timestamp, visibility: LoadVisibility, load: EngineLoad) {
         let slowdown = self.update_slowdown(now, visibility, load);
         let min = self.min_limit(slowdown, visibility, load);
-        if slowdown > OVERLOAD_SLOWDOWN && load.utilization > MIN_USE_TO_SHRINK * self.limit {
-            self.limit = (self.limit * LIMIT_REDUCTION).max(min);
-        } else if slowdown < HEALTHY_SLOWDOWN && load.utilization > MIN_USE_TO_GROW * self.limit {
-            self.limit = (self.limit * LIMIT_GROWTH).min(MAX_ENGINE_LIMIT);
+        if slowdown > OVERLOAD_SLOWDOWN && load.utilization > MIN_USE_TO_SHRINK * self.max_utilization {
+            self.max_utilization = (self.max_utilization * LIMIT_REDUCTION).max(min);
+        } else if slowdown < HEALTHY_SLOWDOWN && load.utilization > MIN_USE_TO_GROW * self.max_utilization {
+            self.max_utilization = (self.max_utilization * LIMIT_GROWTH).min(MAX_ENGINE_LIMIT);
         }
     }
 
     /// The engine rejected a job for lack of capacity: lowers the limit and pauses dispatches for a moment.
     pub fn overloaded(&mut self, now: Timestamp, own_utilization: f64) {
-        let full_at = if self.covers_all_gateways { self.limit } else { own_utilization };
+        let full_at = if self.covers_all_gateways { self.max_utilization } else { own_utilization };
         let min = MIN_LIMIT_OF_SHARE * self.equal_share;
         self.overloaded_until = now + OVERLOAD_PAUSE;
-        self.limit = self.limit.min(full_at * REDUCTION_ON_OVERLOAD).max(min);
+        self.max_utilization = self.max_utilization.min(full_at * REDUCTION_ON_OVERLOAD).max(min);
     }
 
     fn update_slowdown(&mut self, now: Timestamp, visibility: LoadVisibility, load: EngineLoad) -> f64 {
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -54,7 +54,7 @@
             has_load_reports && equal_share_is_below_one_thread(&engine, settings.gateway_count);
         engine.limit.equal_share =
             if engine.limit.covers_all_gateways { 1.0 } else { 1.0 / settings.gateway_count };
-        engine.limit.limit = engine.limit.equal_share;
+        engine.limit.max_utilization = engine.limit.equal_share;
         self.engines.insert(id, engine);
         true
     }
