--- a/src/engine.rs
+++ b/src/engine.rs
@@ -155,7 +155,7 @@
         if class.settings.locks_tables {
             self.in_flight.locked_table_groups.push(table_group);
         }
-        self.ejection.half_open_dispatch = self.ejection.half_open.then_some(id);
+        self.ejection.half_open_job = self.ejection.half_open.then_some(id);
     }
 
     /// Removes a dispatch from the totals when its result has arrived.
@@ -170,7 +170,7 @@
         {
             locked.swap_remove(position);
         }
-        self.ejection.half_open_dispatch = self.ejection.half_open_dispatch.filter(|job| *job != id);
+        self.ejection.half_open_job = self.ejection.half_open_job.filter(|job| *job != id);
     }
 
     /// Records a load report. Values that it lacks are kept from earlier reports; missing processor utilization is
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -23,7 +23,7 @@
     /// It was ejected and has not answered since: it gets one dispatch at a time.
     pub half_open: bool,
     /// The job that is in flight while it is half open.
-    pub half_open_dispatch: Option<JobId>,
+    pub half_open_job: Option<JobId>,
     /// Refused and lost connections since the last answer.
     pub consecutive_failures: u32,
 }
@@ -39,7 +39,7 @@
         self.duration = if recurs { doubled.min(MAX_EJECTION) } else { FIRST_EJECTION };
         self.ejected_until = now + self.duration;
         self.half_open = true;
-        self.half_open_dispatch = None;
+        self.half_open_job = None;
     }
 
     /// A connection to the engine failed.
@@ -68,6 +68,6 @@
 
     /// Whether nothing may be sent there now: it is ejected, or half open and has its one dispatch.
     pub fn is_closed_to_dispatches(&self, now: Timestamp) -> bool {
-        self.ejected_until > now || (self.half_open && self.half_open_dispatch.is_some())
+        self.ejected_until > now || (self.half_open && self.half_open_job.is_some())
     }
 }
