--- a/src/admission.rs
+++ b/src/admission.rs
@@ -28,7 +28,7 @@
     if is_possible {
         state.traffic.observe_arrival(state.now, &job, &state.classes[job.request.class]);
     }
-    let checks = health::checks_per_job(&state.settings, state.pool.fleet_is_large());
+    let checks = health::checks_per_job(&state.settings, state.pool.gateway_fleet_is_large());
     state.health_checks.add_tokens(checks);
     if let Some(key) = state.ordering_key(&job) {
         state.key_order.enqueue(key, id);
@@ -76,7 +76,7 @@
     if job.start_waiting() {
         state.waiting.jobs.push(id);
     }
-    if !state.waiting.placement_is_scheduled && state.pool.fleet_is_large() {
+    if !state.waiting.placement_is_scheduled && state.pool.gateway_fleet_is_large() {
         let intervals = RETRY_DELAY_IN_LARGE_FLEET + RETRY_DELAY_IN_LARGE_FLEET * state.random.next_f64();
         schedule_retry(state, RETRY_DELAY_AFTER_RESULT.mul_f64(intervals));
     }
--- a/src/candidates/mod.rs
+++ b/src/candidates/mod.rs
@@ -23,7 +23,7 @@
         return None;
     }
     let order = state.pool.engine_order(state.jobs[&id].request.table_group);
-    let draw = if state.pool.fleet_is_large() { state.random.next_f64() } else { 0.0 };
+    let draw = if state.pool.gateway_fleet_is_large() { state.random.next_f64() } else { 0.0 };
     let candidates = Walk::new(state, id, &order, draw).run();
     if !candidates.to_check.is_empty() {
         start_health_checks(state, &candidates.to_check);
@@ -53,7 +53,7 @@
     let tier = candidates.best_tier(visibility.lacks_load_reports);
     let Candidates { mut eligible, mut available, local, .. } = candidates;
     let pair = if local.len() == 2 { local } else { std::mem::take(&mut available[tier]) };
-    if pair.len() >= 2 || state.concurrency.saturated || visibility.fleet_is_large {
+    if pair.len() >= 2 || state.concurrency.saturated || visibility.gateway_fleet_is_large {
         return pair;
     }
     least_busy(state, std::mem::take(&mut eligible[tier]))
--- a/src/candidates/walk.rs
+++ b/src/candidates/walk.rs
@@ -98,7 +98,7 @@
         Walk {
             start: WalkStart::new(state, job, &test, replicas, draw),
             max_depth: max_depth(state, job, visibility, replicas),
-            needs_checks: visibility.fleet_is_large || pulls,
+            needs_checks: visibility.gateway_fleet_is_large || pulls,
             may_start_checks: may_start_checks(state, class, visibility),
             prefers_local: !state.concurrency.saturated && settings.location_crossing_price > 0.0,
             state,
@@ -193,7 +193,7 @@
 
 /// Where not every pair can be checked, jobs of more value come first, and none waits for reports.
 fn may_start_checks(state: &ControllerState, class: &JobClass, visibility: LoadVisibility) -> bool {
-    !visibility.fleet_is_large
+    !visibility.gateway_fleet_is_large
         || state.health_checks.has_tokens_for_all()
         || class.settings.priority_weight >= state.traffic.priority_weight.mean_or(0.0)
 }
@@ -201,7 +201,7 @@
 /// How far a job walks: in a large fleet it waits a little for the engines whose tables are in memory, and groups with
 /// much traffic have as many engines as that asks for.
 fn max_depth(state: &ControllerState, job: &PendingJob, visibility: LoadVisibility, replicas: f64) -> usize {
-    if !visibility.fleet_is_large || visibility.lacks_load_reports {
+    if !visibility.gateway_fleet_is_large || visibility.lacks_load_reports {
         return usize::MAX;
     }
     let waited_ms = (state.now - job.submitted_at).as_millis_f64();
--- a/src/concurrency/mod.rs
+++ b/src/concurrency/mod.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LoadVisibility {
     /// The gateways are too many for each to have its own limit of an engine: limits cover all of them.
-    pub fleet_is_large: bool,
+    pub gateway_fleet_is_large: bool,
     /// Reports can't be had for each job's pair: gateways decide on their own figures.
     pub lacks_load_reports: bool,
 }
--- a/src/health.rs
+++ b/src/health.rs
@@ -34,16 +34,16 @@
 const MIN_LEAST_TIME_MS: f64 = 1e-3;
 
 /// Health checks that the ordinary job may cause: in a large fleet, by the price of a check.
-pub fn checks_per_job(settings: &ControllerSettings, fleet_is_large: bool) -> f64 {
-    if !fleet_is_large {
+pub fn checks_per_job(settings: &ControllerSettings, gateway_fleet_is_large: bool) -> f64 {
+    if !gateway_fleet_is_large {
         return CHECKS_PER_JOB_IN_SMALL_FLEET;
     }
     (PRICE_PER_JOB / settings.health_check_price.max(1e-6)).min(MAX_CHECKS_PER_JOB)
 }
 
 /// Whether checks are too dear for each job's pair.
-pub fn lacks_load_reports(settings: &ControllerSettings, fleet_is_large: bool) -> bool {
-    fleet_is_large && checks_per_job(settings, fleet_is_large) < CHECKS_PER_PAIR
+pub fn lacks_load_reports(settings: &ControllerSettings, gateway_fleet_is_large: bool) -> bool {
+    gateway_fleet_is_large && checks_per_job(settings, gateway_fleet_is_large) < CHECKS_PER_PAIR
 }
 
 /// The budget of health checks, and what is usual for their time at each location.
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -96,7 +96,7 @@
 
     /// Whether the fleet of gateways is so large that an engine's limit covers all of them, as an equal share for each
     /// would be less than a thread. The first running engine stands for all engines.
-    pub fn fleet_is_large(&self) -> bool {
+    pub fn gateway_fleet_is_large(&self) -> bool {
         self.running.first().is_some_and(|id| self.engines[id].limit.covers_all_gateways)
     }
 
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -99,7 +99,7 @@
             }
         }
         let engines = pair.map(|id| &context.pool.engines[&id]);
-        let processor = processor_share(engines, context.now, context.pool.fleet_is_large());
+        let processor = processor_share(engines, context.now, context.pool.gateway_fleet_is_large());
         let memory = share_of_first(
             engines,
             context.now,
@@ -151,9 +151,9 @@
     MIN_SPEED_WEIGHT + SPEED_WEIGHT_RANGE * sigmoid(rate / full_rate.max(1e-3) - RATE_SHIFT)
 }
 
-fn processor_share(engines: [&Engine; 2], now: Timestamp, fleet_is_large: bool) -> f64 {
+fn processor_share(engines: [&Engine; 2], now: Timestamp, gateway_fleet_is_large: bool) -> f64 {
     let reported = |engine: &Engine| engine.reported.processor;
-    if fleet_is_large {
+    if gateway_fleet_is_large {
         // Where own jobs are few, those in flight now are weaker evidence than those sent recently.
         share_of_first(engines, now, reported, |engine| engine.recent_work.sum() / engine.cores)
     } else {
--- a/src/state.rs
+++ b/src/state.rs
@@ -103,9 +103,9 @@
 
     /// What this gateway can know about the load that other gateways cause.
     pub fn visibility(&self) -> LoadVisibility {
-        let fleet_is_large = self.pool.fleet_is_large();
-        let lacks_load_reports = health::lacks_load_reports(&self.settings, fleet_is_large);
-        LoadVisibility { fleet_is_large, lacks_load_reports }
+        let gateway_fleet_is_large = self.pool.gateway_fleet_is_large();
+        let lacks_load_reports = health::lacks_load_reports(&self.settings, gateway_fleet_is_large);
+        LoadVisibility { gateway_fleet_is_large, lacks_load_reports }
     }
 
     /// The slow-start rules, applied to the present state.
