--- a/src/time.rs
+++ b/src/time.rs
@@ -23,6 +23,11 @@
 }
 
 impl TimeDelta {
+    /// A duration of `ms` whole milliseconds, for constants.
+    pub const fn from_millis(ms: i64) -> TimeDelta {
+        TimeDelta(ms * 1000)
+    }
+
     /// A duration of `ms` milliseconds, rounded to a microsecond.
     pub fn from_millis_f64(ms: f64) -> TimeDelta {
         TimeDelta((ms * MICROS_PER_MILLI).round() as i64)
