--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends a job to an engine: the one place from which a dispatch leaves. Decides its priority and its limits.
+//! Dispatches jobs to engines, with their priority, memory grant and deadlines. Every dispatch is created here.
 
 use crate::interface::{Dispatch, DispatchOptions, EngineId, JobId};
 use crate::job::{InFlightDispatch, PairChoice, PendingJob};
@@ -7,7 +7,9 @@
 use crate::traffic::WORK_TIME_CONSTANT;
 use crate::{retry, rules};
 
+/// Priority of jobs past their latency objective; the lowest.
 const PRIORITY_LATE: u8 = 0;
+/// Priority of jobs of several threads that are not bulk loads.
 const PRIORITY_PARALLEL: u8 = 1;
 const PRIORITY_BULK_LOAD: u8 = 2;
 const PRIORITY_SINGLE_THREAD: u8 = 3;
@@ -15,13 +17,13 @@
 /// The engine that was chosen for a job, and how.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
-    /// The engine.
+    /// Where the job is to be sent.
     pub engine: EngineId,
-    /// How it was chosen, if there were two.
+    /// The selection within a pair; `None` if there was only one candidate.
     pub choice: Option<PairChoice>,
 }
 
-/// Sends a job to an engine, if the rules allow it; returns whether they do.
+/// Dispatches a job to an engine if the rules allow it; returns whether it was dispatched.
 pub fn send(state: &mut ControllerState, id: JobId, target: Target) -> bool {
     if !rules::may_dispatch(state, id) || !rules::may_dispatch_to(state, id, target.engine) {
         return false;
@@ -40,7 +42,7 @@
     true
 }
 
-/// Counts a dispatch wherever dispatches are counted.
+/// Updates the state of the job, its engine, the traffic and the retry budget with a new dispatch.
 fn record(state: &mut ControllerState, dispatch: &Dispatch, choice: Option<PairChoice>) {
     let now = state.now;
     let job = state.jobs.get_mut(&dispatch.job).expect("a job that may be sent is pending");
@@ -60,7 +62,7 @@
     job.dispatched(InFlightDispatch { choice, memory_mb, ..in_flight });
 }
 
-/// Priority and memory grant, where engines heed them.
+/// Priority and memory grant; `None` if engines support neither.
 fn options(state: &ControllerState, job: &PendingJob, engine: EngineId) -> Option<DispatchOptions> {
     let capabilities = state.settings.engine_capabilities;
     if !capabilities.priorities && !capabilities.memory_grants {
@@ -73,7 +75,7 @@
     })
 }
 
-/// Jobs that are worth much for their work go first, late ones last.
+/// The engine-side priority of a job: high for classes with much value for their work, lowest for late jobs.
 fn priority(state: &ControllerState, job: &PendingJob) -> u8 {
     let class = state.class_settings_of(job);
     if state.now > job.objective_deadline {
--- a/src/draining.rs
+++ b/src/draining.rs
@@ -1,5 +1,5 @@
-//! Decides what a planned shutdown stops: what is open when the process ends gets its final answer then, and what
-//! can't be done by then at once.
+//! Planned shutdown: waiting jobs that can't finish before the process ends get their final answer at once, all other
+//! open jobs get it shortly before the end.
 
 use crate::admission;
 use crate::interface::JobId;
@@ -7,7 +7,7 @@
 use crate::time::Timestamp;
 use crate::timers::Timer;
 
-/// Begins a shutdown: the process ends at `end`.
+/// Starts a planned shutdown of the process, which ends at `end`.
 pub fn begin_shutdown(state: &mut ControllerState, end: Timestamp) {
     state.shutdown_at = end;
     for job in state.jobs.values_mut() {
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoint list: which engines there are, which run, and when the list is asked for again.
+//! Applies updates of the endpoint list to the pool, and polls the list again after a failure.
 
 use crate::admission;
 use crate::interface::{Endpoint, EngineId, ListScope};
@@ -7,11 +7,12 @@
 use crate::timers::Timer;
 use std::collections::BTreeSet;
 
-const MIN_POLL_BACKOFF: TimeDelta = TimeDelta(250_000);
-/// What chance adds to the backoff at most, over the least one.
+/// Minimum delay before the endpoint list is polled again after a failure.
+const MIN_POLL_BACKOFF: TimeDelta = TimeDelta::from_millis(250);
+/// Maximum random addition to the backoff, as a multiple of [`MIN_POLL_BACKOFF`].
 const POLL_BACKOFF_JITTER: f64 = 3.0;
 
-/// Takes over what the endpoint list says.
+/// Applies an update of the endpoint list.
 pub fn update(state: &mut ControllerState, scope: ListScope, endpoints: Vec<Endpoint>) {
     let listed: BTreeSet<EngineId> = endpoints.iter().map(|endpoint| endpoint.engine).collect();
     for endpoint in endpoints {
@@ -26,7 +27,8 @@
     admission::place_waiting_jobs(state);
 }
 
-/// The list could not be had: the old one stands and is asked for again.
+/// Handles a failed request for the endpoint list: the last list remains in use, and if the list is polled, it is
+/// requested again after a backoff.
 pub fn unavailable(state: &mut ControllerState) {
     if state.settings.polls_endpoint_list {
         let backoff = MIN_POLL_BACKOFF.mul_f64(1.0 + POLL_BACKOFF_JITTER * state.random.next_f64());
--- a/src/memory_grant.rs
+++ b/src/memory_grant.rs
@@ -1,16 +1,17 @@
-//! Decides how much memory a dispatch asks its engine to grant.
+//! The memory that a dispatch asks its engine to grant.
 //!
-//! The grant is the estimate times what earlier jobs of the class taught, and at least what goes with the job's
-//! threads, as far as it may need that: while threads are under the concurrency limit all such grants fit.
+//! The grant is the job's estimate times the memory factor of its class, which is learned from earlier jobs. It is at
+//! least the job's share of the engine's memory by its threads, but no more than the maximum factor times the
+//! estimate. Such shares of all jobs fit in memory while the threads are within the concurrency limit.
 
 use crate::engine::Engine;
 use crate::job::PendingJob;
 use crate::job_class::JobClass;
 use crate::memory_factor::MAX_MEMORY_FACTOR;
 
-/// The memory (MB) that a job is granted on this engine.
+/// Memory (MB) to be granted to a job on this engine.
 pub fn memory_grant_mb(job: &PendingJob, class: &JobClass, engine: &Engine) -> f64 {
-    let share_of_threads = engine.memory_mb * class.settings.threads / engine.thread_capacity();
-    let at_least = share_of_threads.min(job.memory_mb * MAX_MEMORY_FACTOR);
-    (job.memory_mb * class.memory_factor.value()).max(at_least).round()
+    let share_by_threads = engine.memory_mb * class.settings.threads / engine.thread_capacity();
+    let min_grant = share_by_threads.min(job.memory_mb * MAX_MEMORY_FACTOR);
+    (job.memory_mb * class.memory_factor.value()).max(min_grant).round()
 }
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -1,48 +1,52 @@
-//! Decides that an engine is ejected as an outlier, for how long, and when it is half open and trusted again.
+//! Outlier ejection of faulty engines.
 //!
-//! An engine is ejected after refused or lost connections, or when it is silent though progress is due. After
-//! that it is half open: it gets one dispatch at a time until it answers.
+//! An engine is ejected after consecutive refused or lost connections, when a health check can't reach it, or when it
+//! sends nothing although progress is overdue. After the ejection it is half-open: it gets one dispatch at a time
+//! until it answers or sends progress.
 
 use crate::interface::JobId;
 use crate::time::{TimeDelta, Timestamp};
 
-const FIRST_EJECTION: TimeDelta = TimeDelta(500_000);
-const MAX_EJECTION: TimeDelta = TimeDelta(8_000_000);
-/// An engine that is ejected again within this multiple of its last ejection is ejected for twice as long.
-const RECURRENCE_WINDOW: f64 = 4.0;
-/// One lost connection is no reason to lose an engine; two in a row are.
+/// Duration of an ejection that does not soon follow another one.
+const INITIAL_EJECTION: TimeDelta = TimeDelta::from_millis(500);
+/// Maximum duration of an ejection, reached by doubling.
+const MAX_EJECTION: TimeDelta = TimeDelta::from_millis(8_000);
+/// If an engine is ejected again within this multiple of the last ejection's duration after its end, the duration
+/// doubles.
+const RECURRENCE_WINDOW_FACTOR: f64 = 4.0;
+/// Number of consecutive connection failures that eject an engine; a single one may be harmless.
 const FAILURES_TO_EJECT: u32 = 2;
 
-/// An engine's ejection as an outlier.
+/// Ejection state of one engine.
 #[derive(Debug, Default)]
 pub struct Ejection {
-    /// Until when nothing is sent there.
+    /// End of the ejection; no job is sent to the engine before.
     pub ejected_until: Timestamp,
-    /// How long the last ejection was.
+    /// Duration of the current or last ejection.
     pub duration: TimeDelta,
-    /// It was ejected and has not answered since: it gets one dispatch at a time.
+    /// The engine was ejected and has not answered a job since: it gets one dispatch at a time.
     pub half_open: bool,
-    /// The job that is in flight while it is half open.
+    /// The job in flight at the half-open engine.
     pub half_open_job: Option<JobId>,
-    /// Refused and lost connections since the last answer.
+    /// Number of refused and lost connections since the engine last answered a job.
     pub consecutive_failures: u32,
 }
 
 impl Ejection {
-    /// Ejects the engine, unless it is ejected already.
+    /// Ejects the engine, unless it already is.
     pub fn eject(&mut self, now: Timestamp) {
         if self.ejected_until > now {
             return;
         }
-        let recurs = now - self.ejected_until < self.duration.mul_f64(RECURRENCE_WINDOW);
+        let recurs = now - self.ejected_until < self.duration.mul_f64(RECURRENCE_WINDOW_FACTOR);
         let doubled = TimeDelta(self.duration.0 * 2);
-        self.duration = if recurs { doubled.min(MAX_EJECTION) } else { FIRST_EJECTION };
+        self.duration = if recurs { doubled.min(MAX_EJECTION) } else { INITIAL_EJECTION };
         self.ejected_until = now + self.duration;
         self.half_open = true;
         self.half_open_job = None;
     }
 
-    /// A connection to the engine failed.
+    /// Counts a failed connection and ejects the engine if it is half-open or has failed too often.
     pub fn connection_failed(&mut self, now: Timestamp) {
         self.consecutive_failures += 1;
         if self.consecutive_failures >= FAILURES_TO_EJECT || self.half_open {
@@ -50,23 +54,23 @@
         }
     }
 
-    /// The engine answered a job.
+    /// Closes the half-open state and resets the failures after the engine answered a job.
     pub fn answered(&mut self) {
         self.half_open = false;
         self.consecutive_failures = 0;
     }
 
-    /// The engine sent progress.
+    /// Closes the half-open state after the engine sent progress.
     pub fn progressed(&mut self) {
         self.half_open = false;
     }
 
-    /// The engine answered a health check: it may be tried at once.
+    /// Ends the ejection after the engine answered a health check; the engine remains half-open.
     pub fn health_check_passed(&mut self, now: Timestamp) {
         self.ejected_until = self.ejected_until.min(now);
     }
 
-    /// Whether nothing may be sent there now: it is ejected, or half open and has its one dispatch.
+    /// Whether the engine gets no dispatch now: it is ejected, or half-open with a job in flight.
     pub fn is_closed_to_dispatches(&self, now: Timestamp) -> bool {
         self.ejected_until > now || (self.half_open && self.half_open_job.is_some())
     }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,9 +1,9 @@
-//! Decides where a job may run at all: the locations and machine types that its class is confined to.
+//! Placement constraints: the locations and machine types on which a job class may run.
 
 use crate::interface::Endpoint;
 use crate::settings::ClassSettings;
 
-/// Whether a class's jobs may run on this engine.
+/// Whether jobs of a class may run on the engine with this endpoint.
 pub fn allows(class: &ClassSettings, endpoint: &Endpoint) -> bool {
     let contains =
         |list: &Option<Vec<usize>>, position| list.as_ref().is_none_or(|list| list.contains(&position));
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,4 +1,4 @@
-//! Decides whether a job may be sent again: what may be repeated, until when, how often, and where.
+//! Retries: which jobs may be sent again, until when, how often and to which engines.
 
 use crate::estimators::SlidingWindow;
 use crate::interface::Endpoint;
@@ -6,7 +6,7 @@
 use crate::settings::{ClassSettings, ControllerSettings, DeduplicationScope, RetrySafety};
 use crate::time::{TimeDelta, Timestamp};
 
-/// Jobs recently submitted and retries recently sent, for the retry budget.
+/// Retry budget: limits the retries in a window by the number of jobs submitted in it.
 #[derive(Default)]
 pub struct RetryBudget {
     jobs: SlidingWindow,
@@ -14,22 +14,22 @@
 }
 
 impl RetryBudget {
-    /// A job was submitted.
+    /// Counts a submitted job.
     pub fn count_job(&mut self, settings: &ControllerSettings, now: Timestamp) {
         self.jobs.add(now, window(settings), 1.0);
     }
 
-    /// A job was sent again.
+    /// Counts a retry that is sent.
     pub fn count_retry(&mut self, settings: &ControllerSettings, now: Timestamp) {
         self.retries.add(now, window(settings) + settings.answer_margin, 1.0);
     }
 
-    /// Whether one more retry keeps to the budget.
+    /// Whether one more retry is within the budget.
     pub fn allows_retry(&self, settings: &ControllerSettings, now: Timestamp) -> bool {
         let contract = &settings.contract;
         let Some(window) = contract.retry_budget_window else { return true };
         let start = now - window;
-        // Two dispatches one window apart count together: a limit within any span holds at both its ends.
+        // The limit holds in every window, including both its ends, so retries exactly one window apart count together.
         let retries = self.retries.sum_since(start - settings.answer_margin);
         let jobs = self.jobs.sum_since(start);
         retries + 1.0 <= contract.min_retries + contract.retries_per_job * jobs
@@ -40,7 +40,7 @@
     settings.contract.retry_budget_window.unwrap_or_default()
 }
 
-/// The last moment at which a dispatch of this job may begin.
+/// Latest time at which a dispatch of this job may begin; in the past if the job must not be dispatched again.
 pub fn dispatch_deadline(job: &PendingJob, class: &ClassSettings, answer_margin: TimeDelta) -> Timestamp {
     match (job.possible_run, class.retry_safety) {
         (Some(_), RetrySafety::RunOnce) => Timestamp::default(),
@@ -51,7 +51,7 @@
     }
 }
 
-/// Whether a job may have one more dispatch, as far as its time, its effect and their number go.
+/// Whether the deadline, the effect and the number of dispatches of a job allow one more dispatch.
 pub fn may_dispatch_again(
     job: &PendingJob,
     class: &ClassSettings,
@@ -62,7 +62,7 @@
         && now < dispatch_deadline(job, class, settings.answer_margin)
 }
 
-/// Whether an engine shares its memory of idempotency keys with the one where a job may have run.
+/// Whether an engine recognizes the idempotency keys of jobs that ran on `first`.
 pub fn shares_idempotency_keys(class: &ClassSettings, first: &Endpoint, other: &Endpoint) -> bool {
     match class.deduplication_scope {
         DeduplicationScope::Pool => true,
@@ -71,7 +71,8 @@
     }
 }
 
-/// Whether the client may safely submit a job again that has no result.
+/// Whether a client can safely submit a job again that ended without a result: the job can't have run, or running it
+/// again does no harm.
 pub fn client_retry_is_harmless(job: &PendingJob, class: &ClassSettings) -> bool {
     let cannot_have_run = job.possible_run.is_none() && job.in_flight().is_none();
     let repeatable = match class.retry_safety {
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -1,5 +1,5 @@
-//! Decides which engine of a pair gets a job: speed score with its Thompson residual, balance score, and their
-//! fusion (AQD, section 4 and Algorithm 1).
+//! Selects one engine of a pair for a job, by the fusion of speed score (with its Thompson residual) and balance score
+//! (AQD, section 4 and Algorithm 1).
 
 use crate::engine::Engine;
 use crate::estimators::{DeviationCovariance, LinearPosterior, Pcg32, sigmoid, update_ewma};
@@ -11,55 +11,58 @@
 use crate::traffic::{Traffic, WORK_TIME_CONSTANT};
 use crate::utilization::MAX_REPORT_AGE;
 
-/// α, the step of the latency averages.
+/// α, the fraction by which a new latency moves a latency average.
 const LATENCY_STEP: f64 = 0.03;
 /// λ, the ridge of the residual's posterior.
 const POSTERIOR_RIDGE: f64 = 0.5;
-/// σ, the spread of the residual's draws.
+/// σ, the scale of the residual's standard deviation.
 const POSTERIOR_SPREAD: f64 = 0.1;
-/// K, the deviations behind the covariance.
+/// K, the number of recent deviations from which the covariance is estimated.
 const MAX_DEVIATIONS: usize = 128;
-/// Keeps the covariance regular when deviations hardly vary.
+/// Added to the covariance's diagonal to keep it regular when deviations hardly vary.
 const COVARIANCE_RIDGE: f64 = 1e-3;
-/// S, the interval at which the target share steps.
-const TARGET_INTERVAL: TimeDelta = TimeDelta(2_000_000);
-/// c, the first step of the target share.
+/// S, the minimum interval between steps of the target share.
+const TARGET_INTERVAL: TimeDelta = TimeDelta::from_millis(2_000);
+/// c, the size of the target share's first step for a deviation of 1.
 const TARGET_STEP: f64 = 0.05;
-/// b, the shift of the arrival rate in the fusion weight.
+/// b, subtracted from the relative arrival rate λ/λ0 in the fusion weight ω.
 const RATE_SHIFT: f64 = 1.0;
+/// Lower bound of the fusion weight ω.
 const MIN_SPEED_WEIGHT: f64 = 0.4;
+/// Difference between the upper and the lower bound of ω.
 const SPEED_WEIGHT_RANGE: f64 = 0.3;
-/// Brings the features to about one.
+/// Divisor that scales the logarithmic features to about 1.
 const FEATURE_SCALE: f64 = 10.0;
 
-/// What was learnt for the choice within a pair.
+/// Learned state of the selection within a pair.
 pub struct Selection {
     posterior: LinearPosterior,
     deviations: DeviationCovariance,
-    /// γ, the first engine's target shares of processor and memory.
+    /// γ, the first engine's target shares of the processor and memory use of both.
     target: [f64; 2],
+    /// t, the number of steps of the target since it was last restarted.
     target_steps: f64,
     target_stepped_at: Timestamp,
 }
 
-/// What a choice within a pair reads.
+/// The state that a selection within a pair uses.
 pub struct SelectionContext<'a> {
-    /// The time.
+    /// Time of the event that is being handled.
     pub now: Timestamp,
-    /// Number of gateways.
+    /// Number of gateways that share the pool.
     pub gateway_count: f64,
-    /// The job classes.
+    /// The job classes, for their mean latencies.
     pub classes: &'a [JobClass],
-    /// The engines.
+    /// The pool, for the load and the latencies of both engines.
     pub pool: &'a mut EnginePool,
-    /// The stream of jobs.
+    /// Recent arrivals, for the fusion weight.
     pub traffic: &'a mut Traffic,
-    /// The generator.
+    /// Random number generator for the Thompson residual.
     pub random: &'a mut Pcg32,
 }
 
 impl Selection {
-    /// Nothing learnt yet.
+    /// The initial state, before any result.
     pub fn new(now: Timestamp) -> Selection {
         Selection {
             posterior: LinearPosterior::new(POSTERIOR_RIDGE),
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Chooses by the fused test: the second engine wins if ω·z + (1−ω)·r > 0.
+    /// Selects an engine by the fusion of the scores: the second one if ω·z + (1−ω)·r > 0.
     pub fn choose(
         &mut self,
         pair: [EngineId; 2],
@@ -112,14 +115,15 @@
         (deviation[0].signum() * length).tanh()
     }
 
-    /// Learns from a finished dispatch; the engine not chosen counts with its average.
+    /// Updates the residual's posterior after a completed dispatch. `latency_ms` is the measured latency of the
+    /// selected engine and the mean latency of the other one.
     pub fn learn(&mut self, choice: &PairChoice, latency_ms: [f64; 2]) {
         let [first, second] = latency_ms;
         let gap = (1.0 + first).ln() - (1.0 + second).ln();
         self.posterior.learn(choice.features, gap - choice.margin);
     }
 
-    /// γ steps by c/√t against the mean deviation, once in an interval.
+    /// Moves γ by c/√t times the mean deviation, against it, at most once per [`TARGET_INTERVAL`].
     pub fn step_target(&mut self, now: Timestamp) {
         if now - self.target_stepped_at < TARGET_INTERVAL {
             return;
@@ -131,19 +135,19 @@
         }
     }
 
-    /// The pool has changed: the target moves by full steps again.
+    /// Restarts the step size of the target after the pool has changed.
     pub fn restart_target_steps(&mut self) {
         self.target_steps = 0.0;
     }
 }
 
-/// The job's features x: logarithms keep single giants from ruling θ.
+/// The job's features x: a constant, work and memory. Logarithms keep single very large jobs from dominating θ.
 fn features(job: &PendingJob) -> [f64; 3] {
     [1.0, (1.0 + job.work_ms).ln() / FEATURE_SCALE, (1.0 + job.memory_mb).ln() / FEATURE_SCALE]
 }
 
-/// ω: it moves with the rate of arrivals over the rate at which this gateway's equal share of the pool would be full
-/// with its usual jobs (λ0).
+/// ω, the weight of the speed score. It grows with the ratio of the arrival rate to λ0, the rate at which this
+/// gateway's mean jobs would fully use its equal share of the pool.
 fn speed_weight(context: &mut SelectionContext) -> f64 {
     let rate = context.traffic.update_arrival_rate(context.now);
     let work_ms = context.traffic.arrivals.mean_or(1.0).max(1.0);
@@ -154,14 +158,15 @@
 fn processor_share(engines: [&Engine; 2], now: Timestamp, gateway_fleet_is_large: bool) -> f64 {
     let reported = |engine: &Engine| engine.reported.processor;
     if gateway_fleet_is_large {
-        // Where own jobs are few, those in flight now are weaker evidence than those sent recently.
+        // A gateway of a large fleet has few jobs in flight: its recently dispatched work is a better estimate.
         share_of_first(engines, now, reported, |engine| engine.recent_work.sum() / engine.cores)
     } else {
         share_of_first(engines, now, reported, |engine| engine.in_flight.threads / engine.cores)
     }
 }
 
-/// The first engine's share of the use of both: as reported where both reports are fresh, else this gateway's own.
+/// The first engine's share of the use of both engines: as reported if both reports are recent, otherwise that of this
+/// gateway alone.
 fn share_of_first(
     engines: [&Engine; 2],
     now: Timestamp,
@@ -177,15 +182,15 @@
     if both > 1e-9 { first / both } else { 0.5 }
 }
 
-/// The time that a dispatch of this class is expected to take on an engine (ms).
+/// Expected latency (ms) of a dispatch of this class on an engine: the engine's mean, or else that of the class.
 pub fn expected_latency_ms(pool: &EnginePool, classes: &[JobClass], engine: EngineId, class: usize) -> f64 {
     let own = pool.engines.get(&engine).and_then(|engine| engine.class_latency_ms[class]);
     own.or(classes[class].latency_ms).unwrap_or(0.0)
 }
 
-/// Notes how long a dispatch took.
+/// Adds the latency of a completed dispatch to the averages of the class and the engine.
 pub fn observe_latency(engine: &mut Engine, class: &mut JobClass, class_index: usize, elapsed_ms: f64) {
-    let usual = *class.latency_ms.get_or_insert(elapsed_ms);
-    update_ewma(&mut class.latency_ms, usual, LATENCY_STEP, elapsed_ms);
-    update_ewma(&mut engine.class_latency_ms[class_index], usual, LATENCY_STEP, elapsed_ms);
+    let initial = *class.latency_ms.get_or_insert(elapsed_ms);
+    update_ewma(&mut class.latency_ms, initial, LATENCY_STEP, elapsed_ms);
+    update_ewma(&mut engine.class_latency_ms[class_index], initial, LATENCY_STEP, elapsed_ms);
 }
