--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,5 +1,7 @@
-//! Decides whether a job is admitted, waits or is rejected: impossible jobs on arrival, late jobs and those that leave
-//! their key's queue while they wait.
+//! Admission: whether a job is dispatched, waits or is rejected.
+//!
+//! Jobs that can't finish before their deadline are rejected on arrival. Waiting jobs are rejected when they are late
+//! or have to leave the queue of their key.
 
 use crate::dispatch::{self, Target};
 use crate::interface::{DispatchStatus, Job, JobId};
@@ -10,15 +12,16 @@
 use crate::timers::Timer;
 use crate::{candidates, completion, health, key_order, rules};
 
-/// The least part of a job's unloaded run time that it needs; estimates are wrong.
+/// Fraction of a job's estimated unloaded run time that must be left before its deadline for the job to be admitted.
+/// It is below 1 because estimates are inexact.
 const MIN_RUN_FRACTION: f64 = 0.7;
-/// How soon waiting jobs are tried again after a result.
-const RETRY_DELAY_AFTER_RESULT: TimeDelta = TimeDelta(10_000);
-/// In a large fleet waiting jobs are tried again after this multiple of that delay, and up to twice as much by
-/// chance.
-const RETRY_DELAY_IN_LARGE_FLEET: f64 = 5.0;
+/// Delay after a result until waiting jobs are placed again.
+const PLACEMENT_DELAY: TimeDelta = TimeDelta::from_millis(10);
+/// In a large gateway fleet, a job that starts to wait is placed again after a random multiple of [`PLACEMENT_DELAY`],
+/// between this and twice this.
+const MIN_DELAYS_IN_LARGE_FLEET: f64 = 5.0;
 
-/// Admits a job: sends it, lets it wait, or rejects it if it can't be done in time.
+/// Handles a submitted job: dispatches it, lets it wait, or rejects it if it can't finish in time.
 pub fn submit(state: &mut ControllerState, id: JobId, request: Job) {
     state.retry_budget.count_job(&state.settings, state.now);
     let job = pending_job(state, request);
@@ -35,10 +38,10 @@
     }
     state.jobs.insert(id, job);
     state.timers.schedule_at(answer_deadline, Timer::AnswerDeadline(id));
-    if is_possible { place(state, id) } else { completion::expire(state, id) }
+    if is_possible { place(state, id) } else { completion::finish_without_result(state, id) }
 }
 
-/// A job with its deadlines and estimates; its class learns from the estimates.
+/// Creates the pending job with its deadlines and estimates, and adds the estimates to those of its class.
 fn pending_job(state: &mut ControllerState, request: Job) -> PendingJob {
     let now = state.now;
     let largest_memory_mb = state.pool.largest_memory_mb();
@@ -52,20 +55,20 @@
     class.observe_estimates(now, &request, limits);
     let work_ms =
         request.cost.map_or(class.typical_work_ms(), |estimate| estimate.as_millis_f64() * class.cost_bias());
-    let believed_memory = request.memory_mb.filter(|memory| *memory <= largest_memory_mb);
+    let plausible_memory = request.memory_mb.filter(|memory| *memory <= largest_memory_mb);
     let settings = &class.settings;
     let stretch = TimeDelta::from_millis_f64(settings.objective_stretch * work_ms / settings.threads);
     let estimates = JobEstimates {
         work_ms,
         run_ms: work_ms / settings.threads,
-        memory_mb: believed_memory.unwrap_or(class.estimated_memory.mean_or(0.0)),
+        memory_mb: plausible_memory.unwrap_or(class.estimated_memory.mean_or(0.0)),
         value_rate: settings.priority_weight / (work_ms.max(1.0) / 1000.0),
     };
     let objective_deadline = now + settings.latency_objective + stretch;
     PendingJob::new(request, estimates, JobTimes { submitted_at: now, deadline, objective_deadline })
 }
 
-/// Sends a job to the engine that is chosen for it, or lets it wait until one may take it.
+/// Dispatches a job to the engine chosen for it, or lets it wait if there is none.
 pub fn place(state: &mut ControllerState, id: JobId) {
     let target = candidates::choose(state, id);
     let sent = target.is_some_and(|target: Target| dispatch::send(state, id, target));
@@ -77,69 +80,71 @@
         state.waiting.jobs.push(id);
     }
     if !state.waiting.placement_is_scheduled && state.pool.gateway_fleet_is_large() {
-        let intervals = RETRY_DELAY_IN_LARGE_FLEET + RETRY_DELAY_IN_LARGE_FLEET * state.random.next_f64();
-        schedule_retry(state, RETRY_DELAY_AFTER_RESULT.mul_f64(intervals));
+        let delays = MIN_DELAYS_IN_LARGE_FLEET + MIN_DELAYS_IN_LARGE_FLEET * state.random.next_f64();
+        schedule_placement(state, PLACEMENT_DELAY.mul_f64(delays));
     }
 }
 
-/// A dispatch has ended: capacity may have become free for the waiting jobs.
+/// Schedules the placement of waiting jobs after a dispatch has ended and may have freed capacity.
 pub fn capacity_may_be_free(state: &mut ControllerState) {
     if !state.waiting.jobs.is_empty() && !state.waiting.placement_is_scheduled {
-        schedule_retry(state, RETRY_DELAY_AFTER_RESULT);
+        schedule_placement(state, PLACEMENT_DELAY);
     }
 }
 
-fn schedule_retry(state: &mut ControllerState, delay: TimeDelta) {
+fn schedule_placement(state: &mut ControllerState, delay: TimeDelta) {
     state.waiting.placement_is_scheduled = true;
     state.schedule_in(delay, Timer::PlaceWaitingJobs);
 }
 
-/// The timer for the waiting jobs has fired.
-pub fn retry_waiting_jobs(state: &mut ControllerState) {
+/// Places the waiting jobs when their timer has fired.
+pub fn placement_timer_fired(state: &mut ControllerState) {
     state.waiting.placement_is_scheduled = false;
     place_waiting_jobs(state);
 }
 
-/// What follows a dispatch that did not answer: another one where that is allowed and of use.
+/// Handles the end of a dispatch for a job that has no final answer yet: places the job again if the rules allow it
+/// and it could still meet its objective, otherwise ends it.
 pub fn dispatch_failed(state: &mut ControllerState, id: JobId, status: DispatchStatus) {
     let Some(job) = state.jobs.get(&id).filter(|job| !job.is_finished()) else { return };
     let is_useful = unloaded_end(state, job) < job.objective_deadline;
     if status != DispatchStatus::Expired && is_useful && rules::may_dispatch_again(state, id) {
         place(state, id);
     } else {
-        completion::expire(state, id);
+        completion::finish_without_result(state, id);
     }
 }
 
-/// When a job would end that runs from now on without load.
+/// When a job would end if it started now on an unloaded engine.
 fn unloaded_end(state: &ControllerState, job: &PendingJob) -> Timestamp {
     state.now + TimeDelta::from_millis_f64(job.run_ms)
 }
 
-/// Tries the waiting jobs in the order of their value for their work; the late ones expire.
+/// Places the waiting jobs, those with the highest value per second of work first; ends those that must not wait any
+/// longer.
 pub fn place_waiting_jobs(state: &mut ControllerState) {
-    // Where a job finds no capacity anywhere, none of its class that needs as much memory will.
+    // By class: once a job finds no engine with capacity, similar jobs that need as much memory are not tried.
     let mut memory_without_capacity_mb = vec![f64::INFINITY; state.classes.len()];
     for id in take_waiting_jobs(state) {
         let job = &state.jobs[&id];
         let (class, memory_mb) = (job.request.class, job.memory_mb);
-        let is_alike = job.dispatch_count == 0 && !state.class_settings_of(job).ordered_by_key;
+        let is_comparable = job.dispatch_count == 0 && !state.class_settings_of(job).ordered_by_key;
         if must_stop_waiting(state, id) {
-            completion::expire(state, id);
-        } else if is_alike && memory_mb >= memory_without_capacity_mb[class] {
+            completion::finish_without_result(state, id);
+        } else if is_comparable && memory_mb >= memory_without_capacity_mb[class] {
             state.waiting.jobs.push(id);
         } else {
             state.jobs.entry(id).and_modify(PendingJob::stop_waiting);
             place(state, id);
             let waits_again = state.waiting.jobs.last() == Some(&id);
-            if is_alike && state.waiting.found_no_capacity && waits_again {
+            if is_comparable && state.waiting.found_no_capacity && waits_again {
                 memory_without_capacity_mb[class] = memory_mb;
             }
         }
     }
 }
 
-/// Empties the waiting jobs; returns those that still wait, the most value for their work first.
+/// Empties the list of waiting jobs; returns those that still wait, the highest value per second of work first.
 fn take_waiting_jobs(state: &mut ControllerState) -> Vec<JobId> {
     let mut waiting = std::mem::take(&mut state.waiting.jobs);
     waiting.retain(|id| state.jobs.get(id).is_some_and(PendingJob::is_waiting));
@@ -148,20 +153,21 @@
     waiting
 }
 
-/// Whether a waiting job is too late, past the time in which what may have run may be repeated, or one that its key's
-/// queue can't serve.
+/// Whether a waiting job can no longer meet its objective, may not be dispatched any more, or has to leave the queue
+/// of its key.
 fn must_stop_waiting(state: &ControllerState, id: JobId) -> bool {
     let job = &state.jobs[&id];
     unloaded_end(state, job) > job.objective_deadline
         || !rules::may_dispatch_again(state, id)
-        || leaves_queue(state, id)
+        || should_leave_queue(state, id)
 }
 
-/// Whether a job whose turn it is leaves it to those behind it.
-fn leaves_queue(state: &ControllerState, id: JobId) -> bool {
+/// Whether the next job of a key should leave the queue so that more of the jobs behind it meet their objectives.
+fn should_leave_queue(state: &ControllerState, id: JobId) -> bool {
     let job = &state.jobs[&id];
-    let is_its_turn = job.dispatch_count == 0 && rules::may_dispatch(state, id);
-    let key = state.ordering_key(job).filter(|_| is_its_turn);
+    let is_next = job.dispatch_count == 0 && rules::may_dispatch(state, id);
+    let key = state.ordering_key(job).filter(|_| is_next);
     let queue = key.and_then(|key| state.key_order.contended_queue(key));
-    queue.is_some_and(|queue| key_order::leaves_queue(id, queue, &state.jobs, &state.classes, state.now))
+    queue
+        .is_some_and(|queue| key_order::should_leave_queue(id, queue, &state.jobs, &state.classes, state.now))
 }
--- a/src/candidates/mod.rs
+++ b/src/candidates/mod.rs
@@ -1,10 +1,10 @@
-//! Decides which engines a job may choose from: the first ones with capacity in its table group's hashed order.
+//! Decides which engines a job may be sent to: the first ones with capacity in its table group's hashed order.
 
 mod capacity;
 mod order;
 mod walk;
 
-use crate::concurrency::MAX_ENGINE_LIMIT;
+use crate::concurrency::MAX_ENGINE_UTILIZATION;
 use crate::dispatch::Target;
 use crate::engine::Engine;
 use crate::interface::{EngineId, JobId};
@@ -14,10 +14,11 @@
 use crate::utilization::{Demand, own_utilization};
 use walk::{Candidates, Walk};
 
-/// Engines that a job's table group is kept on, over the group's share of the pool.
+/// Number of engines that serve a table group, as a multiple of the engines that its share of the traffic needs. An
+/// engine's share of this gateway's work is the same multiple of the mean per engine.
 const REPLICATION_FACTOR: f64 = 1.5;
 
-/// Chooses an engine for a job; none if it has to wait for an engine or for a health check.
+/// Chooses an engine for a job; `None` if the job has to wait for an engine or for a health check.
 pub fn choose(state: &mut ControllerState, id: JobId) -> Option<Target> {
     if !rules::may_dispatch(state, id) {
         return None;
@@ -47,7 +48,8 @@
     }
 }
 
-/// The engines to choose from: the best tier of those with capacity, else the least busy ones.
+/// The engines to choose from: the best tier of those with capacity. If these are fewer than two, a small gateway fleet
+/// whose pool is not saturated takes the least busy engines instead, even if they have reached their limits.
 fn pick_pair(state: &ControllerState, candidates: Candidates) -> Vec<EngineId> {
     let visibility = state.visibility();
     let tier = candidates.best_tier(visibility.lacks_load_reports);
@@ -59,10 +61,10 @@
     least_busy(state, std::mem::take(&mut eligible[tier]))
 }
 
-/// The engines that are not full, the least busy one first.
+/// The engines that this gateway does not use fully by itself, the least busy one first.
 fn least_busy(state: &ControllerState, mut engines: Vec<EngineId>) -> Vec<EngineId> {
     let (all, slow_start) = (&state.pool.engines, state.slow_start());
-    engines.retain(|id| own_utilization(&all[id], Demand::NONE) < MAX_ENGINE_LIMIT);
+    engines.retain(|id| own_utilization(&all[id], Demand::NONE) < MAX_ENGINE_UTILIZATION);
     let busy =
         |engine: &Engine| engine.in_flight.threads / (engine.cores * slow_start.capacity_fraction(engine));
     engines.sort_by(|a, b| busy(&all[a]).total_cmp(&busy(&all[b])));
--- a/src/candidates/order.rs
+++ b/src/candidates/order.rs
@@ -7,26 +7,31 @@
 use crate::job::PendingJob;
 use crate::state::ControllerState;
 
-/// Threads that may be in flight with those at slowed-down engines, over the limit on the others.
-const LIMIT_WITH_SLOWED_ENGINES: f64 = 1.5;
-/// Engines at the start of the order that bulk loads leave to readers.
-const ENGINES_FOR_READERS: f64 = 2.0;
+/// Limit on the threads in flight at all engines, as a multiple of the limit at engines that are not slowed down.
+const LIMIT_FACTOR_WITH_SLOWED_ENGINES: f64 = 1.5;
+/// Number of engines at the start of the order, besides two per replica, where no bulk load starts its walk: readers
+/// try them first.
+const ENGINES_RESERVED_FOR_READERS: f64 = 2.0;
 
-/// Where a job begins its walk along the hashed order, and in which direction.
+/// Where a job starts its walk along the hashed order, and in which direction.
 ///
-/// Bulk loads walk it from its far end, so that readers seldom meet them, and begin anywhere there where other
-/// gateways' loads can't be known in time. Jobs of more than this gateway's share of an engine begin anywhere, too:
-/// its own walk can't level them.
+/// Bulk loads walk the order backwards, so that readers of the same tables rarely share an engine with them. In a
+/// large gateway fleet they start at a random position, as the bulk loads of other gateways are not known in time.
+/// Without load reports, jobs with more work than this gateway's share of an engine also start at a random position:
+/// the gateway's own figures can't balance them.
 pub struct WalkStart {
-    from_far_end: bool,
-    first: usize,
+    /// The order is walked backwards.
+    backwards: bool,
+    /// Number of engines that are skipped.
+    skipped: usize,
+    /// Position in the order of the first engine, when walked forwards.
     rotation: usize,
 }
 
 impl WalkStart {
     /// The start for this job.
     ///
-    /// `replicas` is the number of engines that its table group is kept on, `draw` a number in [0, 1).
+    /// `replicas` is the number of engines that serve its table group, `draw` a random number in [0, 1).
     pub fn new(
         state: &ControllerState,
         job: &PendingJob,
@@ -35,44 +40,45 @@
         draw: f64,
     ) -> WalkStart {
         let engine_count = state.pool.running.len() as f64;
-        let from_far_end = state.class_settings_of(job).locks_tables;
-        let beyond_readers = (engine_count - ENGINES_FOR_READERS - 2.0 * replicas).max(0.0);
+        let backwards = state.class_settings_of(job).locks_tables;
+        let beyond_readers = (engine_count - ENGINES_RESERVED_FOR_READERS - 2.0 * replicas).max(0.0);
         let is_large = state.visibility().lacks_load_reports
             && job.work_ms > REPLICATION_FACTOR * test.mean_engine_work_ms;
         WalkStart {
-            from_far_end,
-            first: if from_far_end { (beyond_readers * draw) as usize } else { 0 },
-            rotation: if is_large && !from_far_end { (engine_count * draw) as usize } else { 0 },
+            backwards,
+            skipped: if backwards { (beyond_readers * draw) as usize } else { 0 },
+            rotation: if is_large && !backwards { (engine_count * draw) as usize } else { 0 },
         }
     }
 
     /// The engines in the order of the walk.
     pub fn walk<'a>(&self, order: &'a [EngineId]) -> impl Iterator<Item = EngineId> + use<'a> {
-        let (from_far_end, rotation, count) = (self.from_far_end, self.rotation, order.len());
-        (self.first..count)
-            .map(move |at| if from_far_end { order[count - 1 - at] } else { order[(at + rotation) % count] })
+        let (backwards, rotation, count) = (self.backwards, self.rotation, order.len());
+        (self.skipped..count)
+            .map(move |at| if backwards { order[count - 1 - at] } else { order[(at + rotation) % count] })
     }
 }
 
-/// Warming engines that this gateway may send to now: they come first, since no other may.
-pub fn warming_engines_of_own_turn(state: &ControllerState) -> Vec<EngineId> {
+/// Warming engines where this gateway holds a slow-start slot with budget left. They come first in the walk, since only
+/// the holders of a slot may send there.
+pub fn warming_engines_with_own_slot(state: &ControllerState) -> Vec<EngineId> {
     let slow_start = state.slow_start();
-    let is_own = |id: &EngineId| slow_start.has_finite_budget(&state.pool.engines[id]);
-    state.pool.warming_up.iter().copied().filter(is_own).collect()
+    let has_own_slot = |id: &EngineId| slow_start.has_warm_up_budget(&state.pool.engines[id]);
+    state.pool.warming_up.iter().copied().filter(has_own_slot).collect()
 }
 
-/// Whether this gateway has all in flight that it may have where loads are unknown.
+/// Whether this gateway has reached its limit of threads in flight, which applies only without load reports.
 ///
-/// Jobs in flight are the arriving work times slowdown: too many are an overload that other signs show late. What is
-/// stuck at slowed-down engines counts less.
+/// The threads in flight are the rate of arriving work times the slowdown (Little's law), so that too many of them show
+/// an overload earlier than results or progress do. Threads at slowed-down engines count only against a larger limit.
 pub fn gateway_is_full(state: &ControllerState, test: &CapacityTest) -> bool {
     if !state.visibility().lacks_load_reports {
         return false;
     }
-    let widest = state.classes.iter().fold(1.0, |most: f64, class| most.max(class.settings.threads));
-    let expected = state.traffic.expected_threads(state.now, HEALTHY_SLOWDOWN) + widest;
-    let limit = state.concurrency.limit().min(expected);
+    let max_job_threads = state.classes.iter().fold(1.0, |max: f64, class| max.max(class.settings.threads));
+    let expected = state.traffic.expected_threads(state.now, HEALTHY_SLOWDOWN) + max_job_threads;
+    let limit = state.concurrency.max_threads().min(expected);
     let healthy = state.pool.engines.values().filter(|engine| !test.is_slowed_down(engine));
     let healthy_threads = healthy.map(|engine| engine.in_flight.threads).sum::<f64>();
-    healthy_threads >= limit || state.pool.threads_in_flight() >= LIMIT_WITH_SLOWED_ENGINES * limit
+    healthy_threads >= limit || state.pool.threads_in_flight() >= LIMIT_FACTOR_WITH_SLOWED_ENGINES * limit
 }
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -1,5 +1,4 @@
-//! Decides how a job ends without an engine's answer: rejected or cancelled; cancels what is in flight and releases
-//! the job.
+//! Ends jobs: gives the final answer to jobs without a result, cancels their dispatches and releases finished jobs.
 
 use crate::interface::{DispatchId, FinalAnswer, JobId};
 use crate::retry;
@@ -7,15 +6,16 @@
 use crate::time::TimeDelta;
 use crate::timers::Timer;
 
-/// When the client of a rejected job is to try again.
-const RETRY_AFTER: TimeDelta = TimeDelta(1_000_000);
+/// Delay after which the client of a rejected job should retry.
+const REJECTION_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(1_000);
 
-/// Gives a job its final answer: rejected where a retry is harmless, else cancelled for good.
-pub fn expire(state: &mut ControllerState, id: JobId) {
+/// Ends a job that has no result, and cancels its dispatch in flight. The final answer is a rejection if a retry by the
+/// client is harmless, otherwise a permanent cancellation.
+pub fn finish_without_result(state: &mut ControllerState, id: JobId) {
     let Some(job) = state.jobs.get_mut(&id).filter(|job| !job.is_finished()) else { return };
     let class = &state.classes[job.request.class].settings;
     let answer = if retry::client_retry_is_harmless(job, class) {
-        FinalAnswer::Rejected { retry_after: RETRY_AFTER }
+        FinalAnswer::Rejected { retry_after: REJECTION_RETRY_DELAY }
     } else {
         FinalAnswer::Cancelled
     };
@@ -25,7 +25,7 @@
     release(state, id);
 }
 
-/// Cancels a job's dispatch in flight, where that is allowed.
+/// Cancels a job's dispatch in flight, if the settings permit cancellation.
 pub fn cancel_dispatch(state: &mut ControllerState, id: JobId) {
     if !state.settings.permissions.cancellation {
         return;
@@ -37,12 +37,13 @@
     }
 }
 
-/// Forgets a job that is over and has nothing in flight; the next job of its key may then run.
+/// Removes a finished job that has no dispatch in flight. The next job of its key may then run, after a quiet period
+/// if it is unknown whether this job still runs.
 pub fn release(state: &mut ControllerState, id: JobId) {
     let Some(job) = state.jobs.get(&id).filter(|job| job.is_releasable()) else { return };
     if let Some(key) = state.ordering_key(job) {
         if let Some(unknown_at) = job.outcome_unknown_at {
-            state.key_order.keep_quiet(key, unknown_at + state.settings.contract.key_quiet_time);
+            state.key_order.start_quiet_period(key, unknown_at + state.settings.contract.key_quiet_time);
         }
         state.key_order.remove(key, id);
         let available_at = state.key_order.quiet_until(key).unwrap_or(state.now);
--- a/src/concurrency/gateway_limit.rs
+++ b/src/concurrency/gateway_limit.rs
@@ -1,4 +1,4 @@
-//! Decides how much this gateway may have in flight in all, and whether the pool is saturated.
+//! The concurrency limit of this gateway for the whole pool, and whether the pool is saturated.
 
 use super::{
     LIMIT_GROWTH, LIMIT_REDUCTION, MIN_USE_TO_GROW, OVERLOAD_SLOWDOWN, PRIOR_RUN_MS, SLOWDOWN_TIME_CONSTANT,
@@ -8,72 +8,76 @@
 use crate::job_class::MAX_JOB_SLOWDOWN;
 use crate::time::Timestamp;
 
-/// The limit never falls below what the arriving work keeps in flight at this slowdown.
+/// The limit does not fall below the threads that the arriving work keeps in flight at this slowdown.
 pub const MIN_LIMIT_SLOWDOWN: f64 = 0.7;
-/// From this slowdown on jobs that find no engine under its limit wait.
+/// Above this slowdown the pool is saturated.
 const SATURATION_SLOWDOWN: f64 = 1.4;
 
-/// What moves this gateway's limit, in threads.
+/// Load of this gateway, from which its limit is updated, in threads.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewayLoad {
-    /// What this gateway has in flight.
+    /// Threads that this gateway has in flight.
     pub in_flight: f64,
-    /// What the arriving work keeps in flight at a healthy slowdown.
+    /// Threads that the arriving work keeps in flight at [`HEALTHY_SLOWDOWN`](super::HEALTHY_SLOWDOWN).
     pub expected_when_healthy: f64,
-    /// What the arriving work keeps in flight at the least.
-    pub expected_at_least: f64,
-    /// This gateway's equal share of the pool.
-    pub equal_share: f64,
+    /// Threads that the arriving work keeps in flight at [`MIN_LIMIT_SLOWDOWN`].
+    pub expected_at_min_slowdown: f64,
+    /// [`MIN_LIMIT_FRACTION_OF_SHARE`](super::MIN_LIMIT_FRACTION_OF_SHARE) of this gateway's equal share of the pool.
+    pub min_share: f64,
 }
 
-/// The whole pool as this gateway sees it, and this gateway's own limit.
+/// Slowdown and saturation of the pool as this gateway observes them, and this gateway's limit.
 pub struct GatewayConcurrency {
-    /// Jobs that find no engine under its limit wait.
+    /// The pool is saturated: jobs that find no engine under its limit wait.
     pub saturated: bool,
-    /// Threads that this gateway may have in flight, where loads are unknown.
-    limit: f64,
+    /// Maximum number of threads that this gateway may have in flight; applies without load reports.
+    max_threads: f64,
     slowdown: DecayingAverage,
 }
 
 impl Default for GatewayConcurrency {
     fn default() -> GatewayConcurrency {
-        GatewayConcurrency { saturated: false, limit: f64::INFINITY, slowdown: DecayingAverage::default() }
+        GatewayConcurrency {
+            saturated: false,
+            max_threads: f64::INFINITY,
+            slowdown: DecayingAverage::default(),
+        }
     }
 }
 
 impl GatewayConcurrency {
-    /// Threads that this gateway may have in flight.
-    pub fn limit(&self) -> f64 {
-        self.limit
+    /// Maximum number of threads that this gateway may have in flight.
+    pub fn max_threads(&self) -> f64 {
+        self.max_threads
     }
 
-    /// Adds a job's slowdown to the pool's.
+    /// Adds a job's slowdown to the mean of the pool.
     pub fn observe_slowdown(&mut self, now: Timestamp, sample: SlowdownSample) {
         let (slowdown, weight) = (sample.slowdown.min(MAX_JOB_SLOWDOWN), sample.run_ms * sample.weight);
         self.slowdown.add(now, SLOWDOWN_TIME_CONSTANT, slowdown, weight);
     }
 
-    /// Counts a job that an engine rejected for lack of capacity.
+    /// Counts a job that an engine rejected for lack of capacity, as one with the maximum slowdown.
     pub fn observe_overload(&mut self, now: Timestamp, run_ms: f64) {
         self.slowdown.add(now, SLOWDOWN_TIME_CONSTANT, MAX_JOB_SLOWDOWN, run_ms);
     }
 
-    /// The slowdown of the pool, drawn towards none where little is known.
+    /// Mean slowdown of the pool, close to 1 (none) if few jobs have been observed.
     pub fn update_slowdown(&mut self, now: Timestamp) -> f64 {
         self.slowdown.update_mean(now, SLOWDOWN_TIME_CONSTANT, 1.0, PRIOR_RUN_MS)
     }
 
-    /// Moves this gateway's limit.
+    /// Raises or lowers this gateway's limit.
     pub fn update_limit(&mut self, pool_slowdown: f64, load: GatewayLoad) {
         if pool_slowdown > OVERLOAD_SLOWDOWN {
-            let reduced = self.limit.min(load.expected_when_healthy) * LIMIT_REDUCTION;
-            self.limit = reduced.max(load.equal_share).max(load.expected_at_least);
-        } else if load.in_flight > MIN_USE_TO_GROW * self.limit {
-            self.limit *= LIMIT_GROWTH;
+            let reduced = self.max_threads.min(load.expected_when_healthy) * LIMIT_REDUCTION;
+            self.max_threads = reduced.max(load.min_share).max(load.expected_at_min_slowdown);
+        } else if load.in_flight > MIN_USE_TO_GROW * self.max_threads {
+            self.max_threads *= LIMIT_GROWTH;
         }
     }
 
-    /// Decides whether the pool is saturated; it stays so while jobs wait for capacity.
+    /// Updates whether the pool is saturated. Once saturated, it remains so while jobs wait for capacity.
     pub fn update_saturation(&mut self, pool_slowdown: f64, jobs_wait_for_capacity: bool) {
         self.saturated = pool_slowdown > SATURATION_SLOWDOWN || (self.saturated && jobs_wait_for_capacity);
     }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,4 +1,4 @@
-//! The admission controller: routes each event to the concern that decides on it and gathers the actions.
+//! The admission controller: passes each event to the modules that handle it and collects the resulting actions.
 //!
 //! `docs/design.md` gives the reasons for the decisions.
 
@@ -11,14 +11,14 @@
 
 /// Decides which job goes to which engine, when, and which jobs are rejected.
 ///
-/// It does no input or output and reads no clock: every event comes with its time and returns the actions that
-/// the caller has to carry out. Events have to come in the order of time.
+/// It does no input or output and reads no clock: the caller passes each event with its time, in the order of time, and
+/// carries out the returned actions.
 pub struct AdmissionController {
     state: ControllerState,
 }
 
 impl AdmissionController {
-    /// A controller that knows no engines yet. `seed` starts its random draws.
+    /// Creates a controller without engines. `seed` initializes its random number generator.
     pub fn new(now: Timestamp, seed: u64, settings: &Settings) -> AdmissionController {
         let settings = ControllerSettings::from(settings);
         let mut state = ControllerState::new(now, seed, settings);
@@ -27,7 +27,7 @@
         AdmissionController { state }
     }
 
-    /// The endpoint list has changed.
+    /// Handles an update of the endpoint list.
     pub fn endpoints_changed(
         &mut self,
         now: Timestamp,
@@ -39,21 +39,21 @@
         self.take_actions()
     }
 
-    /// A call to the endpoint list failed: the old list stands and is asked for again.
+    /// Handles a failed request for the endpoint list: the last list remains in use, and the list is requested again.
     pub fn endpoint_list_unavailable(&mut self, now: Timestamp) -> Actions {
         self.state.now = now;
         endpoints::unavailable(&mut self.state);
         self.take_actions()
     }
 
-    /// A client has submitted a job. Its class has to be one of the settings'.
+    /// Handles a job that a client has submitted. `job.class` must be the position of a class in the settings.
     pub fn submit(&mut self, now: Timestamp, id: JobId, job: Job) -> Actions {
         self.state.now = now;
         admission::submit(&mut self.state, id, job);
         self.take_actions()
     }
 
-    /// A dispatch has ended. `attempt` counts the job's dispatches from 0.
+    /// Handles the end of a dispatch. `attempt` is its number among the job's dispatches, from 0.
     pub fn dispatch_finished(
         &mut self,
         now: Timestamp,
@@ -70,7 +70,7 @@
         self.take_actions()
     }
 
-    /// An engine has sent progress of a dispatch.
+    /// Handles a progress update that an engine has sent for a dispatch.
     pub fn dispatch_progress(
         &mut self,
         now: Timestamp,
@@ -85,7 +85,8 @@
         self.take_actions()
     }
 
-    /// A streamed answer has begun: from here on the job is the client's.
+    /// Handles the start of a streamed answer. The job counts as finished, since the client receives the answer from
+    /// here on and the job can't be dispatched again.
     pub fn response_started(&mut self, now: Timestamp, id: JobId, attempt: u32) -> Actions {
         self.state.now = now;
         if let Some(job) = self.state.jobs.get_mut(&id)
@@ -96,7 +97,7 @@
         self.take_actions()
     }
 
-    /// The client has left.
+    /// Handles a client that has disconnected: cancels the dispatch of its job.
     pub fn client_disconnected(&mut self, now: Timestamp, id: JobId) -> Actions {
         self.state.now = now;
         if let Some(job) = self.state.jobs.get_mut(&id) {
@@ -107,7 +108,7 @@
         self.take_actions()
     }
 
-    /// A health check has ended.
+    /// Handles the result of a health check.
     pub fn health_check_finished(
         &mut self,
         now: Timestamp,
@@ -120,14 +121,14 @@
         self.take_actions()
     }
 
-    /// A planned shutdown: the process ends at `end`.
+    /// Starts a planned shutdown of the process, which ends at `end`.
     pub fn begin_shutdown(&mut self, now: Timestamp, end: Timestamp) -> Actions {
         self.state.now = now;
         draining::begin_shutdown(&mut self.state, end);
         self.take_actions()
     }
 
-    /// The time of [`Actions::next_timer`] has come.
+    /// Runs the timers that are due. The caller calls it at the time of [`Actions::next_timer`] or soon after.
     pub fn timer_fired(&mut self, now: Timestamp) -> Actions {
         self.state.now = now;
         while let Some(timer) = self.state.timers.pop_due(now) {
@@ -136,7 +137,7 @@
         self.take_actions()
     }
 
-    /// Number of entries that may grow with use, for whoever watches that it does not.
+    /// Number of retained entries (jobs, engines, table groups, keys), for detecting unbounded growth.
     pub fn retained_entries(&self) -> usize {
         self.state.retained_entries()
     }
@@ -146,14 +147,14 @@
         match timer {
             Timer::Maintenance => maintenance::run(state),
             Timer::PollEndpointList => state.actions.subscribe = true,
-            Timer::AnswerDeadline(id) => completion::expire(state, id),
+            Timer::AnswerDeadline(id) => completion::finish_without_result(state, id),
             Timer::ShutdownDeadline(open) => {
                 for id in open {
-                    completion::expire(state, id);
+                    completion::finish_without_result(state, id);
                 }
             }
             Timer::KeyAvailable => admission::place_waiting_jobs(state),
-            Timer::PlaceWaitingJobs => admission::retry_waiting_jobs(state),
+            Timer::PlaceWaitingJobs => admission::placement_timer_fired(state),
         }
     }
 
--- a/src/feedback.rs
+++ b/src/feedback.rs
@@ -1,4 +1,4 @@
-//! Learns from progress, results and health checks: costs, latencies, slowdown, failures.
+//! Updates estimates from progress, results and health checks: costs, latencies, slowdown and failures.
 
 use crate::engine::Engine;
 use crate::interface::{DispatchResult, DispatchStatus, EngineId, JobId, LoadReport, ProgressUpdate};
@@ -9,10 +9,10 @@
 use crate::utilization::{Demand, own_utilization};
 use crate::{health, selection};
 
-/// The least time that a bulk load is believed to lock its tables (ms).
+/// Minimum time for which another gateway's bulk load is assumed to keep its tables locked (ms).
 const MIN_BULK_LOAD_MS: f64 = 250.0;
 
-/// Learns from an engine's progress; returns whether it concerned the dispatch in flight.
+/// Handles an engine's progress update; returns whether it belongs to the dispatch in flight.
 pub fn progress(state: &mut ControllerState, id: JobId, attempt: u32, update: ProgressUpdate) -> bool {
     let now = state.now;
     let Some(job) = state.jobs.get_mut(&id) else { return false };
@@ -48,14 +48,14 @@
     }
 }
 
-/// The time that bulk loads usually take.
+/// The expected duration of a bulk load: the highest mean latency of the classes of bulk loads.
 fn bulk_load_time(state: &ControllerState) -> TimeDelta {
     let bulk_loads = state.classes.iter().filter(|class| class.settings.locks_tables);
     let latencies = bulk_loads.filter_map(|class| class.latency_ms);
     TimeDelta::from_millis_f64(latencies.fold(MIN_BULK_LOAD_MS, f64::max))
 }
 
-/// Notes the time of the whole job, projected from the fraction that is done.
+/// Records the total time of a running job, projected from the fraction that is completed.
 fn observe_projected_time(state: &mut ControllerState, id: JobId) {
     let Some(dispatch) = state.jobs[&id].in_flight() else { return };
     if dispatch.completed_fraction <= MIN_COMPLETED_FRACTION || dispatch.waited_for_bulk_load {
@@ -72,7 +72,8 @@
     slowdown::observe_elapsed(state, time);
 }
 
-/// Takes a job's dispatch in flight if it is this attempt, and learns from its result; returns whether it was.
+/// Handles the result of an attempt: removes the job's dispatch in flight and updates the estimates. Returns false if
+/// this attempt is not the one in flight.
 pub fn result(state: &mut ControllerState, id: JobId, attempt: u32, result: &DispatchResult) -> bool {
     let Some(job) = state.jobs.get_mut(&id) else { return false };
     if result.job_finished {
@@ -83,10 +84,10 @@
         let run = PossibleRun { engine: dispatch.engine, sent_at: dispatch.sent_at };
         job.possible_run = job.possible_run.or(Some(run));
     }
-    if end_is_unknown(result.status) {
+    if outcome_is_unknown(result.status) {
         job.outcome_unknown_at = Some(state.now);
     }
-    learn(state, id, &dispatch, result);
+    observe_result(state, id, &dispatch, result);
     true
 }
 
@@ -94,11 +95,16 @@
     !matches!(status, DispatchStatus::Overloaded | DispatchStatus::Unreachable | DispatchStatus::Expired)
 }
 
-fn end_is_unknown(status: DispatchStatus) -> bool {
+fn outcome_is_unknown(status: DispatchStatus) -> bool {
     matches!(status, DispatchStatus::TimedOut | DispatchStatus::ConnectionLost | DispatchStatus::Cancelled)
 }
 
-fn learn(state: &mut ControllerState, id: JobId, dispatch: &InFlightDispatch, result: &DispatchResult) {
+fn observe_result(
+    state: &mut ControllerState,
+    id: JobId,
+    dispatch: &InFlightDispatch,
+    result: &DispatchResult,
+) {
     load_report(state, dispatch.engine, result.load_report.as_ref());
     let job = &state.jobs[&id];
     let class = &state.classes[job.request.class];
@@ -118,14 +124,14 @@
     }
 }
 
-/// Notes an engine's load report, if there is one.
+/// Records an engine's load report, if the result carries one.
 pub fn load_report(state: &mut ControllerState, engine: EngineId, report: Option<&LoadReport>) {
     if let Some((engine, report)) = state.pool.engines.get_mut(&engine).zip(report) {
         engine.note_load_report(state.now, report);
     }
 }
 
-/// Learns from a job that an engine has completed.
+/// Updates the estimates with a job that an engine has completed.
 fn completed(state: &mut ControllerState, id: JobId, dispatch: &InFlightDispatch, result: &DispatchResult) {
     let elapsed_ms = result.elapsed.as_millis_f64();
     learn_costs(state, id, dispatch, result);
@@ -182,7 +188,7 @@
     state.selection.learn(choice, latency_ms);
 }
 
-/// Learns from a health check's result.
+/// Handles the result of a health check.
 pub fn health_check(state: &mut ControllerState, id: EngineId, result: &DispatchResult) {
     let now = state.now;
     let Some(engine) = state.pool.engines.get_mut(&id) else { return };
@@ -196,19 +202,20 @@
     if let Some(report) = &result.load_report {
         engine.note_load_report(now, report);
     }
-    let rests_on_processor =
+    let needs_elapsed_time =
         |engine: &Engine| engine.limit.covers_all_gateways || engine.reported.jobs_in_flight.is_none();
-    if result.status == DispatchStatus::Completed && rests_on_processor(engine) {
+    if result.status == DispatchStatus::Completed && needs_elapsed_time(engine) {
         state.health_checks.observe_elapsed(engine, result.elapsed);
         detect_restart(state, id, jobs_before, now);
     }
 }
 
-/// An engine that has restarted unseen by the endpoint list warms up, however idle it looks.
+/// Starts the warm-up of an engine that appears to have restarted although the endpoint list shows no restart: it is
+/// idle but does not have its full capacity.
 fn detect_restart(state: &mut ControllerState, id: EngineId, jobs_before: f64, now: Timestamp) {
     let warm_up_time = state.settings.contract.warm_up_time;
     let Some(engine) = state.pool.engines.get_mut(&id) else { return };
-    if health::has_restarted_unseen(engine, jobs_before, now, warm_up_time) {
+    if health::has_unlisted_restart(engine, jobs_before, now, warm_up_time) {
         engine.endpoint.started_at = Some(now);
         state.pool.warming_up.push(id);
     }
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,4 +1,4 @@
-//! Decides when an engine is health-checked, and what a check's elapsed time shows of its load.
+//! Budget for health checks, and the load of an engine as shown by the elapsed time of its checks.
 
 use crate::concurrency::OVERLOAD_SLOWDOWN;
 use crate::engine::Engine;
@@ -7,101 +7,106 @@
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// The age from which a report of all gateways' load is refreshed; engines are checked at most this often.
-pub const MAX_CHECK_AGE: TimeDelta = TimeDelta(500_000);
+/// Minimum interval between health checks of one engine. A load report that is older is refreshed by a check.
+pub const MIN_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
 
-/// The most health checks that are saved up for later jobs.
+/// Maximum number of tokens in the bucket; each allows one health check.
 const MAX_TOKENS: f64 = 12.0;
-/// The part of the saved checks that jobs of little value leave to others.
-const TOKENS_FOR_VALUABLE_JOBS: f64 = 0.5;
-const CHECKS_PER_JOB_IN_SMALL_FLEET: f64 = 0.25;
-const MAX_CHECKS_PER_JOB: f64 = 4.0;
-/// Points that health checks may cost, per job.
-const PRICE_PER_JOB: f64 = 0.025;
-/// Checks that a job needs for its pair.
+/// Fraction of [`MAX_TOKENS`] that is reserved for jobs of at least the mean priority weight.
+const RESERVED_TOKEN_FRACTION: f64 = 0.5;
+/// Tokens added for each job in a small gateway fleet.
+const TOKENS_PER_JOB_IN_SMALL_FLEET: f64 = 0.25;
+/// Maximum number of tokens added for each job in a large gateway fleet.
+const MAX_TOKENS_PER_JOB: f64 = 4.0;
+/// Points that health checks may cost for each job in a large gateway fleet.
+const CHECK_POINTS_PER_JOB: f64 = 0.025;
+/// Number of health checks that give load reports for both engines of a job's pair.
 const CHECKS_PER_PAIR: f64 = 2.0;
 
-/// Below this processor utilization a check's time varies by itself, not by load.
+/// Below this processor utilization, differences between the elapsed times of an engine's checks are jitter, not load.
 const IDLE_UTILIZATION: f64 = 0.5;
-/// Differences behind the mean variation of checks at a location.
-const VARIATION_MEMORY: f64 = 32.0;
-/// The fewest differences that the variation may rest on.
-const MIN_VARIATION_COUNT: u32 = 4;
-/// A check shows load only if it takes longer than the least time by this multiple of the mean variation.
-const MIN_VARIATIONS_ABOVE_LEAST: f64 = 4.0;
-/// How fast the least time of a location rises from check to check.
-const LEAST_TIME_RISE: f64 = 1.0005;
-const MIN_LEAST_TIME_MS: f64 = 1e-3;
+/// Number of recent differences between consecutive checks over which a location's jitter is averaged, approximately.
+const MAX_JITTER_SAMPLES: f64 = 32.0;
+/// Minimum number of such differences before elapsed times are taken as a sign of load.
+const MIN_JITTER_SAMPLES: u32 = 4;
+/// A check shows load only if it exceeds the location's minimum time by more than this multiple of the mean jitter.
+const MIN_JITTER_MULTIPLE: f64 = 4.0;
+/// Factor by which the minimum time of a location grows with each check, so that it does not stay too low permanently.
+const MIN_TIME_GROWTH_PER_CHECK: f64 = 1.0005;
+/// Lower bound of a location's minimum time (ms).
+const MIN_TIME_FLOOR_MS: f64 = 1e-3;
 
-/// Health checks that the ordinary job may cause: in a large fleet, by the price of a check.
+/// Number of health checks added to the budget for each submitted job; in a large gateway fleet it depends on their
+/// price.
 pub fn checks_per_job(settings: &ControllerSettings, gateway_fleet_is_large: bool) -> f64 {
     if !gateway_fleet_is_large {
-        return CHECKS_PER_JOB_IN_SMALL_FLEET;
+        return TOKENS_PER_JOB_IN_SMALL_FLEET;
     }
-    (PRICE_PER_JOB / settings.health_check_price.max(1e-6)).min(MAX_CHECKS_PER_JOB)
+    (CHECK_POINTS_PER_JOB / settings.health_check_price.max(1e-6)).min(MAX_TOKENS_PER_JOB)
 }
 
-/// Whether checks are too dear for each job's pair.
+/// Whether the budget is too small for health checks of both engines of each job's pair.
 pub fn lacks_load_reports(settings: &ControllerSettings, gateway_fleet_is_large: bool) -> bool {
     gateway_fleet_is_large && checks_per_job(settings, gateway_fleet_is_large) < CHECKS_PER_PAIR
 }
 
-/// The budget of health checks, and what is usual for their time at each location.
+/// Token bucket that limits health checks, and statistics of their elapsed times by location.
 #[derive(Default)]
 pub struct HealthChecks {
     tokens: f64,
-    /// The least time of a check (ms); rises slowly.
-    least_elapsed_ms: BTreeMap<usize, f64>,
-    /// How much checks of one engine that is not busy vary from one to the next (ms).
-    variation_ms: BTreeMap<usize, MeanSuccessiveDifference>,
+    /// Minimum elapsed time of a check (ms) at each location; grows slowly.
+    min_elapsed_ms: BTreeMap<usize, f64>,
+    /// Mean difference (ms) between consecutive checks of an idle engine, at each location.
+    jitter_ms: BTreeMap<usize, MeanSuccessiveDifference>,
 }
 
 impl HealthChecks {
-    /// A job was submitted: adds the checks that it may cause.
+    /// Adds the tokens for a submitted job, see [`checks_per_job`].
     pub fn add_tokens(&mut self, checks: f64) {
         self.tokens = (self.tokens + checks).min(MAX_TOKENS);
     }
 
-    /// Takes the token of one check.
+    /// Takes the token for one check.
     pub fn take_token(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Whether one more check can be paid for besides `count` others.
-    pub fn has_token_besides(&self, count: usize) -> bool {
+    /// Whether a token for one more check is left after `count` other checks have taken theirs.
+    pub fn has_token_after(&self, count: usize) -> bool {
         self.tokens >= 1.0 + count as f64
     }
 
-    /// Whether enough is saved up for jobs of little value too.
-    pub fn has_tokens_for_all(&self) -> bool {
-        self.tokens > TOKENS_FOR_VALUABLE_JOBS * MAX_TOKENS
+    /// Whether there are more tokens than those reserved for jobs of at least the mean priority weight.
+    pub fn has_unreserved_tokens(&self) -> bool {
+        self.tokens > RESERVED_TOKEN_FRACTION * MAX_TOKENS
     }
 
-    /// Raises the engine's processor utilization to what the check's elapsed time shows.
+    /// Raises the engine's processor utilization to the load that the check's elapsed time shows.
     ///
-    /// Reported processor utilization is capped at full use and falls when memory runs out. The elapsed time shows
-    /// more, once it is known how much it varies without load.
+    /// Reported processor utilization is capped at full use and falls when memory runs out. The elapsed time also shows
+    /// an overload, once the jitter of checks without load is known.
     pub fn observe_elapsed(&mut self, engine: &mut Engine, elapsed: TimeDelta) {
         let elapsed_ms = elapsed.as_millis_f64();
         let location = engine.endpoint.location;
-        let least = self.least_elapsed_ms.entry(location).or_insert(f64::INFINITY);
-        *least = (*least * LEAST_TIME_RISE).min(elapsed_ms).max(MIN_LEAST_TIME_MS);
-        let variation = self.variation_ms.entry(location).or_default();
+        let min_ms = self.min_elapsed_ms.entry(location).or_insert(f64::INFINITY);
+        *min_ms = (*min_ms * MIN_TIME_GROWTH_PER_CHECK).min(elapsed_ms).max(MIN_TIME_FLOOR_MS);
+        let jitter = self.jitter_ms.entry(location).or_default();
         let is_idle = engine.reported.processor.is_some_and(|utilization| utilization < IDLE_UTILIZATION);
         let previous = engine.health_check.idle_elapsed_ms.take();
         engine.health_check.idle_elapsed_ms = is_idle.then_some(elapsed_ms);
         if let Some((previous, current)) = previous.zip(engine.health_check.idle_elapsed_ms) {
-            variation.add((current - previous).abs(), VARIATION_MEMORY);
+            jitter.add((current - previous).abs(), MAX_JITTER_SAMPLES);
         }
-        let shows_load = variation.count() >= MIN_VARIATION_COUNT
-            && elapsed_ms > *least + MIN_VARIATIONS_ABOVE_LEAST * variation.mean();
-        let by_time = if shows_load { elapsed_ms / *least / OVERLOAD_SLOWDOWN } else { 0.0 };
+        let shows_load = jitter.count() >= MIN_JITTER_SAMPLES
+            && elapsed_ms > *min_ms + MIN_JITTER_MULTIPLE * jitter.mean();
+        let by_time = if shows_load { elapsed_ms / *min_ms / OVERLOAD_SLOWDOWN } else { 0.0 };
         engine.reported.processor = engine.reported.processor.map(|utilization| utilization.max(by_time));
     }
 }
 
-/// Whether an engine has restarted unseen by the endpoint list: it had many jobs in flight and then none.
-pub fn has_restarted_unseen(
+/// Whether a warm engine appears to have restarted although the endpoint list shows no restart: it had many jobs in
+/// flight (`jobs_before`) and now reports none.
+pub fn has_unlisted_restart(
     engine: &Engine,
     jobs_before: f64,
     now: Timestamp,
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -1,9 +1,10 @@
-//! What is done at regular intervals: limits move, silent engines are ejected, half-open ones checked, what is not
-//! used any more is evicted.
+//! Periodic maintenance: updates limits, ejects silent engines, health-checks half-open ones and evicts unused entries.
 
-use crate::concurrency::{EngineLoad, GatewayLoad, HEALTHY_SLOWDOWN, MIN_LIMIT_OF_SHARE, MIN_LIMIT_SLOWDOWN};
+use crate::concurrency::{
+    EngineLoad, GatewayLoad, HEALTHY_SLOWDOWN, MIN_LIMIT_FRACTION_OF_SHARE, MIN_LIMIT_SLOWDOWN,
+};
 use crate::engine::THREADS_PER_CORE;
-use crate::health::MAX_CHECK_AGE;
+use crate::health::MIN_CHECK_INTERVAL;
 use crate::interface::EngineId;
 use crate::job::PendingJob;
 use crate::state::ControllerState;
@@ -13,11 +14,11 @@
 use crate::{admission, rules, stuck_jobs};
 use std::collections::BTreeSet;
 
-/// The interval of maintenance.
-pub const INTERVAL: TimeDelta = TimeDelta(250_000);
+/// Interval between two runs of maintenance.
+pub const INTERVAL: TimeDelta = TimeDelta::from_millis(250);
 
-/// How long engines that are gone and table groups that are not met are remembered.
-const RETENTION: TimeDelta = TimeDelta(60_000_000);
+/// How long engines that are gone and table groups without new jobs are kept.
+const RETENTION: TimeDelta = TimeDelta::from_millis(60_000);
 
 /// Runs all maintenance and schedules the next run.
 pub fn run(state: &mut ControllerState) {
@@ -25,7 +26,7 @@
     state.selection.step_target(state.now);
     update_limits(state);
     stuck_jobs::observe_overdue_jobs(state);
-    stuck_jobs::expire_hopeless_jobs(state);
+    stuck_jobs::shed_late_jobs(state);
     stuck_jobs::eject_silent_engines(state);
     check_half_open_engines(state);
     evict_unused(state);
@@ -53,8 +54,8 @@
     let load = GatewayLoad {
         in_flight: state.pool.threads_in_flight(),
         expected_when_healthy: traffic.expected_threads(now, HEALTHY_SLOWDOWN),
-        expected_at_least: traffic.expected_threads(now, MIN_LIMIT_SLOWDOWN),
-        equal_share: MIN_LIMIT_OF_SHARE * THREADS_PER_CORE * state.pool.running_cores
+        expected_at_min_slowdown: traffic.expected_threads(now, MIN_LIMIT_SLOWDOWN),
+        min_share: MIN_LIMIT_FRACTION_OF_SHARE * THREADS_PER_CORE * state.pool.running_cores
             / state.settings.gateway_count,
     };
     state.concurrency.update_limit(pool_slowdown, load);
@@ -65,7 +66,7 @@
     state.concurrency.update_saturation(pool_slowdown, jobs_wait);
 }
 
-/// Health-checks the half-open engines that have nothing in flight.
+/// Starts health checks of the half-open engines that have no dispatch in flight.
 fn check_half_open_engines(state: &mut ControllerState) {
     if !state.settings.permissions.health_checks {
         return;
@@ -74,14 +75,14 @@
         let engine = &state.pool.engines[&id];
         let is_due = engine.ejection.half_open
             && engine.in_flight.dispatches == 0
-            && state.now - engine.health_check.sent_at >= MAX_CHECK_AGE;
+            && state.now - engine.health_check.sent_at >= MIN_CHECK_INTERVAL;
         if is_due {
             state.start_health_check(id);
         }
     }
 }
 
-/// Forgets engines that are gone and that no open job concerns, and table groups and keys that are not in use any more.
+/// Evicts engines that are gone and have no open job, and table groups and keys that are no longer in use.
 fn evict_unused(state: &mut ControllerState) {
     let now = state.now;
     let used: BTreeSet<EngineId> = state.jobs.values().flat_map(PendingJob::engines).collect();
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,9 +1,10 @@
-//! Decides how much a warming engine gets: slow start after an engine's start.
+//! Slow start: decides how much work a gateway may send to an engine that has recently started.
 //!
-//! What all gateways send to a warming engine within one window has to stay under a stated multiple of what it can
-//! do then. A gateway keeps to its equal share of that. Where that is less than a job, gateways take turns: time
-//! since the engine's start is cut into slots of one window's length, and the engine, the slot and the gateway's own
-//! number say whose slot it is, so that all agree without talking.
+//! The work that all gateways send to a warming engine within one window must stay below a budget: a configured
+//! multiple of the work that the engine can do in that time. Each gateway uses an equal share of the budget. If an
+//! equal share is less than one job, the time since the engine's start is divided into slots of one window each, and
+//! only some gateways, the holders of a slot, may send during it. A hash of engine and slot determines the holders,
+//! so that all gateways agree without communication.
 
 use crate::engine::Engine;
 use crate::estimators::mix64;
@@ -12,30 +13,32 @@
 use crate::settings::ControllerSettings;
 use crate::time::Timestamp;
 
-/// The part of the budget that is used: capacity and work are guesses.
+/// Fraction of the budget that is used with equal shares; the rest allows for errors in the estimates of capacity and
+/// work.
 const SHARED_BUDGET_FRACTION: f64 = 0.6;
-/// The part of the budget that is used in one slot: a window meets two.
+/// Fraction of the budget that is used in one slot: a window can overlap two slots.
 const SLOT_BUDGET_FRACTION: f64 = 0.4;
-/// One slot in this many is for heavy jobs: most gateways have light jobs at hand, few a heavy one just then.
+/// Every n-th slot is sized for the heaviest job class. The others are sized for the lightest one, as most gateways
+/// have light jobs pending and few have a heavy one at that moment.
 const HEAVY_SLOT_INTERVAL: i64 = 3;
-/// Light jobs that a slot's holder is to have room for.
+/// Number of jobs of the lightest class that the budget of a slot should allow each of its holders.
 const LIGHT_JOBS_PER_HOLDER: f64 = 2.0;
 
-/// What slow start rests on.
+/// Slow-start limits, computed from a view of the controller's state.
 #[derive(Clone, Copy)]
 pub struct SlowStart<'a> {
-    /// The settings.
+    /// Contract and number of gateways.
     pub settings: &'a ControllerSettings,
-    /// The job classes.
+    /// The job classes, whose estimated work determines how many gateways hold a slot.
     pub classes: &'a [JobClass],
-    /// The time.
+    /// Time of the event that is being handled.
     pub now: Timestamp,
-    /// When this gateway started: it may have forgotten what it sent before.
+    /// When this gateway started; what it sent before a restart is unknown.
     pub gateway_started_at: Timestamp,
 }
 
 impl SlowStart<'_> {
-    /// The part of its capacity that an engine has now, by the time since its start.
+    /// Fraction of its full capacity that an engine has now, by the time since its start.
     pub fn capacity_fraction(&self, engine: &Engine) -> f64 {
         self.capacity_fraction_at(engine, self.now)
     }
@@ -48,9 +51,9 @@
         engine.endpoint.started_at.map_or(1.0, fraction)
     }
 
-    /// Typical work (ms on one thread) that this gateway may still send to an engine within the window; infinite
-    /// for a warm engine.
-    pub fn remaining_budget(&self, engine: &Engine) -> f64 {
+    /// Work (ms on one thread, each job counted with its class's typical work) that this gateway may still send to an
+    /// engine within the window; infinite for a warm engine.
+    pub fn remaining_budget_ms(&self, engine: &Engine) -> f64 {
         let window = self.settings.contract.warm_up_window;
         let Some(started_at) = engine.endpoint.started_at.filter(|started_at| !self.is_warm(*started_at))
         else {
@@ -58,54 +61,56 @@
         };
         let sent = engine.slow_start_work.sum_since(self.now - window);
         if equal_share_is_below_one_thread(engine, self.settings.gateway_count) {
-            self.slot_budget(engine, started_at, sent)
+            self.slot_budget_ms(engine, started_at, sent)
         } else {
-            let whole = self.whole_budget(engine, self.now);
-            SHARED_BUDGET_FRACTION * whole / self.settings.gateway_count - sent
+            let total = self.total_budget_ms(engine, self.now);
+            SHARED_BUDGET_FRACTION * total / self.settings.gateway_count - sent
         }
     }
 
-    /// Whether this gateway takes turns at this engine and it is warming up.
-    pub fn takes_turns(&self, engine: &Engine) -> bool {
+    /// Whether the engine is warming up and its budget is divided into slots.
+    pub fn uses_slots(&self, engine: &Engine) -> bool {
         equal_share_is_below_one_thread(engine, self.settings.gateway_count)
-            && self.remaining_budget(engine) < f64::INFINITY
+            && self.remaining_budget_ms(engine) < f64::INFINITY
     }
 
-    /// Whether the engine is warming up and this gateway may send something there now.
-    pub fn has_finite_budget(&self, engine: &Engine) -> bool {
-        (1e-9..f64::INFINITY).contains(&self.remaining_budget(engine))
+    /// Whether the engine is warming up and this gateway has budget left for it.
+    pub fn has_warm_up_budget(&self, engine: &Engine) -> bool {
+        (1e-9..f64::INFINITY).contains(&self.remaining_budget_ms(engine))
     }
 
-    /// No window that begins while the engine warms up may meet what is sent to a warm one: all gateways would send
-    /// at once, and clocks differ.
+    /// Whether an engine is no longer subject to slow start: one window after its warm-up time. A window that begins
+    /// during warm-up must not contain unlimited dispatches, as all gateways would send at the same moment and clocks
+    /// differ.
     fn is_warm(&self, started_at: Timestamp) -> bool {
         let contract = &self.settings.contract;
         let unlimited_after = contract.warm_up_time + contract.warm_up_window;
         self.now >= started_at + unlimited_after || contract.warm_up_overload_factor <= 0.0
     }
 
-    /// Work that all gateways together may send within one window.
-    fn whole_budget(&self, engine: &Engine, at: Timestamp) -> f64 {
+    /// Work (ms on one thread) that all gateways together may send within one window.
+    fn total_budget_ms(&self, engine: &Engine, at: Timestamp) -> f64 {
         let contract = &self.settings.contract;
         let capacity = contract.warm_up_overload_factor * self.capacity_fraction_at(engine, at);
         capacity * engine.cores * contract.warm_up_window.as_millis_f64()
     }
 
-    /// What is left of this gateway's part of the present slot, if it holds one.
-    fn slot_budget(&self, engine: &Engine, started_at: Timestamp, sent: f64) -> f64 {
+    /// What is left of this gateway's budget in the current slot (ms on one thread); 0 if the gateway is not a holder
+    /// of the slot, or started less than a window ago and may have sent work before that it does not know of.
+    fn slot_budget_ms(&self, engine: &Engine, started_at: Timestamp, sent: f64) -> f64 {
         let (window, gateway_count) = (self.settings.contract.warm_up_window, self.settings.gateway_count);
         let slot = (self.now - started_at).0.max(0) / window.0.max(1);
         let slot_start = started_at + window.mul_f64(slot as f64);
-        let budget = SLOT_BUDGET_FRACTION * self.whole_budget(engine, slot_start);
-        let holders = (budget / self.work_per_holder(slot)).floor().clamp(1.0, gateway_count);
+        let budget = SLOT_BUDGET_FRACTION * self.total_budget_ms(engine, slot_start);
+        let holders = (budget / self.work_per_holder_ms(slot)).floor().clamp(1.0, gateway_count);
         let first_holder = (mix64(engine.name_hash ^ slot as u64) % gateway_count as u64) as f64;
         let position = (first_holder + self.settings.gateway_ordinal) % gateway_count;
-        let remembers_window = self.gateway_started_at + window <= self.now;
-        if position < holders && remembers_window { budget / holders - sent } else { 0.0 }
+        let knows_sent_work = self.gateway_started_at + window <= self.now;
+        if position < holders && knows_sent_work { budget / holders - sent } else { 0.0 }
     }
 
-    /// Work that one holder of a slot is to have room for.
-    fn work_per_holder(&self, slot: i64) -> f64 {
+    /// Work (ms on one thread) that the budget of a slot should allow each of its holders.
+    fn work_per_holder_ms(&self, slot: i64) -> f64 {
         let guessed = self.classes.iter().map(JobClass::guessed_work_ms);
         if slot % HEAVY_SLOT_INTERVAL == 0 {
             guessed.fold(1.0, f64::max)
--- a/src/slowdown.rs
+++ b/src/slowdown.rs
@@ -1,52 +1,53 @@
-//! Learns the slowdown of engines, classes and the pool from the times that jobs take.
+//! Estimates the slowdown of engines, classes and the pool from the elapsed times of jobs.
 
 use crate::concurrency::{OVERLOAD_SLOWDOWN, SlowdownSample};
 use crate::interface::{EngineId, JobId};
 use crate::job::ExecutionMode;
 use crate::state::ControllerState;
 
-/// The time of the whole job is not projected from a smaller completed fraction.
+/// Minimum completed fraction of a job from which its total time is projected.
 pub const MIN_COMPLETED_FRACTION: f64 = 0.02;
 
-/// Weight of the slowdown of a job that still runs.
+/// Weight of the slowdown of a running job, relative to that of a finished one.
 const RUNNING_JOB_WEIGHT: f64 = 0.25;
 
 /// Whether an elapsed time is final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobStage {
-    /// It still runs: the time is projected or counted so far.
+    /// The job still runs: the time is projected, or the time since its dispatch.
     Running,
-    /// It is finished.
+    /// The job has finished in this time.
     Finished,
 }
 
-/// What an elapsed time is evidence of.
+/// Which slowdown estimates an elapsed time contributes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlowdownScope {
-    /// Only its engine.
+    /// Only that of the engine.
     Engine,
-    /// Its engine and the pool.
+    /// Those of the engine and the pool.
     Pool,
 }
 
-/// A job's time on an engine.
+/// The elapsed time of a job on an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct ElapsedTime {
-    /// The job.
+    /// The job that took the time.
     pub job: JobId,
-    /// The engine.
+    /// The engine that the job was sent to.
     pub engine: EngineId,
-    /// The time of the whole job (ms).
+    /// Time from dispatch to the end of the job, projected or so far if the job still runs (ms).
     pub elapsed_ms: f64,
     /// Whether the time is final.
     pub stage: JobStage,
-    /// What it is evidence of.
+    /// Which estimates it contributes to.
     pub scope: SlowdownScope,
-    /// How the job runs.
+    /// Whether the job runs in memory or spills; the class has a baseline for each.
     pub mode: ExecutionMode,
 }
 
-/// Notes a job's time against its unloaded run time, and what is usual for its class without load.
+/// Adds the slowdown of a job to the estimates: its elapsed time over its unloaded run time, divided by the baseline
+/// of its class.
 pub fn observe_elapsed(state: &mut ControllerState, time: ElapsedTime) {
     let (now, visibility) = (state.now, state.visibility());
     let job = &state.jobs[&time.job];
@@ -57,14 +58,16 @@
     if is_finished {
         class_slowdown.observe(now, time.elapsed_ms / run_ms, run_ms);
     }
-    // A gateway that starts in an overload believes estimates: no job comes back to show their baseline.
-    let presumed = (visibility.lacks_load_reports && !is_finished).then_some(1.0);
-    let Some(baseline) = class_slowdown.baseline.or(presumed) else { return };
+    // During an overload no job may finish to show the baseline of its class. A gateway without load reports then
+    // assumes that estimates are right.
+    let assumed = (visibility.lacks_load_reports && !is_finished).then_some(1.0);
+    let Some(baseline) = class_slowdown.baseline.or(assumed) else { return };
     let Some(engine) = state.pool.engines.get_mut(&time.engine) else { return };
     let slowdown = time.elapsed_ms / run_ms / baseline;
     let weight = if is_finished { 1.0 } else { RUNNING_JOB_WEIGHT };
     let sample = SlowdownSample { slowdown, run_ms, weight };
-    // What is known of an engine's overload is that engine's: the pool is what jobs meet elsewhere.
+    // Without load reports, jobs on an engine that is known to be overloaded do not count towards the slowdown of the
+    // pool: it is meant to show what jobs meet on the other engines.
     let is_known_overload =
         || visibility.lacks_load_reports && engine.limit.slowdown_at(now, visibility) > OVERLOAD_SLOWDOWN;
     if time.scope == SlowdownScope::Pool && !is_known_overload() {
--- a/src/stuck_jobs.rs
+++ b/src/stuck_jobs.rs
@@ -1,5 +1,5 @@
-//! Decides which jobs in flight are cancelled: those that are stuck where a fresh dispatch would be in time, and late
-//! ones that keep an overload going.
+//! Decides which dispatches in flight are cancelled: those of stuck jobs that would meet their objective if dispatched
+//! again, and those of late jobs that prolong an overload.
 
 use crate::concurrency::OVERLOAD_SLOWDOWN;
 use crate::interface::{EngineId, JobId};
@@ -10,41 +10,43 @@
 use crate::time::TimeDelta;
 use crate::{completion, rules};
 
-/// Progress intervals without an update after which a dispatch or an engine counts as silent.
-const SILENT_INTERVALS: f64 = 2.0;
-/// How much longer an engine may be silent before it is ejected.
-const SILENCE_MARGIN: TimeDelta = TimeDelta(500_000);
-/// A dispatch is cancelled only if its remaining time exceeds this multiple of a fresh dispatch's time.
-const MIN_GAIN: f64 = 2.0;
-/// The least part of its work that a job is believed to have left.
+/// Number of progress intervals without an update after which progress is overdue.
+const MAX_SILENT_INTERVALS: f64 = 2.0;
+/// Additional time without any message from an engine before it is ejected.
+const SILENCE_MARGIN: TimeDelta = TimeDelta::from_millis(500);
+/// A dispatch is cancelled only if its remaining time exceeds this multiple of the time that a new dispatch is
+/// expected to take.
+const MIN_REMAINING_OVER_NEW_TIME: f64 = 2.0;
+/// Lower bound of the fraction of its work that a job is assumed to have left, whatever progress it reports.
 const MIN_REMAINING_FRACTION: f64 = 0.05;
 
-/// Cancels a restartable job that is stuck, where a fresh dispatch would still meet its objective and this one would
-/// not.
+/// Cancels the dispatch of a restartable job that is stuck, if a new dispatch would still meet the job's objective
+/// and this one would not.
 pub fn reevaluate(state: &mut ControllerState, id: JobId) {
     let job = &state.jobs[&id];
     let is_restartable = state.class_settings_of(job).retry_safety == RetrySafety::Restartable;
     let Some(dispatch) = job.active_dispatch().filter(|dispatch| !dispatch.cancelled) else { return };
     let may_move = is_restartable && rules::may_dispatch_again(state, id) && state.pool.running.len() > 1;
-    let is_stuck = || {
+    let should_move = || {
         !awaits_first_progress(state, dispatch)
             && has_better_engine(state, job, dispatch)
-            && would_gain(state, job, dispatch)
+            && new_dispatch_is_faster(state, job, dispatch)
     };
-    if may_move && is_stuck() {
+    if may_move && should_move() {
         completion::cancel_dispatch(state, id);
     }
 }
 
-/// Whether no progress has come yet and none is overdue.
+/// Whether no progress has been received yet and none is overdue.
 fn awaits_first_progress(state: &ControllerState, dispatch: &InFlightDispatch) -> bool {
     let interval_ms = state.settings.progress_interval.unwrap_or_default().as_millis_f64();
     dispatch.completed_fraction == 0.0
         && !dispatch.waited_for_bulk_load
-        && dispatch.age(state.now).as_millis_f64() < SILENT_INTERVALS * interval_ms
+        && dispatch.age(state.now).as_millis_f64() < MAX_SILENT_INTERVALS * interval_ms
 }
 
-/// Behind a bulk load there is no use in going where other bulk loads lock the same tables.
+/// Whether the job may be better off on another engine. A job that waited for a bulk load gains only from an engine
+/// where no bulk load locks its tables.
 fn has_better_engine(state: &ControllerState, job: &PendingJob, dispatch: &InFlightDispatch) -> bool {
     let table_group = job.request.table_group;
     let is_free = |id: &EngineId| {
@@ -53,20 +55,22 @@
     !dispatch.waited_for_bulk_load || state.pool.running.iter().any(is_free)
 }
 
-/// Whether a fresh dispatch would meet the objective, and this one would neither meet it nor come close.
-fn would_gain(state: &ControllerState, job: &PendingJob, dispatch: &InFlightDispatch) -> bool {
+/// Whether a new dispatch is expected to meet the objective, while this one is expected to miss it and to take longer
+/// than a new one by [`MIN_REMAINING_OVER_NEW_TIME`].
+fn new_dispatch_is_faster(state: &ControllerState, job: &PendingJob, dispatch: &InFlightDispatch) -> bool {
     let class = state.class_of(job);
-    let relative_work = |latency_ms: f64| latency_ms * job.work_ms / class.typical_work_ms().max(1.0);
-    let fresh_ms = relative_work(class.latency_ms.unwrap_or(0.0));
+    let scaled_to_job = |latency_ms: f64| latency_ms * job.work_ms / class.typical_work_ms().max(1.0);
+    let new_ms = scaled_to_job(class.latency_ms.unwrap_or(0.0));
     let age_ms = dispatch.age(state.now).as_millis_f64();
     let is_progressing = dispatch.completed_fraction > 0.0 && !dispatch.waited_for_bulk_load;
     let remaining_ms =
         if is_progressing { age_ms / dispatch.completed_fraction - age_ms } else { f64::INFINITY };
     let time_left_ms = (job.objective_deadline - state.now).as_millis_f64();
-    fresh_ms < time_left_ms && remaining_ms > time_left_ms.max(MIN_GAIN * fresh_ms)
+    new_ms < time_left_ms && remaining_ms > time_left_ms.max(MIN_REMAINING_OVER_NEW_TIME * new_ms)
 }
 
-/// Notes the age of jobs that are overdue as their time: from an overload none comes back.
+/// Records the age of overdue dispatches as their elapsed time. During an overload no job may finish, so that results
+/// alone would not show the slowdown.
 pub fn observe_overdue_jobs(state: &mut ControllerState) {
     let overdue: Vec<ElapsedTime> =
         state.jobs.iter().filter_map(|(id, job)| overdue_time(state, *id, job)).collect();
@@ -84,10 +88,10 @@
     if elapsed_ms <= OVERLOAD_SLOWDOWN * job.run_ms {
         return None;
     }
-    // Silence is evidence against the engine or its network path, not against the pool.
-    let engine_speaks =
+    // Missing progress points to a fault of the engine or its network path, not to a slow pool.
+    let sends_progress =
         state.settings.progress_interval.is_none() || dispatch.last_update_at > dispatch.sent_at;
-    let scope = if engine_speaks { SlowdownScope::Pool } else { SlowdownScope::Engine };
+    let scope = if sends_progress { SlowdownScope::Pool } else { SlowdownScope::Engine };
     Some(ElapsedTime {
         job: id,
         engine: dispatch.engine,
@@ -98,16 +102,17 @@
     })
 }
 
-/// Gives up late jobs that keep an overload going and are worth less than a usual job in their place.
-pub fn expire_hopeless_jobs(state: &mut ControllerState) {
-    let hopeless: Vec<JobId> =
-        state.jobs.iter().filter(|(_, job)| is_hopeless(state, job)).map(|(id, _)| *id).collect();
-    for id in hopeless {
-        completion::expire(state, id);
+/// Sheds late jobs on overloaded engines if the value of their answer per second of remaining work is below the mean of
+/// recently arrived jobs, which could run instead.
+pub fn shed_late_jobs(state: &mut ControllerState) {
+    let shed: Vec<JobId> =
+        state.jobs.iter().filter(|(_, job)| should_shed(state, job)).map(|(id, _)| *id).collect();
+    for id in shed {
+        completion::finish_without_result(state, id);
     }
 }
 
-fn is_hopeless(state: &ControllerState, job: &PendingJob) -> bool {
+fn should_shed(state: &ControllerState, job: &PendingJob) -> bool {
     let class = state.class_settings_of(job);
     let Some(dispatch) = job.active_dispatch().filter(|dispatch| !dispatch.cancelled) else { return false };
     let is_late = class.retry_safety == RetrySafety::Restartable && state.now > job.objective_deadline;
@@ -120,10 +125,10 @@
         && late_value_rate < state.traffic.value_rate.mean_or(0.0)
 }
 
-/// Ejects engines from which nothing is heard though progress is due, and looks at their jobs again.
+/// Ejects engines that have sent nothing although progress is overdue, and cancels their stuck jobs.
 pub fn eject_silent_engines(state: &mut ControllerState) {
     let Some(interval) = state.settings.progress_interval else { return };
-    let max_silence = interval.mul_f64(SILENT_INTERVALS) + SILENCE_MARGIN;
+    let max_silence = interval.mul_f64(MAX_SILENT_INTERVALS) + SILENCE_MARGIN;
     let is_silent = |dispatch: &&InFlightDispatch| {
         let engine = state.pool.engines.get(&dispatch.engine);
         let last_response_at = engine.map_or(state.now, |engine| engine.last_response_at);
