--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -14,7 +14,7 @@
 /// If an engine is ejected again within this multiple of the last ejection's duration after its end, the duration
 /// doubles.
 const RECURRENCE_WINDOW_FACTOR: f64 = 4.0;
-/// Number of consecutive connection failures that eject an engine; a single one may be harmless.
+/// Number of consecutive connection failures that eject an engine; a single one is no reason to eject it.
 const FAILURES_TO_EJECT: u32 = 2;
 
 /// Ejection state of one engine.
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -158,7 +158,7 @@
 fn processor_share(engines: [&Engine; 2], now: Timestamp, gateway_fleet_is_large: bool) -> f64 {
     let reported = |engine: &Engine| engine.reported.processor;
     if gateway_fleet_is_large {
-        // A gateway of a large fleet has few jobs in flight: its recently dispatched work is a better estimate.
+        // In a large gateway fleet each gateway has few jobs in flight: recently dispatched work is a better estimate.
         share_of_first(engines, now, reported, |engine| engine.recent_work.sum() / engine.cores)
     } else {
         share_of_first(engines, now, reported, |engine| engine.in_flight.threads / engine.cores)
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -3,8 +3,8 @@
 //! The work that all gateways send to a warming engine within one window must stay below a budget: a configured
 //! multiple of the work that the engine can do in that time. Each gateway uses an equal share of the budget. If an
 //! equal share is less than one job, the time since the engine's start is divided into slots of one window each, and
-//! only some gateways, the holders of a slot, may send during it. A hash of engine and slot determines the holders,
-//! so that all gateways agree without communication.
+//! only some gateways, the holders of a slot, may send during it. The holders follow from the engine's name, the slot's
+//! number and the gateway's ordinal, so that all gateways agree without communication.
 
 use crate::engine::Engine;
 use crate::estimators::mix64;
@@ -79,9 +79,9 @@
         (1e-9..f64::INFINITY).contains(&self.remaining_budget_ms(engine))
     }
 
-    /// Whether an engine is no longer subject to slow start: one window after its warm-up time. A window that begins
-    /// during warm-up must not contain unlimited dispatches, as all gateways would send at the same moment and clocks
-    /// differ.
+    /// Whether slow start does not limit the engine: one window has passed since the end of its warm-up time, or the
+    /// contract sets no limit. A window that begins during warm-up must not contain unlimited dispatches, as all
+    /// gateways would send at the same moment and clocks differ.
     fn is_warm(&self, started_at: Timestamp) -> bool {
         let contract = &self.settings.contract;
         let unlimited_after = contract.warm_up_time + contract.warm_up_window;
--- a/src/slowdown.rs
+++ b/src/slowdown.rs
@@ -58,8 +58,8 @@
     if is_finished {
         class_slowdown.observe(now, time.elapsed_ms / run_ms, run_ms);
     }
-    // During an overload no job may finish to show the baseline of its class. A gateway without load reports then
-    // assumes that estimates are right.
+    // A gateway that starts during an overload may see no job finish, so that the baseline of its class is unknown.
+    // Without load reports the gateway then assumes that the estimate is right.
     let assumed = (visibility.lacks_load_reports && !is_finished).then_some(1.0);
     let Some(baseline) = class_slowdown.baseline.or(assumed) else { return };
     let Some(engine) = state.pool.engines.get_mut(&time.engine) else { return };
