--- a/src/concurrency/engine_limit.rs
+++ b/src/concurrency/engine_limit.rs
@@ -25,7 +25,7 @@
     /// This gateway's equal share of the engine; 1 if the limit covers all gateways.
     pub equal_share: f64,
     /// The limit applies to the utilization that all gateways cause, according to load reports, since an equal share
-    /// would be less than one job.
+    /// would be less than one thread.
     pub covers_all_gateways: bool,
     /// End of the pause after the engine rejected a job for lack of capacity; nothing is sent there until then.
     pub overloaded_until: Timestamp,
--- a/src/concurrency/mod.rs
+++ b/src/concurrency/mod.rs
@@ -35,7 +35,7 @@
 /// What this gateway can know of the load that other gateways cause.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadVisibility {
-    /// The pool has so many gateways that an equal share of an engine is less than one job: engine limits cover all
+    /// The pool has so many gateways that an equal share of an engine is less than one thread: engine limits cover all
     /// gateways together.
     pub gateway_fleet_is_large: bool,
     /// Health checks are too expensive to get load reports for each job's pair: the gateway relies on its own figures.
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Whether the deadline, the effect and the number of dispatches of a job allow one more dispatch.
+/// Whether the deadline, the retry safety and the number of dispatches of a job allow one more dispatch.
 pub fn may_dispatch_again(
     job: &PendingJob,
     class: &ClassSettings,
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,7 +1,7 @@
 //! The seven rules that are checked before every dispatch.
 //!
 //! 1. A job gets exactly one final answer, in time; a job that has it is not dispatched any more.
-//! 2. A job that may have run is only run again if its effect allows that, on that engine and at that time.
+//! 2. A job that may have run is only run again if its retry safety allows that, on that engine and at that time.
 //! 3. No job is sent to a draining engine.
 //! 4. All gateways together send no more work to a warming engine than slow start allows.
 //! 5. If their class is ordered by key, jobs of one key run one at a time, in the order of arrival.
@@ -26,7 +26,7 @@
     is_open && is_next() && within_budget() && may_dispatch_again(state, id)
 }
 
-/// Whether the deadline, the effect and the number of dispatches of a job allow one more dispatch.
+/// Whether the deadline, the retry safety and the number of dispatches of a job allow one more dispatch.
 pub fn may_dispatch_again(state: &ControllerState, id: JobId) -> bool {
     let job = &state.jobs[&id];
     retry::may_dispatch_again(job, state.class_settings_of(job), &state.settings, state.now)
