--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: whether a job is dispatched, waits or is rejected.
 //!
-//! Jobs that can't finish before their deadline are rejected on arrival. Waiting jobs are rejected when they are late
-//! or have to leave the queue of their key.
+//! Jobs that can't finish before their deadline are rejected on arrival. Waiting jobs are ended when they can no
+//! longer meet their objective, may not be dispatched any more, or have to leave the queue of their key.
 
 use crate::dispatch::{self, Target};
 use crate::interface::{DispatchStatus, Job, JobId};
@@ -17,8 +17,8 @@
 const MIN_RUN_FRACTION: f64 = 0.7;
 /// Delay after a result until waiting jobs are placed again.
 const PLACEMENT_DELAY: TimeDelta = TimeDelta::from_millis(10);
-/// In a large gateway fleet, a job that starts to wait is placed again after a random multiple of [`PLACEMENT_DELAY`],
-/// between this and twice this.
+/// In a large gateway fleet, waiting jobs are placed again even without a result, after a random multiple of
+/// [`PLACEMENT_DELAY`] between this and twice this.
 const MIN_DELAYS_IN_LARGE_FLEET: f64 = 5.0;
 
 /// Handles a submitted job: dispatches it, lets it wait, or rejects it if it can't finish in time.
@@ -103,9 +103,9 @@
     place_waiting_jobs(state);
 }
 
-/// Handles the end of a dispatch for a job that has no final answer yet: places the job again if the rules allow it
-/// and it could still meet its objective, otherwise ends it.
-pub fn dispatch_failed(state: &mut ControllerState, id: JobId, status: DispatchStatus) {
+/// Handles the end of a dispatch for a job that has no final answer yet. The job is placed again if the rules allow it
+/// and it could still meet its objective. Otherwise, or if the dispatch expired, the job is ended.
+pub fn retry_or_finish(state: &mut ControllerState, id: JobId, status: DispatchStatus) {
     let Some(job) = state.jobs.get(&id).filter(|job| !job.is_finished()) else { return };
     let is_useful = unloaded_end(state, job) < job.objective_deadline;
     if status != DispatchStatus::Expired && is_useful && rules::may_dispatch_again(state, id) {
@@ -123,7 +123,8 @@
 /// Places the waiting jobs, those with the highest value per second of work first; ends those that must not wait any
 /// longer.
 pub fn place_waiting_jobs(state: &mut ControllerState) {
-    // By class: once a job finds no engine with capacity, similar jobs that need as much memory are not tried.
+    // The memory, by class, for which a job found no engine with capacity: comparable jobs that need as much keep
+    // waiting without an attempt to place them.
     let mut memory_without_capacity_mb = vec![f64::INFINITY; state.classes.len()];
     for id in take_waiting_jobs(state) {
         let job = &state.jobs[&id];
--- a/src/candidates/capacity.rs
+++ b/src/candidates/capacity.rs
@@ -10,7 +10,7 @@
 use crate::utilization::{Demand, own_utilization, utilization};
 use std::cell::OnceCell;
 
-/// Maximum factor by which a job of a high-value class may exceed an engine's limit.
+/// Maximum multiple of a limit for all gateways that a job of a high-value class may use.
 const MAX_LIMIT_FACTOR: f64 = 1.5;
 /// Maximum age of a load report that counts as fresh, in multiples of [`MIN_CHECK_INTERVAL`].
 const MAX_FRESH_REPORT_INTERVALS: f64 = 2.0;
@@ -20,9 +20,9 @@
     state: &'a ControllerState,
     visibility: LoadVisibility,
     demand: Demand,
-    /// Factor by which the job may exceed an engine's limit, from 1 to [`MAX_LIMIT_FACTOR`].
+    /// Multiple of a limit for all gateways that the job may use, from 1 to [`MAX_LIMIT_FACTOR`].
     limit_factor: f64,
-    /// Work that this gateway recently dispatched, per running engine (ms on one thread).
+    /// Work that this gateway recently dispatched, per running engine (ms on a single thread).
     pub mean_engine_work_ms: f64,
     pool_has_capacity: OnceCell<bool>,
 }
@@ -32,7 +32,7 @@
     pub fn new(state: &'a ControllerState, job: &PendingJob, engine_count: usize) -> CapacityTest<'a> {
         let class = state.class_of(job);
         let sent = state.traffic.dispatched_work.sum_at(state.now, WORK_TIME_CONSTANT);
-        // Classes with a higher value per second of work than the recent mean may exceed the limit.
+        // Classes with a higher value per second of work than the recent mean may exceed a limit for all gateways.
         let value_rate = class.typical_value_rate();
         let relative_value = value_rate / state.traffic.value_rate.mean_or(value_rate).max(1e-9);
         CapacityTest {
--- a/src/candidates/mod.rs
+++ b/src/candidates/mod.rs
@@ -14,8 +14,8 @@
 use crate::utilization::{Demand, own_utilization};
 use walk::{Candidates, Walk};
 
-/// Number of engines that serve a table group, as a multiple of the engines that its share of the traffic needs. An
-/// engine's share of this gateway's work is the same multiple of the mean per engine.
+/// Number of engines that serve a table group, as a multiple of the engines that its share of the traffic needs. The
+/// same multiple of this gateway's mean work per engine is the share that one engine may get.
 const REPLICATION_FACTOR: f64 = 1.5;
 
 /// Chooses an engine for a job; `None` if the job has to wait for an engine or for a health check.
@@ -48,8 +48,11 @@
     }
 }
 
-/// The engines to choose from: the best tier of those with capacity. If these are fewer than two, a small gateway fleet
-/// whose pool is not saturated takes the least busy engines instead, even if they have reached their limits.
+/// The engines to choose from: a pair in this gateway's location if the walk found one, otherwise those with capacity
+/// in the best tier.
+///
+/// If fewer than two have capacity, the least busy engines of the tier are used, even if they have reached their
+/// limits. This is not done in a large gateway fleet or if the pool is saturated.
 fn pick_pair(state: &ControllerState, candidates: Candidates) -> Vec<EngineId> {
     let visibility = state.visibility();
     let tier = candidates.best_tier(visibility.lacks_load_reports);
@@ -65,9 +68,9 @@
 fn least_busy(state: &ControllerState, mut engines: Vec<EngineId>) -> Vec<EngineId> {
     let (all, slow_start) = (&state.pool.engines, state.slow_start());
     engines.retain(|id| own_utilization(&all[id], Demand::NONE) < MAX_ENGINE_UTILIZATION);
-    let busy =
+    let load =
         |engine: &Engine| engine.in_flight.threads / (engine.cores * slow_start.capacity_fraction(engine));
-    engines.sort_by(|a, b| busy(&all[a]).total_cmp(&busy(&all[b])));
+    engines.sort_by(|a, b| load(&all[a]).total_cmp(&load(&all[b])));
     engines
 }
 
--- a/src/candidates/order.rs
+++ b/src/candidates/order.rs
@@ -10,7 +10,7 @@
 /// Limit on the threads in flight at all engines, as a multiple of the limit at engines that are not slowed down.
 const LIMIT_FACTOR_WITH_SLOWED_ENGINES: f64 = 1.5;
 /// Number of engines at the start of the order, besides two per replica, where no bulk load starts its walk: readers
-/// try them first.
+/// visit them first.
 const ENGINES_RESERVED_FOR_READERS: f64 = 2.0;
 
 /// Where a job starts its walk along the hashed order, and in which direction.
@@ -22,9 +22,9 @@
 pub struct WalkStart {
     /// The order is walked backwards.
     backwards: bool,
-    /// Number of engines that are skipped.
+    /// Number of engines that are skipped at the start of the walk.
     skipped: usize,
-    /// Position in the order of the first engine, when walked forwards.
+    /// If the order is walked forwards, the position of the first engine.
     rotation: usize,
 }
 
--- a/src/candidates/walk.rs
+++ b/src/candidates/walk.rs
@@ -15,8 +15,8 @@
 
 /// Number of preferred engines with capacity at which the walk ends; selection compares two.
 const PAIR_SIZE: usize = 2;
-/// Number of eligible engines that a new job's walk visits in a large gateway fleet, besides one for each engine that
-/// serves its table group.
+/// Number of eligible engines that a new job's walk visits in a large gateway fleet with load reports, besides one for
+/// each engine that serves its table group.
 const MIN_WALK_DEPTH: f64 = 2.0;
 /// Number of eligible engines by which the walk becomes longer while a job waits through its slack, the time that it
 /// can wait and still meet its latency objective.
@@ -30,7 +30,8 @@
 enum Tier {
     /// There is no reason to avoid it.
     Preferred = 0,
-    /// A bulk load locks the job's tables there. For a bulk load also the first engine that readers of its tables try.
+    /// A bulk load locks the job's tables there. For a bulk load, this is also the tier of the engine that readers of
+    /// its tables visit first.
     Locked = 1,
     /// The job's last dispatch went there, the engine may be overloaded, or it may be faulty and the job must not run
     /// twice.
--- a/src/concurrency/engine_limit.rs
+++ b/src/concurrency/engine_limit.rs
@@ -72,7 +72,7 @@
     }
 
     /// Lowers the limit and pauses dispatches after the engine rejected a job for lack of capacity.
-    pub fn overloaded(&mut self, now: Timestamp, own_utilization: f64) {
+    pub fn observe_overload(&mut self, now: Timestamp, own_utilization: f64) {
         let full_at = if self.covers_all_gateways { self.max_utilization } else { own_utilization };
         let min = MIN_LIMIT_FRACTION_OF_SHARE * self.equal_share;
         self.overloaded_until = now + OVERLOAD_PAUSE;
--- a/src/concurrency/mod.rs
+++ b/src/concurrency/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::time::TimeDelta;
 
-/// Above this slowdown, limits shrink.
+/// Above this slowdown, an engine counts as overloaded and limits shrink.
 pub const OVERLOAD_SLOWDOWN: f64 = 2.0;
 /// Below this slowdown, engine limits grow.
 pub const HEALTHY_SLOWDOWN: f64 = 1.5;
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -39,7 +39,8 @@
         self.take_actions()
     }
 
-    /// Handles a failed request for the endpoint list: the last list remains in use, and the list is requested again.
+    /// Handles a failed request for the endpoint list: the last list remains in use, and a polled list is requested
+    /// again later.
     pub fn endpoint_list_unavailable(&mut self, now: Timestamp) -> Actions {
         self.state.now = now;
         endpoints::unavailable(&mut self.state);
@@ -62,8 +63,8 @@
         result: DispatchResult,
     ) -> Actions {
         self.state.now = now;
-        if feedback::result(&mut self.state, id, attempt, &result) {
-            admission::dispatch_failed(&mut self.state, id, result.status);
+        if feedback::handle_result(&mut self.state, id, attempt, &result) {
+            admission::retry_or_finish(&mut self.state, id, result.status);
             completion::release(&mut self.state, id);
             admission::capacity_may_be_free(&mut self.state);
         }
@@ -79,8 +80,8 @@
         update: ProgressUpdate,
     ) -> Actions {
         self.state.now = now;
-        if feedback::progress(&mut self.state, id, attempt, update) {
-            stuck_jobs::reevaluate(&mut self.state, id);
+        if feedback::handle_progress(&mut self.state, id, attempt, update) {
+            stuck_jobs::cancel_if_stuck(&mut self.state, id);
         }
         self.take_actions()
     }
@@ -116,7 +117,7 @@
         result: DispatchResult,
     ) -> Actions {
         self.state.now = now;
-        feedback::health_check(&mut self.state, engine, &result);
+        feedback::handle_health_check(&mut self.state, engine, &result);
         admission::place_waiting_jobs(&mut self.state);
         self.take_actions()
     }
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -75,7 +75,8 @@
     })
 }
 
-/// The engine-side priority of a job: high for classes with much value for their work, lowest for late jobs.
+/// The priority of a job at its engine. Jobs with much value for their work go first: those on a single thread, then
+/// bulk loads, then other jobs on several threads. Late jobs go last.
 fn priority(state: &ControllerState, job: &PendingJob) -> u8 {
     let class = state.class_settings_of(job);
     if state.now > job.objective_deadline {
--- a/src/draining.rs
+++ b/src/draining.rs
@@ -1,5 +1,5 @@
-//! Planned shutdown: waiting jobs that can't finish before the process ends get their final answer at once, all other
-//! open jobs get it shortly before the end.
+//! Planned shutdown: waiting jobs that can't finish before the process ends get their final answer at once. Other
+//! jobs that are still open shortly before the end get it then.
 
 use crate::admission;
 use crate::interface::JobId;
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,4 +1,4 @@
-//! The state of one engine: its entry in the endpoint list, its size, what is in flight there, and what was learnt
+//! The state of one engine: its entry in the endpoint list, its size, what is in flight there, and what was learned
 //! from its results. No decisions are made here.
 
 use crate::concurrency::EngineLimit;
@@ -13,7 +13,7 @@
 /// Threads per core that use an engine fully.
 pub const THREADS_PER_CORE: f64 = 2.0;
 
-/// Minimum number of cores that an engine is presumed to have.
+/// Minimum number of cores that an engine is assumed to have.
 const MIN_CORES: f64 = 0.1;
 /// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -96,7 +96,8 @@
     pub ejection: Ejection,
     /// Its health checks.
     pub health_check: HealthCheckState,
-    /// When it last sent a job's answer or progress; before that, when it was added.
+    /// When it last sent a job's answer or progress; before that, when it was added or
+    /// restarted.
     pub last_response_at: Timestamp,
     /// Work recently sent to it, for the slow-start budget: each dispatch counts with the typical work of its class (ms
     /// on a single thread).
@@ -104,7 +105,7 @@
     /// Estimated work recently sent to it (ms on a single thread).
     pub recent_work: DecayingAverage,
     /// Table groups that a bulk load of another gateway locks, as shown by jobs that waited for it, and the time until
-    /// which the lock is presumed to last.
+    /// which the lock is assumed to last.
     pub locked_tables_until: BTreeMap<u64, Timestamp>,
 }
 
@@ -175,7 +176,7 @@
 
     /// Records a load report. Values that it lacks are kept from earlier reports; missing processor utilization is
     /// derived from the jobs in flight, as one core per job.
-    pub fn note_load_report(&mut self, now: Timestamp, report: &LoadReport) {
+    pub fn record_load_report(&mut self, now: Timestamp, report: &LoadReport) {
         let jobs = report.jobs_in_flight.map(|jobs| jobs.max(0.0));
         let processor = report.processor_utilization.map(|utilization| utilization.max(0.0));
         let memory = report.memory_utilization.map(|utilization| utilization.max(0.0));
--- a/src/estimators/decaying_average.rs
+++ b/src/estimators/decaying_average.rs
@@ -7,7 +7,7 @@
 
 /// A weighted mean and a rate in which older values count exponentially less.
 ///
-/// The methods that take the current time apply the decay since the last update. All calls for one instance must
+/// The methods that take the current time apply the decay since the last update. All calls for one instance should
 /// pass the same time constant.
 #[derive(Clone, Copy, Default)]
 pub struct DecayingAverage {
--- a/src/estimators/linear_posterior.rs
+++ b/src/estimators/linear_posterior.rs
@@ -2,6 +2,7 @@
 
 use super::pcg32::Pcg32;
 
+/// Number of features x and of coefficients θ.
 const DIMENSIONS: usize = 3;
 
 /// Lower bound of the squared diagonal entries of the Cholesky factor, which rounding could make zero or negative.
--- a/src/feedback.rs
+++ b/src/feedback.rs
@@ -13,7 +13,7 @@
 const MIN_BULK_LOAD_MS: f64 = 250.0;
 
 /// Handles an engine's progress update; returns whether it belongs to the dispatch in flight.
-pub fn progress(state: &mut ControllerState, id: JobId, attempt: u32, update: ProgressUpdate) -> bool {
+pub fn handle_progress(state: &mut ControllerState, id: JobId, attempt: u32, update: ProgressUpdate) -> bool {
     let now = state.now;
     let Some(job) = state.jobs.get_mut(&id) else { return false };
     let dispatch = job.in_flight_mut().filter(|dispatch| dispatch.attempt == attempt);
@@ -48,7 +48,8 @@
     }
 }
 
-/// The expected duration of a bulk load: the highest mean latency of the classes of bulk loads.
+/// The expected duration of a bulk load: the highest mean latency of the classes of bulk loads, and at least
+/// [`MIN_BULK_LOAD_MS`].
 fn bulk_load_time(state: &ControllerState) -> TimeDelta {
     let bulk_loads = state.classes.iter().filter(|class| class.settings.locks_tables);
     let latencies = bulk_loads.filter_map(|class| class.latency_ms);
@@ -74,7 +75,7 @@
 
 /// Handles the result of an attempt: removes the job's dispatch in flight and updates the estimates. Returns false if
 /// this attempt is not the one in flight.
-pub fn result(state: &mut ControllerState, id: JobId, attempt: u32, result: &DispatchResult) -> bool {
+pub fn handle_result(state: &mut ControllerState, id: JobId, attempt: u32, result: &DispatchResult) -> bool {
     let Some(job) = state.jobs.get_mut(&id) else { return false };
     if result.job_finished {
         job.finish();
@@ -105,7 +106,7 @@
     dispatch: &InFlightDispatch,
     result: &DispatchResult,
 ) {
-    load_report(state, dispatch.engine, result.load_report.as_ref());
+    record_load_report(state, dispatch.engine, result.load_report.as_ref());
     let job = &state.jobs[&id];
     let class = &state.classes[job.request.class];
     let Some(engine) = state.pool.engines.get_mut(&dispatch.engine) else { return };
@@ -117,7 +118,7 @@
         }
         DispatchStatus::Overloaded => {
             let own_utilization = own_utilization(engine, Demand::NONE);
-            engine.limit.overloaded(state.now, own_utilization);
+            engine.limit.observe_overload(state.now, own_utilization);
             state.concurrency.observe_overload(state.now, job.run_ms);
         }
         _ => {}
@@ -125,9 +126,9 @@
 }
 
 /// Records an engine's load report, if the result carries one.
-pub fn load_report(state: &mut ControllerState, engine: EngineId, report: Option<&LoadReport>) {
+fn record_load_report(state: &mut ControllerState, engine: EngineId, report: Option<&LoadReport>) {
     if let Some((engine, report)) = state.pool.engines.get_mut(&engine).zip(report) {
-        engine.note_load_report(state.now, report);
+        engine.record_load_report(state.now, report);
     }
 }
 
@@ -189,7 +190,7 @@
 }
 
 /// Handles the result of a health check.
-pub fn health_check(state: &mut ControllerState, id: EngineId, result: &DispatchResult) {
+pub fn handle_health_check(state: &mut ControllerState, id: EngineId, result: &DispatchResult) {
     let now = state.now;
     let Some(engine) = state.pool.engines.get_mut(&id) else { return };
     engine.health_check.in_flight = false;
@@ -200,7 +201,7 @@
     }
     let jobs_before = engine.reported.jobs_in_flight.unwrap_or(0.0);
     if let Some(report) = &result.load_report {
-        engine.note_load_report(now, report);
+        engine.record_load_report(now, report);
     }
     let needs_elapsed_time =
         |engine: &Engine| engine.limit.covers_all_gateways || engine.reported.jobs_in_flight.is_none();
@@ -210,8 +211,8 @@
     }
 }
 
-/// Starts the warm-up of an engine that appears to have restarted although the endpoint list shows no restart: it is
-/// idle but does not have its full capacity.
+/// Starts the warm-up of an engine that appears to have restarted although the endpoint list shows no restart. It
+/// does not have its full capacity yet, although its reports show that it is idle.
 fn detect_restart(state: &mut ControllerState, id: EngineId, jobs_before: f64, now: Timestamp) {
     let warm_up_time = state.settings.contract.warm_up_time;
     let Some(engine) = state.pool.engines.get_mut(&id) else { return };
--- a/src/health.rs
+++ b/src/health.rs
@@ -12,7 +12,7 @@
 
 /// Maximum number of tokens in the bucket; each allows one health check.
 const MAX_TOKENS: f64 = 12.0;
-/// Fraction of [`MAX_TOKENS`] that is reserved for jobs of at least the mean priority weight.
+/// Fraction of [`MAX_TOKENS`] that a large gateway fleet reserves for jobs of at least the mean priority weight.
 const RESERVED_TOKEN_FRACTION: f64 = 0.5;
 /// Tokens added for each job in a small gateway fleet.
 const TOKENS_PER_JOB_IN_SMALL_FLEET: f64 = 0.25;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -65,7 +65,7 @@
     pub key: Option<u64>,
     /// How long the client will wait for the answer.
     pub time_left: TimeDelta,
-    /// Estimated work, as execution time on a single thread.
+    /// Estimated work of all threads, as execution time on a single thread.
     pub cost: Option<TimeDelta>,
     /// Estimated memory (MB).
     pub memory_mb: Option<f64>,
@@ -101,7 +101,7 @@
 /// Work and memory that a job used, as reported by its engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ActualCost {
-    /// Work, as execution time on a single thread.
+    /// Work of all threads, as execution time on a single thread.
     pub work: TimeDelta,
     /// Memory used (MB).
     pub memory_mb: f64,
@@ -206,7 +206,7 @@
     pub dispatches: Vec<Dispatch>,
     /// Engines to health-check.
     pub health_checks: Vec<EngineId>,
-    /// Whether to subscribe to the endpoint list.
+    /// Whether to request the endpoint list, by polling it or subscribing to it.
     pub subscribe: bool,
     /// Call [`timer_fired`](crate::controller::AdmissionController::timer_fired) at this time or soon after it.
     pub next_timer: Option<Timestamp>,
--- a/src/job.rs
+++ b/src/job.rs
@@ -34,7 +34,8 @@
     pub sent_at: Timestamp,
     /// How its engine was chosen; `None` if there was only one candidate.
     pub choice: Option<PairChoice>,
-    /// Memory (MB) that is counted for it at the engine: the grant, or the estimate if there is no grant.
+    /// Memory (MB) that is counted for it at the engine: the grant, or the estimate if there is no grant, up to the
+    /// engine's maximum for one job.
     pub memory_mb: f64,
     /// Completed fraction of the work, as last reported.
     pub completed_fraction: f64,
--- a/src/job_class.rs
+++ b/src/job_class.rs
@@ -1,4 +1,4 @@
-//! A job class: its settings and what was learnt from its jobs.
+//! A job class: its settings and what was learned from its jobs.
 
 use crate::estimators::DecayingAverage;
 use crate::interface::Job;
@@ -8,9 +8,9 @@
 use crate::time::{TimeDelta, Timestamp};
 
 /// Time constant of the decay of a class's mean estimated and actual costs.
-const COST_TIME_CONSTANT: TimeDelta = TimeDelta(5_000_000);
+const COST_TIME_CONSTANT: TimeDelta = TimeDelta::from_millis(5_000);
 /// Time constant of the decay of a class's mean slowdown, which the baseline follows.
-const SLOWDOWN_TIME_CONSTANT: TimeDelta = TimeDelta(15_000_000);
+const SLOWDOWN_TIME_CONSTANT: TimeDelta = TimeDelta::from_millis(15_000);
 /// Minimum weight of the mean slowdown, in typical jobs, for it to move the baseline.
 const MIN_JOBS_FOR_BASELINE: f64 = 5.0;
 /// Fraction of the difference by which each update moves the baseline towards a lower slowdown.
@@ -19,7 +19,7 @@
 const BASELINE_RISE: f64 = 1.002;
 /// Minimum baseline of both execution modes.
 const MIN_BASELINE: f64 = 0.3;
-/// Maximum baseline of jobs that don't spill: the actual cost is presumed to be no more than this multiple of the
+/// Maximum baseline of jobs that don't spill: the actual cost is assumed to be no more than this multiple of the
 /// estimate.
 const MAX_BASELINE_IN_MEMORY: f64 = 2.0;
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// A job class: its settings and what was learnt from its jobs.
+/// A job class: its settings and what was learned from its jobs.
 #[derive(Default)]
 pub struct JobClass {
     /// The settings of the class.
@@ -142,7 +142,8 @@
         }
     }
 
-    /// Updates the baselines of both modes, if enough jobs have finished recently.
+    /// Updates the baselines of both modes, if enough jobs have finished recently. The one in memory is not updated if
+    /// engines report the actual work.
     pub fn update_baselines(&mut self, now: Timestamp) {
         let min_weight = MIN_JOBS_FOR_BASELINE * self.typical_work_ms() / self.settings.threads;
         let costs_are_estimates = self.actual_cost.weight() == 0.0;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! pebblevane decides whether a job runs, when, and on which engine.
 //!
-//! [`interface`] contains the plain data types that callers use, and [`controller`] passes each event to the modules that
-//! decide on it. The modules have no cyclic dependencies. From the bottom up, they are: estimators and settings; the
-//! state of jobs, job classes and engines; one module for each kind of decision; the whole state; the handling of jobs
-//! and events; the controller.
+//! [`interface`] contains the plain data types that callers use, and [`controller`] passes each event to the modules
+//! that decide on it. The modules have no cyclic dependencies. Roughly from the bottom up, they are: estimators and
+//! settings; the state of jobs, job classes and engines; one module for each kind of decision; the whole state; the
+//! handling of jobs and events; the controller.
 
 pub mod controller;
 pub mod interface;
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// Evicts engines that are gone and have no open job, and table groups and keys that are no longer in use.
+/// Evicts engines that are gone, have sent nothing for [`RETENTION`] and have no open job. Also evicts table groups and
+/// keys that are no longer in use.
 fn evict_unused(state: &mut ControllerState) {
     let now = state.now;
     let used: BTreeSet<EngineId> = state.jobs.values().flat_map(PendingJob::engines).collect();
--- a/src/memory_factor.rs
+++ b/src/memory_factor.rs
@@ -31,7 +31,8 @@
         self.value
     }
 
-    /// Adds a job that spilled to disk; `needed` is the memory that would have avoided it, as a multiple of the estimate.
+    /// Adds a job that spilled to disk. `needed` is the memory that would have avoided the spill, as a multiple of the
+    /// estimate.
     pub fn observe_spill(&mut self, needed: f64) {
         let needed = needed.min(MAX_MEMORY_FACTOR);
         self.spill_count += 1.0;
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -24,7 +24,7 @@
     pub ejected_until: Timestamp,
     /// Duration of the current or last ejection.
     pub duration: TimeDelta,
-    /// The engine was ejected and has not answered a job since: it gets one dispatch at a time.
+    /// The engine was ejected and has neither answered a job nor sent progress since: it gets one dispatch at a time.
     pub half_open: bool,
     /// The job in flight at the half-open engine.
     pub half_open_job: Option<JobId>,
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,4 +1,4 @@
-//! The pool: all known engines, the running ones, and the order in which each table group's jobs try them.
+//! The pool: all known engines, the running ones, and the order in which each table group's jobs walk them.
 
 use crate::engine::{Engine, THREADS_PER_CORE};
 use crate::estimators::mix64;
@@ -15,7 +15,8 @@
     pub engines: BTreeMap<EngineId, Engine>,
     /// The engines that accept dispatches, by number.
     pub running: Vec<EngineId>,
-    /// Running engines with a recent start, if so small that gateways take turns at them while they warm up.
+    /// Running engines with a recent start that are so small that slow start divides their budget into slots. They may
+    /// have warmed up since.
     pub warming_up: Vec<EngineId>,
     /// Total number of cores of the running engines.
     pub running_cores: f64,
@@ -24,8 +25,8 @@
 
 /// Whether a gateway's equal share of an engine's threads is less than one, so that no job fits into it.
 ///
-/// Depends only on values that are the same at every gateway, since it decides whether gateways take turns at engines
-/// that are warming up.
+/// Depends only on values that are the same at every gateway, since it decides whether the gateways use slow-start
+/// slots at a warming engine.
 pub fn equal_share_is_below_one_thread(engine: &Engine, gateway_count: f64) -> bool {
     THREADS_PER_CORE * engine.cores < gateway_count
 }
@@ -95,12 +96,13 @@
     }
 
     /// Whether the fleet of gateways is so large that an engine's limit covers all of them, as an equal share for each
-    /// would be less than a thread. The first running engine stands for all engines.
+    /// would be less than one thread. The first running engine stands for all engines. Always false without load
+    /// reports that include the total load, as limits then cover only this gateway.
     pub fn gateway_fleet_is_large(&self) -> bool {
         self.running.first().is_some_and(|id| self.engines[id].limit.covers_all_gateways)
     }
 
-    /// The order in which a table group's jobs try the running engines: by a hash of engine and group, and so the same
+    /// The order in which a table group's jobs walk the running engines: by a hash of engine and group, and so the same
     /// at every gateway.
     pub fn engine_order(&mut self, table_group: u64) -> Rc<[EngineId]> {
         let (running, engines) = (&self.running, &self.engines);
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -29,7 +29,8 @@
         let contract = &settings.contract;
         let Some(window) = contract.retry_budget_window else { return true };
         let start = now - window;
-        // The limit holds in every window, including both its ends, so retries exactly one window apart count together.
+        // The limit holds in every window, including both its ends. The margin therefore makes retries that are exactly
+        // one window apart count together.
         let retries = self.retries.sum_since(start - settings.answer_margin);
         let jobs = self.jobs.sum_since(start);
         retries + 1.0 <= contract.min_retries + contract.retries_per_job * jobs
@@ -62,7 +63,7 @@
         && now < dispatch_deadline(job, class, settings.answer_margin)
 }
 
-/// Whether an engine recognizes the idempotency keys of jobs that ran on `first`.
+/// Whether the engine `other` recognizes the idempotency keys of jobs that ran on `first`.
 pub fn shares_idempotency_keys(class: &ClassSettings, first: &Endpoint, other: &Endpoint) -> bool {
     match class.deduplication_scope {
         DeduplicationScope::Pool => true,
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -36,7 +36,7 @@
 pub fn may_dispatch_to(state: &ControllerState, id: JobId, engine: EngineId) -> bool {
     let (job, engine) = (&state.jobs[&id], &state.pool.engines[&engine]);
     let class = state.class_of(job);
-    // Rule 2; its time limits are enforced by the deadline of the dispatch.
+    // Rule 2, as far as the engine matters. `may_dispatch_again` checks whether and until when the job may run again.
     let first_run = job.possible_run.filter(|_| class.settings.retry_safety == RetrySafety::IdempotencyKey);
     let keeps_idempotency = first_run.is_none_or(|run| {
         let first = &state.pool.engines[&run.engine].endpoint;
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -94,7 +94,8 @@
         (pair[usize::from(second_wins)], PairChoice { pair, features, margin })
     }
 
-    /// r = tanh(d), d the Mahalanobis length of the first engine's deviation from its target share.
+    /// r = tanh(±d): d is the Mahalanobis length of the first engine's deviation from its target shares; its sign is
+    /// that of the processor's deviation.
     fn balance_score(&mut self, pair: [EngineId; 2], context: &mut SelectionContext) -> f64 {
         for id in pair {
             if let Some(engine) = context.pool.engines.get_mut(&id) {
@@ -147,7 +148,7 @@
 }
 
 /// ω, the weight of the speed score. It grows with the ratio of the arrival rate to λ0, the rate at which this
-/// gateway's mean jobs would fully use its equal share of the pool.
+/// gateway's mean jobs would keep the cores of its equal share of the pool busy.
 fn speed_weight(context: &mut SelectionContext) -> f64 {
     let rate = context.traffic.update_arrival_rate(context.now);
     let work_ms = context.traffic.arrivals.mean_or(1.0).max(1.0);
--- a/src/settings/flat.rs
+++ b/src/settings/flat.rs
@@ -46,7 +46,7 @@
         (!list.is_empty()).then_some(list)
     }
 
-    /// Number of entries of a list in which every entry has the field `field`.
+    /// Number of entries of a list, up to the first one without the field `field`.
     pub fn entry_count(&self, name: &str, field: &str) -> usize {
         let is_absent = |i: &usize| !self.0.contains_key(&format!("{name}.{i}.{field}"));
         (0..=self.0.len()).find(is_absent).unwrap_or(0)
--- a/src/settings/typed.rs
+++ b/src/settings/typed.rs
@@ -18,7 +18,7 @@
     pub polls_endpoint_list: bool,
     /// Maximum number of dispatches of one job; infinite if there is no limit.
     pub max_dispatches_per_job: f64,
-    /// Price of one health check, in points; it limits the checks that a job may cause in a large fleet of gateways.
+    /// Price of one health check, in points; it limits the checks that a job may cause in a large gateway fleet.
     pub health_check_price: f64,
     /// Price of one dispatch to another location, in points; if positive, engines of the same location are preferred.
     pub location_crossing_price: f64,
@@ -76,7 +76,8 @@
     pub min_retries: f64,
     /// Additional retries allowed per job submitted in the window.
     pub retries_per_job: f64,
-    /// How long the next job of a key is held back after a dispatch whose outcome is unknown and which may still run.
+    /// Length of a key's quiet period: how long the next job of the key is held back after a dispatch whose outcome is
+    /// unknown and which may still run.
     pub key_quiet_time: TimeDelta,
     /// Time from an engine's start until it has its full capacity.
     pub warm_up_time: TimeDelta,
@@ -95,8 +96,8 @@
     /// The job may be sent again to any engine.
     #[default]
     Restartable,
-    /// The job has an idempotency key. It may be sent again to engines that share their record of keys with the first
-    /// one, as long as they remember the key.
+    /// The job has an idempotency key. It may be sent again to engines that share their record of keys with the one
+    /// where it may have run first, as long as they remember the key.
     IdempotencyKey,
     /// The job must not be sent again.
     RunOnce,
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -18,8 +18,8 @@
 const SHARED_BUDGET_FRACTION: f64 = 0.6;
 /// Fraction of the budget that is used in one slot: a window can overlap two slots.
 const SLOT_BUDGET_FRACTION: f64 = 0.4;
-/// Every n-th slot is sized for the heaviest job class. The others are sized for the lightest one, as most gateways
-/// have light jobs pending and few have a heavy one at that moment.
+/// One in this many slots is sized for the heaviest job class. The others are sized for the lightest one, as most
+/// gateways have light jobs pending and few have a heavy one at that moment.
 const HEAVY_SLOT_INTERVAL: i64 = 3;
 /// Number of jobs of the lightest class that the budget of a slot should allow each of its holders.
 const LIGHT_JOBS_PER_HOLDER: f64 = 2.0;
@@ -27,9 +27,9 @@
 /// Slow-start limits, computed from a view of the controller's state.
 #[derive(Clone, Copy)]
 pub struct SlowStart<'a> {
-    /// Contract and number of gateways.
+    /// The settings: the contract, the number of gateways and the ordinal of this gateway.
     pub settings: &'a ControllerSettings,
-    /// The job classes, whose estimated work determines how many gateways hold a slot.
+    /// The job classes; their work, as guessed from the settings, determines how many gateways hold a slot.
     pub classes: &'a [JobClass],
     /// Time of the event that is being handled.
     pub now: Timestamp,
@@ -51,8 +51,8 @@
         engine.endpoint.started_at.map_or(1.0, fraction)
     }
 
-    /// Work (ms on one thread, each job counted with its class's typical work) that this gateway may still send to an
-    /// engine within the window; infinite for a warm engine.
+    /// Work (ms on a single thread) that this gateway may still send to an engine within the window. Each job that was
+    /// sent counts with its class's typical work. Infinite for a warm engine.
     pub fn remaining_budget_ms(&self, engine: &Engine) -> f64 {
         let window = self.settings.contract.warm_up_window;
         let Some(started_at) = engine.endpoint.started_at.filter(|started_at| !self.is_warm(*started_at))
@@ -88,15 +88,17 @@
         self.now >= started_at + unlimited_after || contract.warm_up_overload_factor <= 0.0
     }
 
-    /// Work (ms on one thread) that all gateways together may send within one window.
+    /// Work (ms on a single thread) that all gateways together may send within one window.
     fn total_budget_ms(&self, engine: &Engine, at: Timestamp) -> f64 {
         let contract = &self.settings.contract;
         let capacity = contract.warm_up_overload_factor * self.capacity_fraction_at(engine, at);
         capacity * engine.cores * contract.warm_up_window.as_millis_f64()
     }
 
-    /// What is left of this gateway's budget in the current slot (ms on one thread); 0 if the gateway is not a holder
-    /// of the slot, or started less than a window ago and may have sent work before that it does not know of.
+    /// What is left of this gateway's budget in the current slot (ms on a single thread).
+    ///
+    /// It is 0 if the gateway is not a holder of the slot. It is also 0 if the gateway started less than a window ago,
+    /// as it may have sent work before that it does not know of.
     fn slot_budget_ms(&self, engine: &Engine, started_at: Timestamp, sent: f64) -> f64 {
         let (window, gateway_count) = (self.settings.contract.warm_up_window, self.settings.gateway_count);
         let slot = (self.now - started_at).0.max(0) / window.0.max(1);
@@ -109,7 +111,7 @@
         if position < holders && knows_sent_work { budget / holders - sent } else { 0.0 }
     }
 
-    /// Work (ms on one thread) that the budget of a slot should allow each of its holders.
+    /// Work (ms on a single thread) that the budget of a slot should allow each of its holders.
     fn work_per_holder_ms(&self, slot: i64) -> f64 {
         let guessed = self.classes.iter().map(JobClass::guessed_work_ms);
         if slot % HEAVY_SLOT_INTERVAL == 0 {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,4 @@
-//! The controller's whole state, as one struct of the parts that the modules keep, with lookups that several modules
-//! need.
+//! The controller's whole state in one struct, with lookups that several modules need.
 
 use crate::concurrency::{GatewayConcurrency, LoadVisibility};
 use crate::estimators::Pcg32;
@@ -47,7 +46,7 @@
     pub traffic: Traffic,
     /// The jobs and retries that count for the retry budget.
     pub retry_budget: RetryBudget,
-    /// What the choice between two engines has learnt.
+    /// The learned state of the selection within a pair.
     pub selection: Selection,
     /// The budget of health checks and their usual elapsed times.
     pub health_checks: HealthChecks,
@@ -108,7 +107,7 @@
         LoadVisibility { gateway_fleet_is_large, lacks_load_reports }
     }
 
-    /// The slow-start rules, applied to the present state.
+    /// The slow-start rules, applied to the current state.
     pub fn slow_start(&self) -> SlowStart<'_> {
         SlowStart {
             settings: &self.settings,
--- a/src/stuck_jobs.rs
+++ b/src/stuck_jobs.rs
@@ -22,7 +22,7 @@
 
 /// Cancels the dispatch of a restartable job that is stuck, if a new dispatch would still meet the job's objective
 /// and this one would not.
-pub fn reevaluate(state: &mut ControllerState, id: JobId) {
+pub fn cancel_if_stuck(state: &mut ControllerState, id: JobId) {
     let job = &state.jobs[&id];
     let is_restartable = state.class_settings_of(job).retry_safety == RetrySafety::Restartable;
     let Some(dispatch) = job.active_dispatch().filter(|dispatch| !dispatch.cancelled) else { return };
@@ -56,7 +56,7 @@
 }
 
 /// Whether a new dispatch is expected to meet the objective, while this one is expected to miss it and to take longer
-/// than a new one by [`MIN_REMAINING_OVER_NEW_TIME`].
+/// than a new one by a factor of [`MIN_REMAINING_OVER_NEW_TIME`].
 fn new_dispatch_is_faster(state: &ControllerState, job: &PendingJob, dispatch: &InFlightDispatch) -> bool {
     let class = state.class_of(job);
     let scaled_to_job = |latency_ms: f64| latency_ms * job.work_ms / class.typical_work_ms().max(1.0);
@@ -89,9 +89,9 @@
         return None;
     }
     // Missing progress points to a fault of the engine or its network path, not to a slow pool.
-    let sends_progress =
+    let has_expected_progress =
         state.settings.progress_interval.is_none() || dispatch.last_update_at > dispatch.sent_at;
-    let scope = if sends_progress { SlowdownScope::Pool } else { SlowdownScope::Engine };
+    let scope = if has_expected_progress { SlowdownScope::Pool } else { SlowdownScope::Engine };
     Some(ElapsedTime {
         job: id,
         engine: dispatch.engine,
@@ -103,7 +103,8 @@
 }
 
 /// Sheds late jobs on overloaded engines if the value of their answer per second of remaining work is below the mean of
-/// recently arrived jobs, which could run instead.
+/// recently arrived jobs, which could run instead. Only restartable jobs are shed, and only if dispatches may be
+/// cancelled.
 pub fn shed_late_jobs(state: &mut ControllerState) {
     let shed: Vec<JobId> =
         state.jobs.iter().filter(|(_, job)| should_shed(state, job)).map(|(id, _)| *id).collect();
@@ -139,6 +140,6 @@
     let silent: Vec<(JobId, EngineId)> = state.jobs.iter().filter_map(silent).collect();
     for (id, engine) in silent {
         state.eject(engine);
-        reevaluate(state, id);
+        cancel_if_stuck(state, id);
     }
 }
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -1,4 +1,4 @@
-//! The timer queue.
+//! The scheduled timers of the controller, in the order in which they fire.
 
 use crate::interface::JobId;
 use crate::time::Timestamp;
@@ -15,9 +15,9 @@
     AnswerDeadline(JobId),
     /// Gives a final answer to each of these jobs that still has none. They were open when the shutdown began.
     ShutdownDeadline(Vec<JobId>),
-    /// Tries the waiting jobs again because the next job of a key may run now.
+    /// Places the waiting jobs, because the next job of a key may run now.
     KeyAvailable,
-    /// Tries the waiting jobs again because an engine may have capacity now.
+    /// Places the waiting jobs, because an engine may have capacity now.
     PlaceWaitingJobs,
 }
 
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 
 /// Time constant of the decay of the mix of jobs, and of the work dispatched to the pool and to each engine.
-pub const WORK_TIME_CONSTANT: TimeDelta = TimeDelta(15_000_000);
+pub const WORK_TIME_CONSTANT: TimeDelta = TimeDelta::from_millis(15_000);
 /// Time constant of the decay of the arrival rate.
-const ARRIVAL_TIME_CONSTANT: TimeDelta = TimeDelta(5_000_000);
+const ARRIVAL_TIME_CONSTANT: TimeDelta = TimeDelta::from_millis(5_000);
 
 /// Statistics of recently arrived jobs and recently dispatched work.
 ///
@@ -27,7 +27,9 @@
     pub arrivals: DecayingAverage,
     threads: DecayingAverage,
     memory_mb: DecayingAverage,
+    /// Recent jobs; only the weight is used, as a decaying count.
     jobs: DecayingAverage,
+    /// The same for each table group.
     table_groups: BTreeMap<u64, DecayingAverage>,
     observed_since: Timestamp,
 }
@@ -68,7 +70,7 @@
         self.memory_mb.mean_or(0.0)
     }
 
-    /// Share of the recent jobs, without the present one, that belong to this table group. `prior_jobs` of other groups
+    /// Share of the recent jobs, without the current one, that belong to this table group. `prior_jobs` of other groups
     /// are added to the total, so that the share is low while few jobs have arrived.
     pub fn share_of_table_group(&self, group: u64, prior_jobs: f64) -> f64 {
         let others = |own: &DecayingAverage| (own.weight() - 1.0).max(0.0);
--- a/src/utilization.rs
+++ b/src/utilization.rs
@@ -5,7 +5,7 @@
 use crate::traffic::Traffic;
 
 /// Maximum age of a load report that is used; in place of an older one, the gateway uses its own figures.
-pub const MAX_REPORT_AGE: TimeDelta = TimeDelta(2_500_000);
+pub const MAX_REPORT_AGE: TimeDelta = TimeDelta::from_millis(2_500);
 
 /// Resources that a job would use at an engine.
 #[derive(Clone, Copy, Debug, Default)]
