--- a/src/lib.rs
+++ b/src/lib.rs
@@ -30,7 +30,7 @@
 mod key_order;
 mod memory_grant;
 mod outlier;
-mod placement;
+mod placement_constraints;
 mod retry;
 mod selection;
 mod slow_start;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -11,7 +11,7 @@
 use crate::interface::{EngineId, JobId, LifecycleState};
 use crate::settings::RetrySafety;
 use crate::state::ControllerState;
-use crate::{placement, retry};
+use crate::{placement_constraints, retry};
 
 /// Whether a job may be dispatched now by the rules that do not depend on the engine.
 pub fn may_dispatch(state: &ControllerState, id: JobId) -> bool {
@@ -46,7 +46,7 @@
     let takes_work = engine.endpoint.lifecycle == LifecycleState::Running
         && state.slow_start().remaining_budget_ms(engine) >= class.typical_work_ms();
     // Rule 6.
-    keeps_idempotency && takes_work && placement::allows(&class.settings, &engine.endpoint)
+    keeps_idempotency && takes_work && placement_constraints::allows(&class.settings, &engine.endpoint)
 }
 
 /// Whether any waiting job lacks only capacity, i.e. does not wait for an earlier job of its key or the retry budget.
