--- a/src/candidates/order.rs
+++ b/src/candidates/order.rs
@@ -41,13 +41,13 @@
     ) -> WalkStart {
         let engine_count = state.pool.running.len() as f64;
         let backwards = state.class_settings_of(job).locks_tables;
-        let beyond_readers = (engine_count - ENGINES_RESERVED_FOR_READERS - 2.0 * replicas).max(0.0);
-        let is_large = state.visibility().lacks_load_reports
+        let unreserved_count = (engine_count - ENGINES_RESERVED_FOR_READERS - 2.0 * replicas).max(0.0);
+        let is_large_job = state.visibility().lacks_load_reports
             && job.work_ms > REPLICATION_FACTOR * test.mean_engine_work_ms;
         WalkStart {
             backwards,
-            skipped: if backwards { (beyond_readers * draw) as usize } else { 0 },
-            rotation: if is_large && !backwards { (engine_count * draw) as usize } else { 0 },
+            skipped: if backwards { (unreserved_count * draw) as usize } else { 0 },
+            rotation: if is_large_job && !backwards { (engine_count * draw) as usize } else { 0 },
         }
     }
 
--- a/src/candidates/walk.rs
+++ b/src/candidates/walk.rs
@@ -100,11 +100,11 @@
         let replicas = REPLICATION_FACTOR * order.len() as f64 * share;
         let test = CapacityTest::new(state, job, order.len());
         let settings = &state.settings;
-        let pulls = settings.permissions.health_checks && settings.reports.are_pulled;
+        let reports_are_pulled = settings.permissions.health_checks && settings.reports.are_pulled;
         Walk {
             start: WalkStart::new(state, job, &test, replicas, draw),
             max_depth: max_depth(state, job, visibility, replicas),
-            needs_checks: visibility.gateway_fleet_is_large || pulls,
+            needs_checks: visibility.gateway_fleet_is_large || reports_are_pulled,
             may_start_checks: may_start_checks(state, class, visibility),
             prefers_local: !state.concurrency.saturated && settings.location_crossing_price > 0.0,
             state,
--- a/src/health.rs
+++ b/src/health.rs
@@ -99,8 +99,9 @@
         }
         let shows_load = jitter.count() >= MIN_JITTER_SAMPLES
             && elapsed_ms > *min_ms + MIN_JITTER_MULTIPLE * jitter.mean();
-        let by_time = if shows_load { elapsed_ms / *min_ms / OVERLOAD_SLOWDOWN } else { 0.0 };
-        engine.reported.processor = engine.reported.processor.map(|utilization| utilization.max(by_time));
+        let utilization_by_time = if shows_load { elapsed_ms / *min_ms / OVERLOAD_SLOWDOWN } else { 0.0 };
+        engine.reported.processor =
+            engine.reported.processor.map(|utilization| utilization.max(utilization_by_time));
     }
 }
 
--- a/src/key_order.rs
+++ b/src/key_order.rs
@@ -91,8 +91,8 @@
     scheduled.iter().all(|other| other.id != id)
 }
 
-/// Schedules a job with its expected run time: its unloaded run time, times the mean slowdown of its class if that is
-/// above 1.
+/// The schedule's entry for a job, with its expected run time: the unloaded one, times the mean slowdown of the class
+/// if that is above 1.
 fn schedule(id: JobId, job: &PendingJob, class: &JobClass) -> ScheduledJob {
     let slowdown = |latency: f64| latency / class.typical_run_ms().max(1.0);
     let run_ms = job.run_ms * class.latency_ms.map_or(1.0, slowdown).max(1.0);
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -10,6 +10,7 @@
 use crate::time::TimeDelta;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Names of settings that are followed by the position of a machine type.
 const CORES_OF_MACHINE_TYPE: &str = "Extra.CpuOfKind";
 const MEMORY_OF_MACHINE_TYPE: &str = "Extra.RamOfKindMb";
 
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -46,8 +46,9 @@
     fn capacity_fraction_at(&self, engine: &Engine, at: Timestamp) -> f64 {
         let initial = self.settings.contract.initial_capacity_fraction;
         let warm_up_ms = self.settings.contract.warm_up_time.as_millis_f64().max(1.0);
-        let grown = |started_at: Timestamp| (at - started_at).as_millis_f64().max(0.0) / warm_up_ms;
-        let fraction = |started_at| (initial + (1.0 - initial) * grown(started_at)).min(1.0);
+        let warm_up_progress =
+            |started_at: Timestamp| (at - started_at).as_millis_f64().max(0.0) / warm_up_ms;
+        let fraction = |started_at| (initial + (1.0 - initial) * warm_up_progress(started_at)).min(1.0);
         engine.endpoint.started_at.map_or(1.0, fraction)
     }
 
--- a/src/stuck_jobs.rs
+++ b/src/stuck_jobs.rs
@@ -26,13 +26,13 @@
     let job = &state.jobs[&id];
     let is_restartable = state.class_settings_of(job).retry_safety == RetrySafety::Restartable;
     let Some(dispatch) = job.active_dispatch().filter(|dispatch| !dispatch.cancelled) else { return };
-    let may_move = is_restartable && rules::may_dispatch_again(state, id) && state.pool.running.len() > 1;
-    let should_move = || {
+    let may_retry = is_restartable && rules::may_dispatch_again(state, id) && state.pool.running.len() > 1;
+    let should_retry = || {
         !awaits_first_progress(state, dispatch)
             && has_better_engine(state, job, dispatch)
             && new_dispatch_is_faster(state, job, dispatch)
     };
-    if may_move && should_move() {
+    if may_retry && should_retry() {
         completion::cancel_dispatch(state, id);
     }
 }
