--- a/crates/adapter-common/src/engine_ids.rs
+++ b/crates/adapter-common/src/engine_ids.rs
@@ -1,18 +1,19 @@
-//! The numbers by which the controller identifies engines.
+//! Assigns the ids by which the admission controller identifies engines.
 
 use pebblevane::interface::EngineId;
 use std::collections::HashMap;
 
-/// Engines by name, numbered in the order in which they were first named.
+/// Maps engine names to ids and back. Ids are assigned in ascending order, starting at 0.
 #[derive(Default)]
 pub struct EngineIds {
     names: HashMap<EngineId, String>,
     ids: HashMap<String, EngineId>,
+    /// The next unused id.
     next: u32,
 }
 
 impl EngineIds {
-    /// The id of the engine of this name; a new one if the name is not known.
+    /// Returns the id of the engine with this name. Assigns a new id if the name has none.
     pub fn assign(&mut self, name: &str) -> EngineId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -24,12 +25,12 @@
         id
     }
 
-    /// The id of the engine of this name, if the name is known.
+    /// Returns the id of the engine with this name, or `None` if the name has no id.
     pub fn id(&self, name: &str) -> Option<EngineId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of an engine.
+    /// Returns the name of an engine.
     ///
     /// # Panics
     /// If the engine was never assigned an id, or has been removed.
@@ -37,7 +38,7 @@
         &self.names[&engine]
     }
 
-    /// Removes an engine. Its id is never assigned again: a later engine of the same name gets another one.
+    /// Removes an engine. Its id is never reused: a later engine with the same name gets a new one.
     pub fn remove(&mut self, engine: EngineId) {
         if let Some(name) = self.names.remove(&engine) {
             self.ids.remove(&name);
--- a/crates/adapter-common/src/fields.rs
+++ b/crates/adapter-common/src/fields.rs
@@ -1,20 +1,20 @@
-//! Reading the fields of JSON objects.
+//! Reads typed fields of JSON objects, with errors that say which field was expected to be what.
 
 use pebblevane::time::TimeDelta;
 use serde_json::Value as Json;
 use std::fmt;
 
-/// A field that is missing or can't be used.
+/// The error for a field that is missing or does not have the expected value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{object}: field {field} is {}, {wanted} is wanted", found_text(.found.as_ref()))]
 pub struct FieldError {
-    /// The name of the object that has the field.
+    /// The name of the object that contains the field, or should contain it.
     pub object: String,
     /// The name of the field.
     pub field: String,
-    /// The value of the field; `None` if it is missing.
+    /// The actual value; `None` if the field is missing.
     pub found: Option<Json>,
-    /// The expected value.
+    /// What the field was expected to contain.
     pub wanted: Wanted,
 }
 
@@ -22,24 +22,24 @@
     found.map_or_else(|| "missing".to_string(), Json::to_string)
 }
 
-/// The expected value of a field.
+/// What a field was expected to contain. Its text is part of the error message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wanted {
-    /// Any string.
+    /// A string. For strings of a certain form, use [`Wanted::Described`].
     Text,
-    /// Any array.
+    /// An array, whose elements are checked separately.
     List,
-    /// Any object.
+    /// An object, whose fields are checked separately.
     Object,
-    /// Any number.
+    /// A number without limits, which may have a fraction.
     Number,
-    /// An integer from 0.
+    /// An integer that is at least 0, such as a count or a position.
     WholeNumber,
-    /// An integer from this minimum.
+    /// An integer that is at least this minimum.
     AtLeast(usize),
-    /// `true` or `false`.
+    /// A boolean.
     Flag,
-    /// A value with this description.
+    /// A value of a more specific form, described by this text.
     Described(&'static str),
 }
 
@@ -58,17 +58,17 @@
     }
 }
 
-/// A JSON object and its name in errors. A field that is null counts as missing.
+/// Reads the fields of one JSON object. A field that is null counts as missing.
 #[derive(Clone, Copy)]
 pub struct Fields<'a> {
-    /// The name of the object.
+    /// The name of the object in errors.
     pub name: &'a str,
-    /// The object itself. If it is another JSON value, all fields are missing.
+    /// The object to read. If it is another kind of JSON value, all fields count as missing.
     pub json: &'a Json,
 }
 
 impl<'a> Fields<'a> {
-    /// The error for a field that does not have the expected value.
+    /// Creates the error for a field that does not have the expected value.
     pub fn error(&self, field: &str, wanted: Wanted) -> FieldError {
         FieldError {
             object: self.name.to_string(),
@@ -78,12 +78,12 @@
         }
     }
 
-    /// The value of a field, if it is present.
+    /// Returns the value of a field, or `None` if it is missing.
     pub fn get(&self, field: &str) -> Option<&'a Json> {
         self.json.get(field).filter(|value| !value.is_null())
     }
 
-    /// The string of a field.
+    /// Reads a string.
     ///
     /// # Errors
     /// If the field is missing or has another type.
@@ -91,7 +91,7 @@
         self.get(field).and_then(Json::as_str).ok_or_else(|| self.error(field, Wanted::Text))
     }
 
-    /// The array of a field.
+    /// Reads an array.
     ///
     /// # Errors
     /// If the field is missing or has another type.
@@ -100,7 +100,7 @@
         list.map(Vec::as_slice).ok_or_else(|| self.error(field, Wanted::List))
     }
 
-    /// The object of a field; its name in errors is that of the field.
+    /// Reads a nested object. Errors about its fields use the name of this field as the name of the object.
     ///
     /// # Errors
     /// If the field is missing or has another type.
@@ -109,7 +109,7 @@
         json.map(|json| Fields { name: field, json }).ok_or_else(|| self.error(field, Wanted::Object))
     }
 
-    /// The number of a field.
+    /// Reads a number.
     ///
     /// # Errors
     /// If the field is missing or has another type.
@@ -117,34 +117,34 @@
         self.get(field).and_then(Json::as_f64).ok_or_else(|| self.error(field, Wanted::Number))
     }
 
-    /// The whole number of a field.
+    /// Reads an integer that is at least 0.
     ///
     /// # Errors
-    /// If the field is missing, or has another type or a number below 0.
+    /// If the field is missing or is not an integer that is at least 0.
     pub fn whole(&self, field: &str) -> Result<u64, FieldError> {
         self.get(field).and_then(Json::as_u64).ok_or_else(|| self.error(field, Wanted::WholeNumber))
     }
 
-    /// The number of a field, or `default` if it is missing.
+    /// Reads a number, or returns `default` if the field is missing.
     ///
     /// # Errors
-    /// If the field has another type.
+    /// If the field is present and has another type.
     pub fn number_or(&self, field: &str, default: f64) -> Result<f64, FieldError> {
         if self.get(field).is_some() { self.number(field) } else { Ok(default) }
     }
 
-    /// The whole number of a field, or 0 if it is missing.
+    /// Reads an integer that is at least 0, or returns 0 if the field is missing.
     ///
     /// # Errors
-    /// If the field has another type or a number below 0.
+    /// If the field is present and is not an integer that is at least 0.
     pub fn whole_or_zero(&self, field: &str) -> Result<u64, FieldError> {
         if self.get(field).is_some() { self.whole(field) } else { Ok(0) }
     }
 
-    /// The flag of a field, or false if it is missing.
+    /// Reads a boolean, or returns `false` if the field is missing.
     ///
     /// # Errors
-    /// If the field has another type.
+    /// If the field is present and has another type.
     pub fn flag(&self, field: &str) -> Result<bool, FieldError> {
         match self.get(field) {
             None => Ok(false),
@@ -153,10 +153,10 @@
         }
     }
 
-    /// The duration of a field that holds milliseconds.
+    /// Reads a duration that is given as a number of milliseconds.
     ///
     /// # Errors
-    /// If the field is missing or holds no number.
+    /// If the field is missing or is not a number.
     pub fn millis(&self, field: &str) -> Result<TimeDelta, FieldError> {
         self.number(field).map(TimeDelta::from_millis_f64)
     }
--- a/crates/adapter-common/src/flat_settings.rs
+++ b/crates/adapter-common/src/flat_settings.rs
@@ -1,9 +1,10 @@
-//! Settings as a flat map.
+//! Converts nested JSON settings into the flat map that the admission controller reads.
 
 use pebblevane::settings::{Settings, Value};
 use serde_json::Value as Json;
 
-/// Flattens nested settings: `{"A": {"B": [3]}}` becomes `A.B.0 = 3`. Nulls are left out.
+/// Flattens nested settings: `{"A": {"B": [3]}}` becomes `A.B.0 = 3`. Null values are omitted, so they count as
+/// missing.
 pub fn flatten_settings(json: &Json) -> Settings {
     let mut flat = Settings::default();
     flatten_into(&mut flat, String::new(), json);
--- a/crates/adapter-common/src/lib.rs
+++ b/crates/adapter-common/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the simulator adapter and the server share to feed the admission controller: reading JSON objects with precise
-//! errors, flattening settings, and numbering engines.
+//! Code that the simulator adapter and the server share: reads fields of JSON objects with errors that name the field,
+//! flattens nested settings, and assigns the ids by which the admission controller identifies engines.
 
 mod engine_ids;
 mod fields;
--- a/crates/simulator-adapter/src/codec/decode.rs
+++ b/crates/simulator-adapter/src/codec/decode.rs
@@ -9,6 +9,7 @@
 use pebblevane_adapter_common::{FieldError, Fields, Wanted};
 use serde_json::Value as Json;
 
+/// Ordering keys are sent as hexadecimal digits.
 const KEY_RADIX: u32 = 16;
 
 /// Decodes a submitted job.
@@ -17,44 +18,44 @@
     let memory_mb = event.number_or(job_fields::MEMORY_MB, 0.0)?;
     let key = decode_key(event)?;
     Ok(Job {
-        class: event.whole_or_zero(job_fields::TYPE)? as usize,
-        customer: event.whole_or_zero(job_fields::ORG)? as usize,
+        class: event.whole_or_zero(job_fields::CLASS)? as usize,
+        customer: event.whole_or_zero(job_fields::CUSTOMER)? as usize,
         key,
-        time_left: event.millis(job_fields::LEFT)?,
+        time_left: event.millis(job_fields::TIME_LEFT_MS)?,
         cost: if flags & job_fields::FLAG_HAS_COST != 0 {
-            Some(TimeDelta::from_millis_f64(event.number_or(job_fields::COST, 0.0)?))
+            Some(TimeDelta::from_millis_f64(event.number_or(job_fields::COST_MS, 0.0)?))
         } else {
             None
         },
         memory_mb: (memory_mb > 0.0).then_some(memory_mb),
-        table_group: event.whole_or_zero(job_fields::TABLES)?,
+        table_group: event.whole_or_zero(job_fields::TABLE_GROUP)?,
         is_retry: flags & job_fields::FLAG_IS_RETRY != 0,
         writes: flags & job_fields::FLAG_WRITES != 0,
     })
 }
 
-/// The job's key; none where it is missing or empty.
+/// The job's ordering key; `None` if the field is missing or empty.
 fn decode_key(event: Fields) -> Result<Option<u64>, FieldError> {
-    if event.get(job_fields::RELATION).is_none() {
+    if event.get(job_fields::KEY).is_none() {
         return Ok(None);
     }
-    let digits = event.text(job_fields::RELATION)?;
+    let digits = event.text(job_fields::KEY)?;
     if digits.is_empty() {
         return Ok(None);
     }
     match u64::from_str_radix(digits, KEY_RADIX) {
         Ok(key) => Ok(Some(key)),
-        Err(_) => Err(event.error(job_fields::RELATION, Wanted::Described("16 hex digits"))),
+        Err(_) => Err(event.error(job_fields::KEY, Wanted::Described("16 hex digits"))),
     }
 }
 
-/// Decodes how a dispatch or a health check ended.
+/// Decodes the result of a dispatch or of a health check.
 pub(crate) fn decode_result(event: Fields) -> Result<DispatchResult, FieldError> {
-    let used_up = event.whole_or_zero(result_fields::USED_UP)?;
+    let used_up = event.whole_or_zero(result_fields::ACTUAL_COST)?;
     Ok(DispatchResult {
         status: decode_status(event)?,
-        elapsed: event.millis(result_fields::RTT)?,
-        job_finished: event.flag(result_fields::COMPLETE)?,
+        elapsed: event.millis(result_fields::ELAPSED_MS)?,
+        job_finished: event.flag(result_fields::JOB_FINISHED)?,
         engine_reachable: false,
         actual_cost: decode_actual_cost(used_up),
         load_report: decode_load_report(event),
@@ -62,41 +63,43 @@
 }
 
 fn decode_status(event: Fields) -> Result<DispatchStatus, FieldError> {
-    Ok(match event.text(result_fields::VERDICT)? {
-        result_fields::SUCCESS => DispatchStatus::Completed,
-        result_fields::FAILURE => DispatchStatus::Failed,
+    Ok(match event.text(result_fields::STATUS)? {
+        result_fields::COMPLETED => DispatchStatus::Completed,
+        result_fields::FAILED => DispatchStatus::Failed,
         result_fields::OVERLOADED => DispatchStatus::Overloaded,
         result_fields::TIMED_OUT => DispatchStatus::TimedOut,
         result_fields::UNREACHABLE => DispatchStatus::Unreachable,
-        result_fields::BROKEN => DispatchStatus::ConnectionLost,
-        result_fields::WITHDRAWN => DispatchStatus::Cancelled,
-        result_fields::VOID => DispatchStatus::Expired,
-        _ => return Err(event.error(result_fields::VERDICT, Wanted::Described("an outcome code"))),
+        result_fields::CONNECTION_LOST => DispatchStatus::ConnectionLost,
+        result_fields::CANCELLED => DispatchStatus::Cancelled,
+        result_fields::EXPIRED => DispatchStatus::Expired,
+        _ => return Err(event.error(result_fields::STATUS, Wanted::Described("an outcome code"))),
     })
 }
 
-/// Work and memory; none where the engine has not said so.
+/// Splits the combined number into work and memory; `None` if it is 0, which means that the engine reported none.
 fn decode_actual_cost(used_up: u64) -> Option<ActualCost> {
-    let memory_steps = used_up % result_fields::USED_UP_MEMORY_STEPS;
+    let memory_steps = used_up % result_fields::ACTUAL_COST_MEMORY_STEPS;
     (used_up > 0).then(|| ActualCost {
-        work: TimeDelta::from_millis_f64((used_up / result_fields::USED_UP_MEMORY_STEPS) as f64),
-        memory_mb: memory_steps as f64 * result_fields::USED_UP_MEMORY_STEP_MB,
+        work: TimeDelta::from_millis_f64((used_up / result_fields::ACTUAL_COST_MEMORY_STEPS) as f64),
+        memory_mb: memory_steps as f64 * result_fields::ACTUAL_COST_MEMORY_STEP_MB,
     })
 }
 
-/// The load report, as an object or as a list of pairs; values that are no numbers are ignored.
+/// Decodes the load report; `None` if it contains no numbers.
 fn decode_load_report(event: Fields) -> Option<LoadReport> {
     let values = load_report_values(event);
     let value = |wanted: &str| values.iter().find(|(name, _)| *name == wanted).map(|(_, value)| *value);
     (!values.is_empty()).then(|| LoadReport {
-        jobs_in_flight: value(result_fields::CONCURRENT),
-        processor_utilization: value(result_fields::LOAD_SHARE),
-        memory_utilization: value(result_fields::MEMORY_SHARE),
+        jobs_in_flight: value(result_fields::JOBS_IN_FLIGHT),
+        processor_utilization: value(result_fields::PROCESSOR_UTILIZATION),
+        memory_utilization: value(result_fields::MEMORY_UTILIZATION),
     })
 }
 
+/// The names and values of the load report, which is either an object or a list of pairs. Values that are not numbers
+/// are ignored.
 fn load_report_values(event: Fields<'_>) -> Vec<(&str, f64)> {
-    match event.get(result_fields::TELEMETRY) {
+    match event.get(result_fields::LOAD_REPORT) {
         Some(Json::Object(values)) => {
             values.iter().filter_map(|(name, value)| Some((name.as_str(), value.as_f64()?))).collect()
         }
@@ -107,34 +110,34 @@
     }
 }
 
-/// Decodes the progress of a dispatch; none if it is of an unknown sort.
+/// Decodes the progress of a dispatch; `None` if its kind, or its reason to wait, is unknown.
 pub(crate) fn decode_progress(event: Fields) -> Result<Option<ProgressUpdate>, FieldError> {
     let amount = event.number_or(progress_fields::AMOUNT, 0.0)?;
-    Ok(match (event.whole(progress_fields::SORT)?, amount as u64) {
-        (progress_fields::SORT_COMPLETED, _) => Some(ProgressUpdate::CompletedFraction(amount)),
-        (progress_fields::SORT_SPILLING, _) => Some(ProgressUpdate::SpillingToDisk(amount)),
-        (progress_fields::SORT_WAITING, progress_fields::WAITING_FOR_MEMORY) => {
+    Ok(match (event.whole(progress_fields::KIND)?, amount as u64) {
+        (progress_fields::KIND_COMPLETED, _) => Some(ProgressUpdate::CompletedFraction(amount)),
+        (progress_fields::KIND_SPILLING, _) => Some(ProgressUpdate::SpillingToDisk(amount)),
+        (progress_fields::KIND_WAITING, progress_fields::WAITING_FOR_MEMORY) => {
             Some(ProgressUpdate::WaitingForMemory)
         }
-        (progress_fields::SORT_WAITING, progress_fields::WAITING_FOR_BULK_LOAD) => {
+        (progress_fields::KIND_WAITING, progress_fields::WAITING_FOR_BULK_LOAD) => {
             Some(ProgressUpdate::WaitingForBulkLoad)
         }
         _ => None,
     })
 }
 
-/// Decodes one entry of the endpoint list; `assign_id` gives the id of the engine of this name.
+/// Decodes one entry of an endpoint list. `assign_id` returns the id of the engine with the given name.
 pub(crate) fn decode_endpoint(
     entry: Fields,
     assign_id: impl FnOnce(&str) -> EngineId,
 ) -> Result<Endpoint, FieldError> {
     let name = entry.text(ENGINE)?;
-    let ready_at_ms = entry.number_or(endpoint_fields::READY_AT, 0.0)?;
+    let ready_at_ms = entry.number_or(endpoint_fields::STARTED_AT_MS, 0.0)?;
     Ok(Endpoint {
         engine: assign_id(name),
         name: name.to_string(),
-        machine_type: entry.whole_or_zero(endpoint_fields::KIND)? as usize,
-        location: entry.whole_or_zero(endpoint_fields::SITE)? as usize,
+        machine_type: entry.whole_or_zero(endpoint_fields::MACHINE_TYPE)? as usize,
+        location: entry.whole_or_zero(endpoint_fields::LOCATION)? as usize,
         cell: entry.whole_or_zero(endpoint_fields::CELL)? as usize,
         lifecycle: decode_lifecycle(entry)?,
         started_at: (ready_at_ms > 0.0).then(|| Timestamp::from_millis_f64(ready_at_ms)),
@@ -143,12 +146,10 @@
 }
 
 fn decode_lifecycle(entry: Fields) -> Result<LifecycleState, FieldError> {
-    match entry.text(endpoint_fields::STAGE_STATE)? {
+    match entry.text(endpoint_fields::LIFECYCLE)? {
         endpoint_fields::RUNNING => Ok(LifecycleState::Running),
-        endpoint_fields::STOPPING => Ok(LifecycleState::Draining),
-        endpoint_fields::DELETED => Ok(LifecycleState::Gone),
-        _ => {
-            Err(entry.error(endpoint_fields::STAGE_STATE, Wanted::Described("Running, Stopping or Deleted")))
-        }
+        endpoint_fields::DRAINING => Ok(LifecycleState::Draining),
+        endpoint_fields::GONE => Ok(LifecycleState::Gone),
+        _ => Err(entry.error(endpoint_fields::LIFECYCLE, Wanted::Described("Running, Stopping or Deleted"))),
     }
 }
--- a/crates/simulator-adapter/src/codec/encode.rs
+++ b/crates/simulator-adapter/src/codec/encode.rs
@@ -1,28 +1,32 @@
-//! Encodes the controller's actions as steps.
+//! Encodes the actions that the controller returns as steps of the simulator's protocol.
 
-use crate::codec::wire_names::step_fields::{ENABLE, FROM_NOW, GRANT_MB, LIMIT, MESSAGE, PAUSE, RANK, TAG};
+use crate::codec::wire_names::step_fields::{
+    DELAY_MS, ENABLE, MEMORY_GRANT_MB, MESSAGE, PRIORITY, RETRY_AFTER_MS, TIMEOUT_MS, TIMER_NUMBER,
+};
 use crate::codec::wire_names::steps::{
-    ATTEMPT, END_FAILED, KEEP_INFORMED, REJECT, REVOKE, SET_TERMS, SET_TIMER, TOUCH, WRITE_LOG,
+    CANCEL_DISPATCH, CHECK_HEALTH, DISPATCH, FAIL_JOB, REJECT_JOB, SET_DISPATCH_OPTIONS, SET_TIMER,
+    SUBSCRIBE, WRITE_LOG,
 };
-use crate::codec::wire_names::{COPY, ENGINE, MANAGER_ID, REQUEST_ID};
+use crate::codec::wire_names::{ATTEMPT_NUMBER, ENGINE, INSTANCE_NAME, REQUEST_ID};
 use pebblevane::interface::{Actions, Dispatch, DispatchId, DispatchOptions, EngineId, FinalAnswer, JobId};
 use pebblevane::time::TimeDelta;
 use serde_json::{Value as Json, json};
 
-/// The number of an instance's only timer.
-const TIMER_TAG: u32 = 0;
+/// All timers of an instance have the same number: when one fires, the controller is only given the time.
+const ONLY_TIMER: u32 = 0;
 
-/// The names that an instance's jobs and engines have on the wire.
+/// Looks up the names and numbers that the simulator uses for an instance and its jobs and engines.
 pub(crate) trait WireIds {
     /// The name of the instance.
-    fn manager(&self) -> &str;
-    /// The number of a job that is not released.
+    fn instance_name(&self) -> &str;
+    /// The simulator's number of a job that the controller has not released.
     fn request(&self, job: JobId) -> u32;
-    /// The name of an engine that is not forgotten.
+    /// The name of an engine that the controller has not removed.
     fn engine(&self, engine: EngineId) -> &str;
 }
 
-/// Encodes actions in the order in which they are to be carried out.
+/// Appends the actions to `steps`, in the order in which the simulator must carry them out. Timers are encoded
+/// separately, by [`encode_timer`].
 pub(crate) fn encode_actions(actions: &Actions, ids: &impl WireIds, steps: &mut Vec<Json>) {
     steps.extend(actions.cancellations.iter().map(|&dispatch| encode_cancellation(dispatch, ids)));
     steps.extend(actions.answers.iter().map(|&(job, answer)| encode_answer(job, answer, ids)));
@@ -33,44 +37,45 @@
         steps.push(encode_dispatch(dispatch, ids));
     }
     for &engine in &actions.health_checks {
-        steps.push(json!({TOUCH: {MANAGER_ID: ids.manager(), ENGINE: ids.engine(engine)}}));
+        steps.push(json!({CHECK_HEALTH: {INSTANCE_NAME: ids.instance_name(), ENGINE: ids.engine(engine)}}));
     }
     if actions.subscribe {
-        steps.push(json!({KEEP_INFORMED: {MANAGER_ID: ids.manager(), ENABLE: true}}));
+        steps.push(json!({SUBSCRIBE: {INSTANCE_NAME: ids.instance_name(), ENABLE: true}}));
     }
     for line in &actions.log {
-        steps.push(json!({WRITE_LOG: {MANAGER_ID: ids.manager(), MESSAGE: line}}));
+        steps.push(json!({WRITE_LOG: {INSTANCE_NAME: ids.instance_name(), MESSAGE: line}}));
     }
 }
 
-/// Encodes a timer that fires after this time.
+/// Encodes setting a timer that fires after `delay`, or at once if `delay` is negative.
 pub(crate) fn encode_timer(delay: TimeDelta, ids: &impl WireIds) -> Json {
     let delay_ms = delay.as_millis_f64().max(0.0);
-    json!({SET_TIMER: {MANAGER_ID: ids.manager(), FROM_NOW: delay_ms, TAG: TIMER_TAG}})
+    json!({SET_TIMER: {INSTANCE_NAME: ids.instance_name(), DELAY_MS: delay_ms, TIMER_NUMBER: ONLY_TIMER}})
 }
 
 fn encode_cancellation(dispatch: DispatchId, ids: &impl WireIds) -> Json {
     let request = ids.request(dispatch.job);
-    json!({REVOKE: {MANAGER_ID: ids.manager(), REQUEST_ID: request, COPY: dispatch.attempt}})
+    json!({CANCEL_DISPATCH: {INSTANCE_NAME: ids.instance_name(), REQUEST_ID: request,
+        ATTEMPT_NUMBER: dispatch.attempt}})
 }
 
 fn encode_answer(job: JobId, answer: FinalAnswer, ids: &impl WireIds) -> Json {
-    let (manager, request) = (ids.manager(), ids.request(job));
+    let (instance_name, request) = (ids.instance_name(), ids.request(job));
     match answer {
         FinalAnswer::Rejected { retry_after } => {
             let pause_ms = retry_after.as_millis_f64();
-            json!({REJECT: {MANAGER_ID: manager, REQUEST_ID: request, PAUSE: pause_ms}})
+            json!({REJECT_JOB: {INSTANCE_NAME: instance_name, REQUEST_ID: request, RETRY_AFTER_MS: pause_ms}})
         }
-        FinalAnswer::Cancelled => json!({END_FAILED: {MANAGER_ID: manager, REQUEST_ID: request}}),
+        FinalAnswer::Cancelled => json!({FAIL_JOB: {INSTANCE_NAME: instance_name, REQUEST_ID: request}}),
     }
 }
 
 fn encode_options(job: JobId, options: &DispatchOptions, ids: &impl WireIds) -> Json {
-    json!({SET_TERMS: {MANAGER_ID: ids.manager(), REQUEST_ID: ids.request(job), RANK: options.priority,
-        GRANT_MB: options.memory_grant_mb}})
+    json!({SET_DISPATCH_OPTIONS: {INSTANCE_NAME: ids.instance_name(), REQUEST_ID: ids.request(job),
+        PRIORITY: options.priority, MEMORY_GRANT_MB: options.memory_grant_mb}})
 }
 
 fn encode_dispatch(dispatch: &Dispatch, ids: &impl WireIds) -> Json {
-    json!({ATTEMPT: {MANAGER_ID: ids.manager(), REQUEST_ID: ids.request(dispatch.job),
-        ENGINE: ids.engine(dispatch.engine), LIMIT: dispatch.timeout.as_millis_f64()}})
+    json!({DISPATCH: {INSTANCE_NAME: ids.instance_name(), REQUEST_ID: ids.request(dispatch.job),
+        ENGINE: ids.engine(dispatch.engine), TIMEOUT_MS: dispatch.timeout.as_millis_f64()}})
 }
--- a/crates/simulator-adapter/src/codec/mod.rs
+++ b/crates/simulator-adapter/src/codec/mod.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: its names, the decoding of events and the encoding of steps.
+//! The simulator's line protocol: its names, the decoding of events and the encoding of steps.
 
 pub(crate) mod decode;
 pub(crate) mod encode;
--- a/crates/simulator-adapter/src/codec/wire_names.rs
+++ b/crates/simulator-adapter/src/codec/wire_names.rs
@@ -1,207 +1,220 @@
-//! The names on the simulator's wire.
+//! The names in the simulator's line protocol. The texts are the simulator's; the constants use this project's terms.
+//!
+//! Each input line is a batch of events and each output line is the reply, which lists the steps that the simulator
+//! must carry out.
 
-/// A batch and its reply: the batch's number.
-pub(crate) const TURN: &str = "turn";
-/// A batch: the time in milliseconds.
-pub(crate) const CLOCK: &str = "Clock";
-/// A batch: its events.
-pub(crate) const ARRIVALS: &str = "arrivals";
-/// A reply: its steps.
+/// Of a batch and its reply: the number of the batch.
+pub(crate) const BATCH_NUMBER: &str = "turn";
+/// Of a batch: the simulated time of its events, in milliseconds.
+pub(crate) const NOW_MS: &str = "Clock";
+/// Of a batch: its events, in order.
+pub(crate) const EVENTS: &str = "arrivals";
+/// Of a reply: its steps, in the order in which they must be carried out.
 pub(crate) const STEPS: &str = "steps";
-/// An event and a step: the instance that it is for.
-pub(crate) const MANAGER_ID: &str = "ManagerId";
-/// An event and a step: the job.
+/// Of an event or step: the name of the instance, which is one admission controller.
+pub(crate) const INSTANCE_NAME: &str = "ManagerId";
+/// Of an event or step: the simulator's number of the job.
 pub(crate) const REQUEST_ID: &str = "RequestId";
-/// An event and a step: the name of an engine.
+/// Of an event, a step or an entry of an endpoint list: the name of the engine.
 pub(crate) const ENGINE: &str = "Engine";
-/// An event and a step: the number of an attempt.
-pub(crate) const COPY: &str = "Copy";
+/// Of an event or step: the number of one of a job's dispatches, from 0.
+pub(crate) const ATTEMPT_NUMBER: &str = "Copy";
 
-/// The events of the simulator.
+/// The names of the events that the simulator sends.
 pub(crate) mod events {
-    /// A list of engines, by its number, for later [`DIRECTORY_UPDATE`]s.
-    pub(crate) const DIRECTORY: &str = "Directory";
-    /// An instance starts.
-    pub(crate) const BEGIN: &str = "Begin";
-    /// An instance ends.
-    pub(crate) const SHUTDOWN: &str = "Shutdown";
-    /// A job is submitted.
-    pub(crate) const INGRESS: &str = "Ingress";
-    /// A dispatch has ended.
-    pub(crate) const REPLY: &str = "Reply";
-    /// A dispatch has made progress.
-    pub(crate) const PROGRESS: &str = "Progress";
-    /// The first bytes of a result have gone to the client.
-    pub(crate) const HEAD_RECEIVED: &str = "HeadReceived";
+    /// Defines an endpoint list, to which later [`ENDPOINT_LIST_UPDATE`]s refer by its number.
+    pub(crate) const ENDPOINT_LIST: &str = "Directory";
+    /// Starts an instance.
+    pub(crate) const START_INSTANCE: &str = "Begin";
+    /// Ends an instance.
+    pub(crate) const STOP_INSTANCE: &str = "Shutdown";
+    /// A client has submitted a job.
+    pub(crate) const JOB_SUBMITTED: &str = "Ingress";
+    /// A dispatch has ended; the event carries its result.
+    pub(crate) const DISPATCH_FINISHED: &str = "Reply";
+    /// An engine has reported the progress of a dispatch.
+    pub(crate) const DISPATCH_PROGRESS: &str = "Progress";
+    /// The first bytes of a job's result have been sent to its client.
+    pub(crate) const RESPONSE_STARTED: &str = "HeadReceived";
     /// The client of a job has disconnected.
-    pub(crate) const EXPIRED: &str = "Expired";
-    /// A health check has ended.
-    pub(crate) const CHECKED: &str = "Checked";
-    /// A timer has fired.
-    pub(crate) const TIMEOUT_FIRED: &str = "TimeoutFired";
-    /// The endpoint list has changed, or is unavailable.
-    pub(crate) const DIRECTORY_UPDATE: &str = "DirectoryUpdate";
+    pub(crate) const CLIENT_DISCONNECTED: &str = "Expired";
+    /// A health check has ended; the event carries its result.
+    pub(crate) const HEALTH_CHECK_FINISHED: &str = "Checked";
+    /// The instance's timer has fired.
+    pub(crate) const TIMER_FIRED: &str = "TimeoutFired";
+    /// The endpoint list of an instance has changed or is unavailable.
+    pub(crate) const ENDPOINT_LIST_UPDATE: &str = "DirectoryUpdate";
 }
 
-/// The steps that an instance takes.
+/// The names of the steps that instances return.
 pub(crate) mod steps {
-    /// Tells the engine of the next attempt its priority and memory grant.
-    pub(crate) const SET_TERMS: &str = "SetTerms";
-    /// Cancels an attempt.
-    pub(crate) const REVOKE: &str = "Revoke";
-    /// Rejects a job.
-    pub(crate) const REJECT: &str = "Reject";
-    /// Ends a job as failed.
-    pub(crate) const END_FAILED: &str = "EndFailed";
-    /// Dispatches a job.
-    pub(crate) const ATTEMPT: &str = "Attempt";
-    /// Sends a health check.
-    pub(crate) const TOUCH: &str = "Touch";
-    /// Subscribes to the endpoint list.
-    pub(crate) const KEEP_INFORMED: &str = "KeepInformed";
-    /// Writes a line of the log.
+    /// Sets the priority and the memory grant of the job's next [`DISPATCH`].
+    pub(crate) const SET_DISPATCH_OPTIONS: &str = "SetTerms";
+    /// Cancels a dispatch in flight.
+    pub(crate) const CANCEL_DISPATCH: &str = "Revoke";
+    /// Rejects a job; its client may retry later.
+    pub(crate) const REJECT_JOB: &str = "Reject";
+    /// Answers the client that the job has failed. Unlike after [`REJECT_JOB`], the job may have run.
+    pub(crate) const FAIL_JOB: &str = "EndFailed";
+    /// Dispatches a job to an engine.
+    pub(crate) const DISPATCH: &str = "Attempt";
+    /// Sends a health check to an engine.
+    pub(crate) const CHECK_HEALTH: &str = "Touch";
+    /// Subscribes the instance to [`ENDPOINT_LIST_UPDATE`](super::events::ENDPOINT_LIST_UPDATE)s.
+    pub(crate) const SUBSCRIBE: &str = "KeepInformed";
+    /// Writes a line to the instance's log.
     pub(crate) const WRITE_LOG: &str = "WriteLog";
-    /// Sets a timer.
+    /// Sets a timer of the instance.
     pub(crate) const SET_TIMER: &str = "SetTimer";
 }
 
 /// The fields of steps.
 pub(crate) mod step_fields {
-    /// The priority at the engine.
-    pub(crate) const RANK: &str = "Rank";
-    /// The memory grant in megabytes.
-    pub(crate) const GRANT_MB: &str = "GrantMb";
-    /// After how many milliseconds a rejected client may come back.
-    pub(crate) const PAUSE: &str = "Pause";
-    /// The time-out of a dispatch in milliseconds.
-    pub(crate) const LIMIT: &str = "Limit";
-    /// Whether to subscribe.
+    /// The dispatch's priority at the engine.
+    pub(crate) const PRIORITY: &str = "Rank";
+    /// The memory that the dispatch may use, in megabytes.
+    pub(crate) const MEMORY_GRANT_MB: &str = "GrantMb";
+    /// How long the client of a rejected job should wait before it retries, in milliseconds.
+    pub(crate) const RETRY_AFTER_MS: &str = "Pause";
+    /// The timeout of a dispatch, in milliseconds.
+    pub(crate) const TIMEOUT_MS: &str = "Limit";
+    /// Whether to subscribe; this adapter only sends `true`.
     pub(crate) const ENABLE: &str = "Enable";
-    /// A line of the log.
+    /// The line to log.
     pub(crate) const MESSAGE: &str = "Message";
-    /// In how many milliseconds a timer fires.
-    pub(crate) const FROM_NOW: &str = "FromNow";
-    /// The number of a timer.
-    pub(crate) const TAG: &str = "Tag";
+    /// The time until a timer fires, in milliseconds.
+    pub(crate) const DELAY_MS: &str = "FromNow";
+    /// The number that identifies a timer of the instance.
+    pub(crate) const TIMER_NUMBER: &str = "Tag";
 }
 
-/// The fields of [`events::BEGIN`], [`events::DIRECTORY`] and [`events::DIRECTORY_UPDATE`].
+/// The fields of [`events::START_INSTANCE`], [`events::ENDPOINT_LIST`] and [`events::ENDPOINT_LIST_UPDATE`].
 pub(crate) mod instance_fields {
-    /// The settings.
-    pub(crate) const CONF: &str = "Conf";
+    /// The instance's settings.
+    pub(crate) const SETTINGS: &str = "Conf";
     /// The seed of the controller's random numbers.
     pub(crate) const SEED: &str = "Seed";
-    /// In the settings: the list of classes.
+    /// In the settings: the list of job classes.
     pub(crate) const CLASSES: &str = "Classes";
-    /// In a class: its latency objective.
+    /// In a job class of the settings: its latency objective.
     pub(crate) const LATENCY_OBJECTIVE: &str = "Aim";
-    /// The entries of a list.
-    pub(crate) const MEMBERS: &str = "Members";
-    /// The number of a list.
-    pub(crate) const TABLE: &str = "Table";
-    /// What has happened to the list.
-    pub(crate) const KIND: &str = "Kind";
-    /// A value of [`KIND`]: the list is unavailable.
-    pub(crate) const KIND_REFUSED: &str = "refused";
-    /// A value of [`KIND`]: the entries are those that have changed.
-    pub(crate) const KIND_CHANGES: &str = "changes";
+    /// The entries of an endpoint list.
+    pub(crate) const ENDPOINTS: &str = "Members";
+    /// The number of an endpoint list; 0 if it is missing.
+    pub(crate) const LIST_NUMBER: &str = "Table";
+    /// Whether the update contains the complete list, changes only, or no list.
+    pub(crate) const UPDATE_KIND: &str = "Kind";
+    /// A value of [`UPDATE_KIND`]: the endpoint list is unavailable.
+    pub(crate) const UPDATE_KIND_UNAVAILABLE: &str = "refused";
+    /// A value of [`UPDATE_KIND`]: the list contains only engines that have changed. Any other value than these two
+    /// means a complete list.
+    pub(crate) const UPDATE_KIND_CHANGES: &str = "changes";
 }
 
-/// The fields of an entry of the endpoint list; its name is [`ENGINE`].
+/// The fields of an entry of an endpoint list, besides the [`ENGINE`].
 pub(crate) mod endpoint_fields {
-    /// When the engine has started, in milliseconds.
-    pub(crate) const READY_AT: &str = "ReadyAt";
-    /// The number of its machine type.
-    pub(crate) const KIND: &str = "Kind";
-    /// The number of its location.
-    pub(crate) const SITE: &str = "Site";
-    /// The number of its cell.
+    /// When the engine last started, in milliseconds; 0 or missing if its start is not recent.
+    pub(crate) const STARTED_AT_MS: &str = "ReadyAt";
+    /// The position of its machine type in the settings.
+    pub(crate) const MACHINE_TYPE: &str = "Kind";
+    /// The position of its location in the settings.
+    pub(crate) const LOCATION: &str = "Site";
+    /// The number of its replication cell.
     pub(crate) const CELL: &str = "Cell";
-    /// Its capacity as a multiple of the usual one.
+    /// Its relative capacity; 1 if it is missing.
     pub(crate) const CAPACITY_HINT: &str = "CapacityHint";
-    /// Its lifecycle state.
-    pub(crate) const STAGE_STATE: &str = "StageState";
-    /// A value of [`STAGE_STATE`].
+    /// Its lifecycle state, one of the following three.
+    pub(crate) const LIFECYCLE: &str = "StageState";
+    /// A value of [`LIFECYCLE`]: it accepts dispatches.
     pub(crate) const RUNNING: &str = "Running";
-    /// A value of [`STAGE_STATE`].
-    pub(crate) const STOPPING: &str = "Stopping";
-    /// A value of [`STAGE_STATE`].
-    pub(crate) const DELETED: &str = "Deleted";
+    /// A value of [`LIFECYCLE`]: it finishes its dispatches in flight and accepts no new ones.
+    pub(crate) const DRAINING: &str = "Stopping";
+    /// A value of [`LIFECYCLE`]: it has been shut down.
+    pub(crate) const GONE: &str = "Deleted";
 }
 
-/// The fields of [`events::INGRESS`].
+/// The fields of [`events::JOB_SUBMITTED`].
 pub(crate) mod job_fields {
-    /// The number of the job's class.
-    pub(crate) const TYPE: &str = "Type";
-    /// The number of the customer.
-    pub(crate) const ORG: &str = "Org";
-    /// The job's key, in hexadecimal digits.
-    pub(crate) const RELATION: &str = "Relation";
-    /// How long the client still waits, in milliseconds.
-    pub(crate) const LEFT: &str = "Left";
-    /// The estimated cost in milliseconds, if [`FLAG_HAS_COST`] is set.
-    pub(crate) const COST: &str = "Cost";
-    /// The memory that the job needs, in megabytes.
+    /// The position of the job's class in the settings.
+    pub(crate) const CLASS: &str = "Type";
+    /// The number of the customer that submitted the job.
+    pub(crate) const CUSTOMER: &str = "Org";
+    /// The job's ordering key in hexadecimal digits; none if it is missing or empty.
+    pub(crate) const KEY: &str = "Relation";
+    /// How long the client will wait for the answer, in milliseconds.
+    pub(crate) const TIME_LEFT_MS: &str = "Left";
+    /// The estimated work, in milliseconds on a single thread; only valid if [`FLAG_HAS_COST`] is set.
+    pub(crate) const COST_MS: &str = "Cost";
+    /// The estimated memory of the job, in megabytes; unknown if it is 0 or missing.
     pub(crate) const MEMORY_MB: &str = "MemMb";
-    /// The number of the table group.
-    pub(crate) const TABLES: &str = "Tables";
-    /// A sum of the following flags.
+    /// The number of the group of tables that the job reads or writes.
+    pub(crate) const TABLE_GROUP: &str = "Tables";
+    /// The bitwise OR of the following flags.
     pub(crate) const FLAGS: &str = "Flags";
-    /// The cost is known.
+    /// [`COST_MS`] is valid.
     pub(crate) const FLAG_HAS_COST: u64 = 1;
-    /// The job is a retry of the client.
+    /// The client marked the job as a retry.
     pub(crate) const FLAG_IS_RETRY: u64 = 2;
     /// The job writes.
     pub(crate) const FLAG_WRITES: u64 = 4;
 }
 
-/// The fields of [`events::REPLY`] and [`events::CHECKED`].
+/// The fields of [`events::DISPATCH_FINISHED`] and [`events::HEALTH_CHECK_FINISHED`].
 pub(crate) mod result_fields {
-    /// How it ended.
-    pub(crate) const VERDICT: &str = "Verdict";
-    /// The values of [`VERDICT`].
-    pub(crate) const SUCCESS: &str = "success";
-    pub(crate) const FAILURE: &str = "failure";
+    /// How the dispatch or the health check ended, one of the following eight.
+    pub(crate) const STATUS: &str = "Verdict";
+    /// A value of [`STATUS`]: the engine completed the job.
+    pub(crate) const COMPLETED: &str = "success";
+    /// A value of [`STATUS`]: the engine reported a failure.
+    pub(crate) const FAILED: &str = "failure";
+    /// A value of [`STATUS`]: the engine rejected the job for lack of capacity.
     pub(crate) const OVERLOADED: &str = "overloaded";
+    /// A value of [`STATUS`]: no result arrived within the dispatch's timeout.
     pub(crate) const TIMED_OUT: &str = "timed_out";
+    /// A value of [`STATUS`]: no byte of the dispatch reached the engine.
     pub(crate) const UNREACHABLE: &str = "unreachable";
-    pub(crate) const BROKEN: &str = "broken";
-    pub(crate) const WITHDRAWN: &str = "withdrawn";
-    pub(crate) const VOID: &str = "void";
-    /// The time that it took, in milliseconds.
-    pub(crate) const RTT: &str = "Rtt";
-    /// Whether the job has its answer.
-    pub(crate) const COMPLETE: &str = "Complete";
-    /// Work and memory in one number: see [`USED_UP_MEMORY_STEPS`].
-    pub(crate) const USED_UP: &str = "UsedUp";
-    /// [`USED_UP`] divided by this is the work in milliseconds; the rest is the memory in steps.
-    pub(crate) const USED_UP_MEMORY_STEPS: u64 = 4096;
-    /// One step of memory in megabytes.
-    pub(crate) const USED_UP_MEMORY_STEP_MB: f64 = 4.0;
-    /// The load report.
-    pub(crate) const TELEMETRY: &str = "Telemetry";
-    /// In the load report: the jobs in flight.
-    pub(crate) const CONCURRENT: &str = "concurrent";
-    /// In the load report: the processors' utilization.
-    pub(crate) const LOAD_SHARE: &str = "load_share";
-    /// In the load report: the memory's utilization.
-    pub(crate) const MEMORY_SHARE: &str = "x0";
+    /// A value of [`STATUS`]: the connection was lost after the dispatch was written.
+    pub(crate) const CONNECTION_LOST: &str = "broken";
+    /// A value of [`STATUS`]: the dispatch was cancelled after it was written.
+    pub(crate) const CANCELLED: &str = "withdrawn";
+    /// A value of [`STATUS`]: the engine received the dispatch after its deadline and did not run it.
+    pub(crate) const EXPIRED: &str = "void";
+    /// The time from the first byte written to the last byte read, in milliseconds.
+    pub(crate) const ELAPSED_MS: &str = "Rtt";
+    /// Whether the client already has the job's final answer.
+    pub(crate) const JOB_FINISHED: &str = "Complete";
+    /// The work and the memory that the job used, in one number (see [`ACTUAL_COST_MEMORY_STEPS`]); unknown if it is 0
+    /// or missing.
+    pub(crate) const ACTUAL_COST: &str = "UsedUp";
+    /// [`ACTUAL_COST`] divided by this is the work in milliseconds; the remainder is the memory in steps of
+    /// [`ACTUAL_COST_MEMORY_STEP_MB`].
+    pub(crate) const ACTUAL_COST_MEMORY_STEPS: u64 = 4096;
+    /// One step of the memory in [`ACTUAL_COST`], in megabytes.
+    pub(crate) const ACTUAL_COST_MEMORY_STEP_MB: f64 = 4.0;
+    /// The engine's load report: an object, or a list of pairs of a name and a number.
+    pub(crate) const LOAD_REPORT: &str = "Telemetry";
+    /// In the load report: the jobs in flight at the engine, from all gateways.
+    pub(crate) const JOBS_IN_FLIGHT: &str = "concurrent";
+    /// In the load report: the processor utilization, 1 at full use.
+    pub(crate) const PROCESSOR_UTILIZATION: &str = "load_share";
+    /// In the load report: the memory utilization, 1 at full use.
+    pub(crate) const MEMORY_UTILIZATION: &str = "x0";
 }
 
-/// The fields of [`events::PROGRESS`].
+/// The fields of [`events::DISPATCH_PROGRESS`].
 pub(crate) mod progress_fields {
-    /// What the progress is of.
-    pub(crate) const SORT: &str = "Sort";
-    /// How much, or which reason to wait.
+    /// Which kind of progress the engine reports, one of the following three; others are ignored.
+    pub(crate) const KIND: &str = "Sort";
+    /// The meaning depends on [`KIND`]: see its values.
     pub(crate) const AMOUNT: &str = "Amount";
-    /// A value of [`SORT`]: a fraction of the job is done.
-    pub(crate) const SORT_COMPLETED: u64 = 1;
-    /// A value of [`SORT`]: the job spills to disk.
-    pub(crate) const SORT_SPILLING: u64 = 2;
-    /// A value of [`SORT`]: the job waits.
-    pub(crate) const SORT_WAITING: u64 = 3;
-    /// A value of [`AMOUNT`] for a job that waits: for memory.
+    /// A value of [`KIND`]: [`AMOUNT`] is the completed fraction of the job.
+    pub(crate) const KIND_COMPLETED: u64 = 1;
+    /// A value of [`KIND`]: the job spills to disk; [`AMOUNT`] is the memory that would have avoided it, in megabytes.
+    pub(crate) const KIND_SPILLING: u64 = 2;
+    /// A value of [`KIND`]: the job waits at the engine, and [`AMOUNT`] is the reason.
+    pub(crate) const KIND_WAITING: u64 = 3;
+    /// A value of [`AMOUNT`] with [`KIND_WAITING`]: the job waits for memory.
     pub(crate) const WAITING_FOR_MEMORY: u64 = 1;
-    /// A value of [`AMOUNT`] for a job that waits: for a bulk load.
+    /// A value of [`AMOUNT`] with [`KIND_WAITING`]: the job waits for a bulk load.
     pub(crate) const WAITING_FOR_BULK_LOAD: u64 = 2;
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,87 +1,87 @@
-//! What ends the adapter: input that can't be used, or a pipe that fails.
+//! The errors that end the adapter: malformed input, and failed reads and writes.
 
-use crate::codec::wire_names::events::{DIRECTORY_UPDATE, INGRESS};
-use crate::codec::wire_names::instance_fields::TABLE;
-use crate::codec::wire_names::job_fields::TYPE;
-use crate::codec::wire_names::{ARRIVALS, MANAGER_ID};
+use crate::codec::wire_names::events::{ENDPOINT_LIST_UPDATE, JOB_SUBMITTED};
+use crate::codec::wire_names::instance_fields::LIST_NUMBER;
+use crate::codec::wire_names::job_fields::CLASS;
+use crate::codec::wire_names::{EVENTS, INSTANCE_NAME};
 use pebblevane_adapter_common::FieldError;
 use std::io;
 
-/// An event that can't be used.
+/// An event that is malformed or names something unknown.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum EventError {
     /// A field is missing or malformed.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// An event is no object with the event's name as its only key.
-    #[error("field {ARRIVALS}: an event must be an object with one key")]
+    /// The event is not an object with the event's name as its only key.
+    #[error("field {EVENTS}: an event must be an object with one key")]
     NotOneKey,
-    /// The instance has not begun, or has ended.
-    #[error("{event}: field {MANAGER_ID} names the unknown instance {manager}")]
+    /// The instance has not been started, or has ended.
+    #[error("{event}: field {INSTANCE_NAME} names the unknown instance {instance}")]
     UnknownInstance {
-        /// The event's name.
+        /// The name of the event.
         event: String,
-        /// The instance's name.
-        manager: String,
+        /// The name of the instance.
+        instance: String,
     },
-    /// The settings hold no such class.
-    #[error("{INGRESS}: field {TYPE} names the unknown class {class}")]
+    /// The settings of the instance have no job class at this position.
+    #[error("{JOB_SUBMITTED}: field {CLASS} names the unknown class {class}")]
     UnknownClass {
-        /// The number of the class.
+        /// The position of the class that the event names.
         class: usize,
     },
-    /// No list of this number was sent.
-    #[error("{DIRECTORY_UPDATE}: field {TABLE} names the unknown list {table}")]
-    UnknownTable {
-        /// The number of the list.
-        table: u64,
+    /// No endpoint list with this number has been defined.
+    #[error("{ENDPOINT_LIST_UPDATE}: field {LIST_NUMBER} names the unknown list {list}")]
+    UnknownEndpointList {
+        /// The number of the endpoint list.
+        list: u64,
     },
 }
 
-/// A batch that can't be used.
+/// A batch that is malformed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BatchError {
-    /// The line is no JSON.
+    /// The line is not valid JSON.
     #[error("the batch is not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// The batch's number is missing or malformed.
     #[error(transparent)]
-    Turn(FieldError),
-    /// Something else of the batch can't be used.
-    #[error("batch {turn}: {source}")]
+    BatchNumber(FieldError),
+    /// Another field of the batch, or one of its events, is malformed.
+    #[error("batch {number}: {source}")]
     Event {
         /// The batch's number.
-        turn: u64,
-        /// What is wrong.
+        number: u64,
+        /// The error of the field or event.
         source: EventError,
     },
 }
 
-/// What ends the adapter before its input does.
+/// Why the adapter ends before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ServeError {
-    /// The input can't be read.
+    /// Standard input could not be read.
     #[error("line {line}: cannot read: {source}")]
     Read {
-        /// The number of the line, from 1.
+        /// The number of the input line, from 1.
         line: u64,
-        /// The system's error.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// A batch can't be used.
+    /// A batch could not be handled.
     #[error("line {line}: {source}")]
     Batch {
-        /// The number of the line, from 1.
+        /// The number of the input line, from 1.
         line: u64,
-        /// What is wrong.
+        /// The error of the batch.
         source: BatchError,
     },
-    /// The reply can't be written.
+    /// The reply could not be written to standard output.
     #[error("line {line}: cannot write the reply: {source}")]
     Write {
-        /// The number of the line, from 1.
+        /// The number of the input line, from 1.
         line: u64,
-        /// The system's error.
+        /// The error of the system call.
         source: io::Error,
     },
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,7 +1,8 @@
-//! The instances that one process hosts. They share nothing but the endpoint lists that the simulator sends.
+//! Hosts all instances of a process. They are independent of one another, except that they share the endpoint lists
+//! that the simulator has defined.
 
-use crate::codec::wire_names::instance_fields::{MEMBERS, TABLE};
-use crate::codec::wire_names::{ARRIVALS, CLOCK, MANAGER_ID, STEPS, TURN, events};
+use crate::codec::wire_names::instance_fields::{ENDPOINTS, LIST_NUMBER};
+use crate::codec::wire_names::{BATCH_NUMBER, EVENTS, INSTANCE_NAME, NOW_MS, STEPS, events};
 use crate::error::{BatchError, EventError};
 use crate::instance::Instance;
 use pebblevane::time::Timestamp;
@@ -9,33 +10,36 @@
 use serde_json::{Value as Json, json};
 use std::collections::HashMap;
 
-/// What errors call a batch.
+/// The name of the batch object in errors.
 const BATCH_OBJECT: &str = "batch";
 
-/// All instances, and the endpoint lists by their numbers.
+/// The instances and the endpoint lists of one process.
 #[derive(Default)]
 pub(crate) struct Host {
+    /// By their names.
     instances: HashMap<String, Instance>,
+    /// By their numbers: the entries of each list, not decoded.
     endpoint_lists: HashMap<u64, Json>,
 }
 
 impl Host {
-    /// Handles one batch and returns the reply.
+    /// Handles the events of one batch and returns the reply.
     ///
     /// # Errors
-    /// If the batch can't be used; the error names the batch and the field. Events before that have been handled.
+    /// If the batch or one of its events is malformed; the error names the batch and the field. The events before the
+    /// malformed one have been handled then.
     pub(crate) fn handle_batch(&mut self, line: &str) -> Result<String, BatchError> {
         let json: Json = serde_json::from_str(line)?;
         let batch = Fields { name: BATCH_OBJECT, json: &json };
-        let turn = batch.whole(TURN).map_err(BatchError::Turn)?;
-        let steps = self.handle_events(batch).map_err(|source| BatchError::Event { turn, source })?;
-        Ok(json!({TURN: turn, STEPS: steps}).to_string())
+        let number = batch.whole(BATCH_NUMBER).map_err(BatchError::BatchNumber)?;
+        let steps = self.handle_events(batch).map_err(|source| BatchError::Event { number, source })?;
+        Ok(json!({BATCH_NUMBER: number, STEPS: steps}).to_string())
     }
 
     fn handle_events(&mut self, batch: Fields) -> Result<Vec<Json>, EventError> {
-        let now = Timestamp::from_millis_f64(batch.number(CLOCK)?);
+        let now = Timestamp::from_millis_f64(batch.number(NOW_MS)?);
         let mut steps = Vec::new();
-        for event in batch.list(ARRIVALS)? {
+        for event in batch.list(EVENTS)? {
             self.handle_event(now, event_fields(event)?, &mut steps)?;
         }
         Ok(steps)
@@ -47,24 +51,24 @@
         event: Fields,
         steps: &mut Vec<Json>,
     ) -> Result<(), EventError> {
-        if event.name == events::DIRECTORY {
+        if event.name == events::ENDPOINT_LIST {
             return self.store_endpoint_list(event);
         }
-        let manager = event.text(MANAGER_ID)?;
+        let instance_name = event.text(INSTANCE_NAME)?;
         match event.name {
-            events::BEGIN => {
-                self.instances.insert(manager.to_string(), Instance::begin(now, manager, event)?);
+            events::START_INSTANCE => {
+                self.instances.insert(instance_name.to_string(), Instance::start(now, instance_name, event)?);
                 Ok(())
             }
-            events::SHUTDOWN => {
-                self.instances.remove(manager);
+            events::STOP_INSTANCE => {
+                self.instances.remove(instance_name);
                 Ok(())
             }
             _ => {
                 let instance =
-                    self.instances.get_mut(manager).ok_or_else(|| EventError::UnknownInstance {
+                    self.instances.get_mut(instance_name).ok_or_else(|| EventError::UnknownInstance {
                         event: event.name.to_string(),
-                        manager: manager.to_string(),
+                        instance: instance_name.to_string(),
                     })?;
                 instance.handle_event(now, event, &self.endpoint_lists, steps)
             }
@@ -72,13 +76,13 @@
     }
 
     fn store_endpoint_list(&mut self, event: Fields) -> Result<(), EventError> {
-        event.list(MEMBERS)?;
-        self.endpoint_lists.insert(event.whole_or_zero(TABLE)?, event.json[MEMBERS].clone());
+        event.list(ENDPOINTS)?;
+        self.endpoint_lists.insert(event.whole_or_zero(LIST_NUMBER)?, event.json[ENDPOINTS].clone());
         Ok(())
     }
 }
 
-/// An event is an object whose only key is the event's name.
+/// Splits an event, an object whose only key is the event's name, into the name and the fields.
 fn event_fields(event: &Json) -> Result<Fields<'_>, EventError> {
     let object = event.as_object().filter(|object| object.len() == 1);
     let (name, json) = object.and_then(|object| object.iter().next()).ok_or(EventError::NotOneKey)?;
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,11 +1,12 @@
-//! One admission controller on the simulator's wire.
+//! One instance of the admission controller, driven by the simulator's events.
 
 use crate::codec::decode::{decode_endpoint, decode_job, decode_progress, decode_result};
 use crate::codec::encode::{WireIds, encode_actions, encode_timer};
 use crate::codec::wire_names::instance_fields::{
-    CLASSES, CONF, KIND, KIND_CHANGES, KIND_REFUSED, LATENCY_OBJECTIVE, MEMBERS, SEED, TABLE,
+    CLASSES, ENDPOINTS, LATENCY_OBJECTIVE, LIST_NUMBER, SEED, SETTINGS, UPDATE_KIND, UPDATE_KIND_CHANGES,
+    UPDATE_KIND_UNAVAILABLE,
 };
-use crate::codec::wire_names::{COPY, ENGINE, REQUEST_ID, events};
+use crate::codec::wire_names::{ATTEMPT_NUMBER, ENGINE, REQUEST_ID, events};
 use crate::error::EventError;
 use pebblevane::controller::AdmissionController;
 use pebblevane::interface::{Actions, Endpoint, EngineId, JobId, ListScope};
@@ -14,22 +15,27 @@
 use serde_json::Value as Json;
 use std::collections::{BTreeMap, HashMap};
 
-/// An admission controller, and the names that its jobs and engines have on the wire.
+/// An admission controller, and the mapping between its ids of jobs and engines and those of the simulator.
 pub(crate) struct Instance {
-    manager: String,
+    name: String,
     controller: AdmissionController,
+    /// Number of job classes in the settings.
     class_count: usize,
     engines: EngineIds,
+    /// The jobs that the controller has not released, by the simulator's numbers.
     jobs: HashMap<u32, JobId>,
+    /// The simulator's numbers of the same jobs.
     requests: BTreeMap<JobId, u32>,
+    /// Number of jobs submitted so far, which is also the id of the next one.
     submitted_jobs: u32,
-    /// When the earliest pending timer fires.
-    timer: Option<Timestamp>,
+    /// When the next timer fires in the simulator; `None` if none is set. Another one is set only if it must fire
+    /// earlier.
+    next_timer: Option<Timestamp>,
 }
 
 impl WireIds for Instance {
-    fn manager(&self) -> &str {
-        &self.manager
+    fn instance_name(&self) -> &str {
+        &self.name
     }
 
     fn request(&self, job: JobId) -> u32 {
@@ -42,32 +48,32 @@
 }
 
 impl Instance {
-    /// An instance of this name, with the settings of the event that begins it.
+    /// Creates an instance of this name with the settings and the seed of its start event.
     ///
     /// # Errors
     /// If a field of the event is missing or malformed.
-    pub(crate) fn begin(now: Timestamp, manager: &str, event: Fields) -> Result<Instance, FieldError> {
-        let settings = event.get(CONF).ok_or_else(|| event.error(CONF, Wanted::Object))?;
+    pub(crate) fn start(now: Timestamp, name: &str, event: Fields) -> Result<Instance, FieldError> {
+        let settings = event.get(SETTINGS).ok_or_else(|| event.error(SETTINGS, Wanted::Object))?;
         let settings = flatten_settings(settings);
         let class_count = settings.entry_count(CLASSES, LATENCY_OBJECTIVE);
         let controller = AdmissionController::new(now, event.whole_or_zero(SEED)?, &settings);
         Ok(Instance {
-            manager: manager.to_string(),
+            name: name.to_string(),
             controller,
             class_count,
             engines: EngineIds::default(),
             jobs: HashMap::new(),
             requests: BTreeMap::new(),
             submitted_jobs: 0,
-            timer: None,
+            next_timer: None,
         })
     }
 
-    /// Passes an event to the controller and encodes what it returns. An event of an unknown name, job or engine is
-    /// ignored.
+    /// Passes an event to the controller and appends the returned actions to `steps`. Events with an unknown name, and
+    /// events about an unknown job or engine, are ignored.
     ///
     /// # Errors
-    /// If a field of the event is missing, malformed or names something unknown that has to be known.
+    /// If a field of the event is missing or malformed, or names an unknown job class or endpoint list.
     pub(crate) fn handle_event(
         &mut self,
         now: Timestamp,
@@ -76,18 +82,18 @@
         steps: &mut Vec<Json>,
     ) -> Result<(), EventError> {
         let actions = match event.name {
-            events::INGRESS => Some(self.submit(now, event)?),
-            events::REPLY => self.finish_dispatch(now, event)?,
-            events::PROGRESS => self.report_progress(now, event)?,
-            events::HEAD_RECEIVED => self.start_response(now, event)?,
-            events::EXPIRED => self.disconnect_client(now, event)?,
-            events::CHECKED => self.finish_health_check(now, event)?,
-            events::TIMEOUT_FIRED => Some(self.fire_timer(now)),
-            events::DIRECTORY_UPDATE => Some(self.update_endpoints(now, event, endpoint_lists)?),
+            events::JOB_SUBMITTED => Some(self.submit(now, event)?),
+            events::DISPATCH_FINISHED => self.finish_dispatch(now, event)?,
+            events::DISPATCH_PROGRESS => self.report_progress(now, event)?,
+            events::RESPONSE_STARTED => self.start_response(now, event)?,
+            events::CLIENT_DISCONNECTED => self.disconnect_client(now, event)?,
+            events::HEALTH_CHECK_FINISHED => self.finish_health_check(now, event)?,
+            events::TIMER_FIRED => Some(self.fire_timer(now)),
+            events::ENDPOINT_LIST_UPDATE => Some(self.update_endpoints(now, event, endpoint_lists)?),
             _ => None,
         };
         if let Some(actions) = actions {
-            self.carry_out(now, actions, steps);
+            self.encode_and_apply(now, actions, steps);
         }
         Ok(())
     }
@@ -130,7 +136,7 @@
         Ok(Some(self.controller.client_disconnected(now, job)))
     }
 
-    /// The job that an event is about; none if it has been released, or was never submitted.
+    /// The job that an event is about; `None` if the job has been released or was never submitted.
     fn job(&self, event: Fields) -> Result<Option<JobId>, FieldError> {
         let request = event.whole(REQUEST_ID)? as u32;
         Ok(self.jobs.get(&request).copied())
@@ -143,8 +149,8 @@
     }
 
     fn fire_timer(&mut self, now: Timestamp) -> Actions {
-        if self.timer.is_some_and(|due| due <= now) {
-            self.timer = None;
+        if self.next_timer.is_some_and(|due| due <= now) {
+            self.next_timer = None;
         }
         self.controller.timer_fired(now)
     }
@@ -155,27 +161,30 @@
         event: Fields,
         endpoint_lists: &HashMap<u64, Json>,
     ) -> Result<Actions, EventError> {
-        let kind = event.text(KIND)?;
-        if kind == KIND_REFUSED {
+        let kind = event.text(UPDATE_KIND)?;
+        if kind == UPDATE_KIND_UNAVAILABLE {
             return Ok(self.controller.endpoint_list_unavailable(now));
         }
-        let table = event.whole_or_zero(TABLE)?;
-        let list = endpoint_lists.get(&table).and_then(Json::as_array);
-        let endpoints = self.decode_endpoints(list.ok_or(EventError::UnknownTable { table })?)?;
-        let scope = if kind == KIND_CHANGES { ListScope::Changes } else { ListScope::Complete };
+        let number = event.whole_or_zero(LIST_NUMBER)?;
+        let list = endpoint_lists.get(&number).and_then(Json::as_array);
+        let endpoints =
+            self.decode_endpoints(list.ok_or(EventError::UnknownEndpointList { list: number })?)?;
+        let scope = if kind == UPDATE_KIND_CHANGES { ListScope::Changes } else { ListScope::Complete };
         Ok(self.controller.endpoints_changed(now, scope, endpoints))
     }
 
     fn decode_endpoints(&mut self, list: &[Json]) -> Result<Vec<Endpoint>, FieldError> {
-        let entries = list.iter().map(|json| Fields { name: MEMBERS, json });
+        let entries = list.iter().map(|json| Fields { name: ENDPOINTS, json });
         entries.map(|entry| decode_endpoint(entry, |name| self.engines.assign(name))).collect()
     }
 
-    fn carry_out(&mut self, now: Timestamp, actions: Actions, steps: &mut Vec<Json>) {
+    /// Encodes actions as steps, sets the timer if it must fire earlier than the pending one, and drops the ids of
+    /// removed engines and released jobs.
+    fn encode_and_apply(&mut self, now: Timestamp, actions: Actions, steps: &mut Vec<Json>) {
         encode_actions(&actions, self, steps);
-        if let Some(due) = actions.next_timer.filter(|due| self.timer.is_none_or(|timer| *due < timer)) {
+        if let Some(due) = actions.next_timer.filter(|due| self.next_timer.is_none_or(|timer| *due < timer)) {
             steps.push(encode_timer(due - now, self));
-            self.timer = Some(due.max(now));
+            self.next_timer = Some(due.max(now));
         }
         for engine in actions.forgotten_engines {
             self.engines.remove(engine);
@@ -188,7 +197,7 @@
     }
 }
 
-/// The number of the attempt that an event is about, from 0.
+/// The number of the dispatch that an event is about, counted from 0 for each job; 0 if it is missing.
 fn decode_attempt(event: Fields) -> Result<u32, FieldError> {
-    Ok(event.whole_or_zero(COPY)? as u32)
+    Ok(event.whole_or_zero(ATTEMPT_NUMBER)? as u32)
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! Hosts many instances of the admission controller on the simulator's wire: a batch of events on each line of
-//! standard input, one reply on each line of standard output. It decodes events into calls of the controller and
-//! encodes the actions that it returns; it decides nothing.
+//! Connects instances of the admission controller to the simulator: reads one batch of events from each line of
+//! standard input and writes one reply to each line of standard output. The adapter decodes events into calls of the
+//! controller and encodes the returned actions; all decisions are the controller's.
 
 mod codec;
 mod error;
@@ -21,7 +21,7 @@
     }
 }
 
-/// Answers each line of the input until its end. Empty lines are skipped.
+/// Writes a reply for each batch until the end of the input. Skips empty lines.
 fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), ServeError> {
     let mut host = host::Host::default();
     let mut batch = String::new();
