--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,8 @@
 run: build
 	NODE_CONFIG=$${NODE_CONFIG:-examples/config.json} target/release/pebblevane
 
-# Lays beside our own deployments what the bench wants there; GIVEN is where the operators' kit lies. Git ignores it.
+# Copies the files that the bench needs from the operators' kit to deploy/sites/, next to the deployments of this
+# project. Git ignores the copies. GIVEN is the folder that contains the kit.
 GIVEN ?= ../given
 sites:
 	install -m 644 $(GIVEN)/kit/more/mass/other/real.json $(GIVEN)/kit/more/mass/other/wire.json \
