--- a/crates/soak/src/bus.rs
+++ b/crates/soak/src/bus.rs
@@ -1,4 +1,5 @@
-//! The event bus: sends numbered changes of the list of engines to each gateway, on a connection that the gateway opens.
+//! The event bus: sends numbered changes of the list of engines to each gateway, on a connection that the gateway
+//! opens.
 
 use crate::engine::{self, Engine};
 use crate::history::{Event, GatewayRun};
@@ -13,7 +14,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Interval of the messages on a connection that has no events.
+/// Interval of the heartbeats on a connection without new events.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum wait for the port of a bus that was stopped.
 const PORT_RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -79,7 +80,7 @@
         locked(&self.state).events.push(changes);
     }
 
-    /// Sends nothing for this time on the connections that are open now.
+    /// Makes the bus send nothing for this time on the connections that are open now.
     pub fn silence_connections(&self, time: Duration) {
         let now = Instant::now();
         locked(&self.state).silent = Some((now, now + time));
@@ -90,7 +91,7 @@
         self.epochs.send_modify(|epoch| *epoch += 1);
     }
 
-    /// Listens on the previous port or a new one.
+    /// Starts to listen, on the previous port or on a new one.
     pub async fn start(&self, testbed: &Arc<Testbed>, same_port: bool) -> std::io::Result<()> {
         let port = if same_port { self.port() } else { testbed.new_port() };
         let start = Instant::now();
@@ -128,8 +129,8 @@
         all.into_values().filter(|change| change.lifecycle != Lifecycle::Terminated).collect()
     }
 
-    /// The list of engines in a gateway's configuration: the current one, or the first one if `is_outdated`. It is recorded
-    /// as a notification of the gateway.
+    /// The list of engines in a gateway's configuration: the current one, or the first one if `is_outdated`. It is
+    /// recorded as a notification of the gateway.
     pub fn initial_topology(&self, testbed: &Testbed, to: GatewayRun, is_outdated: bool) -> Json {
         let latest = locked(&self.state).events.len();
         let offset = if is_outdated { 1 } else { latest };
@@ -175,8 +176,8 @@
         "lifecycle": lifecycle, "weight": testbed.schedule.cores, "startedAtMs": change.started_at_ms}))
 }
 
-/// Serves one connection until it ends or the bus is stopped: reads the offset from which the gateway wants events, then
-/// sends events and heartbeats.
+/// Serves one connection until it ends or the bus is stopped: reads the offset from which the gateway wants events,
+/// then sends events and heartbeats.
 async fn serve(testbed: Arc<Testbed>, stream: TcpStream, gateway: usize, epoch: u32) {
     let mut epochs = testbed.bus.epochs.subscribe();
     if *epochs.borrow_and_update() != epoch {
@@ -190,6 +191,7 @@
         let mut offset: usize = line.trim().strip_prefix("from ").and_then(|n| n.parse().ok()).unwrap_or(0);
         let (opened, mut last_sent) = (
             Instant::now(),
+            // The first heartbeat is due at once.
             Instant::now()
                 .checked_sub(HEARTBEAT_INTERVAL)
                 .expect("the machine runs for longer than a heartbeat"),
--- a/crates/soak/src/checker/dispatches.rs
+++ b/crates/soak/src/checker/dispatches.rs
@@ -34,7 +34,7 @@
             };
             for (position, dispatch) in dispatches.iter().enumerate() {
                 self.check_dispatch(request, dispatch, &drains);
-                self.check_repeat(request, &dispatches[..position], dispatch);
+                self.check_retry(request, &dispatches[..position], dispatch);
             }
         }
     }
@@ -90,15 +90,16 @@
         }
     }
 
-    /// Whether the gateway had been notified which engine listens at the address of this dispatch. Before that, it can't
-    /// know that another engine has taken over the address.
+    /// Whether the gateway had been notified which engine listens at the address of this dispatch. Before that, it
+    /// can't know that another engine has taken over the address.
     fn knows_engine(&self, dispatch: &Dispatch) -> bool {
         let engine_run = (dispatch.from, dispatch.engine, dispatch.engine_run);
         let notified = self.in_service_notifications.get(&engine_run);
         notified.is_some_and(|notified| notified + TOLERANCE_US / 2 <= dispatch.received_at)
     }
 
-    fn check_repeat(&mut self, request: &Request, earlier: &[&Dispatch], dispatch: &Dispatch) {
+    /// Checks a dispatch against the earlier dispatches of its request.
+    fn check_retry(&mut self, request: &Request, earlier: &[&Dispatch], dispatch: &Dispatch) {
         let (id, at) = (Some(request.id.as_str()), dispatch.received_at);
         let is_in_flight = |other: &&&Dispatch| other.end.is_none_or(|(end, _)| end > at + TOLERANCE_US / 2);
         if let Some(in_flight) = earlier.iter().find(is_in_flight) {
@@ -162,7 +163,7 @@
         drains
     }
 
-    /// Until when the gateway may send to the dispatch's engine; none if the engine doesn't drain.
+    /// Until when the gateway may send to the dispatch's engine; `None` if the engine doesn't drain.
     fn grace_end(&self, dispatch: &Dispatch, grace: Micros) -> Option<Micros> {
         let published = self.published.get(&(dispatch.engine, dispatch.engine_run))?;
         let notified = self.notified.get(&(dispatch.from, dispatch.engine, dispatch.engine_run));
--- a/crates/soak/src/checker/mod.rs
+++ b/crates/soak/src/checker/mod.rs
@@ -22,7 +22,7 @@
 /// How long before and after such a lag times are unreliable.
 const LAG_VICINITY_US: Micros = 1_500_000;
 
-/// What a gateway can violate. The numbers are those of the rules that gateways follow before a dispatch.
+/// What a gateway can violate. The numbers are those of the seven rules in `src/rules.rs` of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Rule {
     /// A request got no answer in time (rule 1).
@@ -45,11 +45,11 @@
     KeyedOutsideGroup,
     /// A dispatch was sent while another one of the same request was in flight.
     TwoOut,
-    /// A request was answered "Busy" although its job may have run and must not be repeated.
+    /// A request was answered "Busy" although its job may have run and must not run again.
     RefusedAfterRun,
     /// A dispatch was sent to a draining engine after the drain grace (rule 3).
     Drain,
-    /// An engine that had just started got more dispatches than it can bear (rule 4).
+    /// An engine that had just started got more dispatches than the settings allow (rule 4).
     ColdEngine,
     /// A dispatch was sent to a zone where its class may not run (rule 6).
     Placement,
@@ -57,7 +57,9 @@
     Budget,
     /// A gateway ended without having been stopped or killed, or with an error.
     Crash,
+    /// A gateway did not become ready in time.
     FailedStart,
+    /// A gateway had to be killed because a stop took too long.
     DidNotStop,
     /// A gateway logged an error or panicked.
     Complaint,
@@ -86,8 +88,8 @@
     pub done: usize,
     pub busy: usize,
     pub failed: usize,
-    /// Requests that were sent while the gateway closed their connection, or on a new connection that the gateway closed
-    /// unread during a flood of idle connections.
+    /// Requests that were sent while the gateway closed their connection, or on a new connection that the gateway
+    /// closed unread during a flood of idle connections.
     #[serde(rename = "crossings")]
     pub close_races: usize,
     /// Requests open at a gateway that was killed.
@@ -107,14 +109,14 @@
     }
 }
 
-/// When each process of a gateway reached the stages of its life.
+/// When each gateway process was started, became ready, began to stop, was killed and ended.
 #[derive(Default)]
 struct ProcessTimes {
     started: BTreeMap<GatewayRun, Micros>,
     ready: BTreeMap<GatewayRun, Micros>,
     stopping: BTreeMap<GatewayRun, Micros>,
     killed: BTreeMap<GatewayRun, Micros>,
-    /// With the exit status and whether the end was clean.
+    /// With the exit status, and whether the process was stopped as planned and exited with status 0.
     ended: BTreeMap<GatewayRun, (Micros, String, bool)>,
 }
 
@@ -299,16 +301,16 @@
         }
     }
 
-    /// Checks a request that was answered with "Busy", which invites its client to send it again: either it has not
-    /// run, or it may be repeated anywhere.
+    /// Checks a request that was answered with "Busy", upon which its client sends it again. This answer is allowed
+    /// only if the job has not run, or may run again on any engine.
     fn check_busy(&mut self, request: &Request, dispatches: &[&Dispatch], at: Micros) {
-        let may_be_repeated = match self.schedule.classes[request.class].semantics {
+        let may_run_again = match self.schedule.classes[request.class].semantics {
             Semantics::Restartable => true,
             Semantics::Keyed => self.schedule.group == Group::All,
             Semantics::RunOnce => false,
         };
         let may_have_run = |dispatch: &&&Dispatch| dispatch.received_at < at && !proves_not_run(dispatch);
-        if let Some(dispatch) = dispatches.iter().find(may_have_run).filter(|_| !may_be_repeated) {
+        if let Some(dispatch) = dispatches.iter().find(may_have_run).filter(|_| !may_run_again) {
             let description =
                 format!("Busy, but it was sent to engine {} and ended {:?}", dispatch.engine, dispatch.end);
             self.report(Rule::RefusedAfterRun, at, Some(&request.id), false, description);
--- a/crates/soak/src/checker/windows.rs
+++ b/crates/soak/src/checker/windows.rs
@@ -4,12 +4,13 @@
 use crate::history::{Dispatch, Event, GatewayRun, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A dispatch may wait this long for a connection between its count in the gateway and its arrival at the engine.
+/// Maximum time between the moment when the gateway counts a dispatch and its arrival at the engine. The dispatch may
+/// have to wait for a connection.
 const CONNECT_DELAY_US: Micros = 300_000;
 
 impl Checker<'_> {
-    /// Checks that in every window each gateway process keeps to its budget of retries, which are the dispatches beyond a
-    /// job's first.
+    /// Checks that in every window each gateway process keeps to its budget of retries, which are the dispatches beyond
+    /// a job's first.
     pub(super) fn check_retry_budgets(&mut self) {
         let records = self.records;
         let window = micros(self.schedule.rules.retry_budget_window);
@@ -31,7 +32,7 @@
                 .collect();
             for at in &retries {
                 // The gateway counts a retry when it sends it, which is up to `CONNECT_DELAY_US` before the engine
-                // receives it. Only those count here that were sent within one window in any case.
+                // receives it. Only retries that were certainly sent within one window are counted here.
                 let in_window = retries
                     .iter()
                     .filter(|retry| (at + CONNECT_DELAY_US..=at + window).contains(&(**retry + window)));
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -16,23 +16,25 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// How long after the start of a gateway's stop clients open new connections to it.
+/// For how long after the start of a gateway's stop clients still open connections to it.
 const CONNECT_AFTER_STOP: Duration = Duration::from_millis(300);
-/// How long after the start of a stop clients send requests on connections that have carried requests.
+/// For how long after the start of a stop clients still send requests on connections that have carried requests.
 const USED_CONNECTION_AFTER_STOP: Duration = Duration::from_millis(550);
-/// How long after the start of a stop clients send the first request on a connection.
+/// For how long after the start of a stop clients still send the first request on a connection.
 const FIRST_REQUEST_AFTER_STOP: Duration = Duration::from_millis(1500);
-/// At least the client timeout of every class.
+/// No class has a longer client timeout than this.
 const MAX_ANSWER_WAIT: Duration = Duration::from_secs(3);
-/// How much longer than `MAX_ANSWER_WAIT` a client waits for answers.
+/// How much longer than `MAX_ANSWER_WAIT` clients wait for answers.
 const EXTRA_ANSWER_WAIT: Duration = Duration::from_millis(1500);
 /// Interval at which waiting tasks check their condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Maximum number of rounds of requests on one connection, unless its gateway stops.
 const MAX_ROUNDS: usize = 8;
-/// Maximum idle time before a request. The protocol has clients close connections that are idle for 4 s.
+/// Maximum idle time before a request. It is less than the 4 s after which the protocol asks clients to close an idle
+/// connection.
 const MAX_IDLE_MS: u64 = 3500;
-/// Some connections stay idle for about as long as the gateway keeps them, so that a request meets their end.
+/// Some connections stay idle for about as long as the gateway keeps them, so that the next request is sent while the
+/// gateway closes the connection.
 const IDLE_UNTIL_CLOSED_MS: std::ops::Range<u64> = 4900..5300;
 /// Pause between the requests of steady clients while their gateway stops. It is short, so that some requests are sent
 /// while the gateway closes the connection.
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Pauses between requests.
+    /// Pauses for a random time around the gateway's typical pause between requests.
     async fn think(&mut self) {
         let typical = self.testbed.schedule.think_time_ms(self.gateway);
         let pause = self.rng.random_range(typical / 3..=typical * 2);
@@ -228,8 +230,8 @@
         Ok((message, entry))
     }
 
-    /// Sends malformed data, half a request or many requests, and disconnects shortly after. The requests are recorded as
-    /// abandoned.
+    /// Sends malformed data, half a request or many requests, and disconnects shortly after. The requests are recorded
+    /// as abandoned.
     pub async fn misbehave(&mut self) -> std::io::Result<()> {
         if !self.may_connect() {
             return Ok(());
@@ -256,7 +258,7 @@
         Ok(())
     }
 
-    /// Keeps this number of idle connections open for a time.
+    /// Keeps this number of idle connections open for this time.
     pub async fn hold_idle_connections(&self, connections: usize, time: Duration) {
         let mut streams = vec![];
         for _ in 0..connections {
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -18,7 +18,7 @@
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval at which waiting tasks check their condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// After accepting resumes, the connections that were queued during the pause are accepted within this time.
+/// When accepting resumes after a pause, connections accepted within this time may have been queued during the pause.
 const BACKLOG_ACCEPT_TIME: Duration = Duration::from_millis(100);
 /// Maximum wait for the port of a process that has ended.
 const PORT_RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -31,7 +31,7 @@
     pub zone: usize,
     state: Mutex<State>,
     inflight: AtomicU32,
-    /// The number of the current run. Each change, also one that keeps the number, closes all connections.
+    /// The number of the current run. Each notification, even one that keeps the number, closes all connections.
     run_sender: watch::Sender<u32>,
 }
 
@@ -46,7 +46,7 @@
     port: u16,
     alive: bool,
     hangs_until: Instant,
-    /// When accepting continues after its last pause; none if there was no pause.
+    /// When accepting resumes after its last pause; `None` if there was no pause.
     accepts_from: Option<Instant>,
     /// By gateway: until when its jobs are neither run nor answered.
     blocked_until: HashMap<usize, Instant>,
@@ -94,7 +94,7 @@
         *self.run_sender.borrow()
     }
 
-    /// Neither runs nor answers any jobs for this time.
+    /// Makes the engine neither run nor answer any jobs for this time.
     pub fn hang(&self, time: Duration) {
         locked(&self.state).hangs_until = Instant::now() + time;
     }
@@ -106,29 +106,29 @@
         from.elapsed() < BACKLOG_ACCEPT_TIME
     }
 
-    /// Accepts no connections for this time.
+    /// Makes the engine accept no connections for this time.
     pub fn delay_accepts(&self, time: Duration) {
         let mut state = locked(&self.state);
         state.accepts_from = state.accepts_from.max(Some(Instant::now() + time));
     }
 
-    /// Sets the port of an engine that has not started yet, in place of a new one.
+    /// Sets the port of an engine that has not started yet. Otherwise it gets an unused one at its start.
     pub fn use_port(&self, port: u16) {
         locked(&self.state).port = port;
     }
 
-    /// Neither runs nor answers the jobs of these gateways for this time.
+    /// Makes the engine neither run nor answer the jobs of these gateways for this time.
     pub fn block(&self, gateways: &[usize], time: Duration) {
         let until = Instant::now() + time;
         locked(&self.state).blocked_until.extend(gateways.iter().map(|gateway| (*gateway, until)));
     }
 
-    /// Fails or rejects this share of the jobs for a time.
+    /// Makes the engine fail or reject this share of the jobs for this time.
     pub fn fail_jobs(&self, share: f64, time: Duration) {
         locked(&self.state).job_failures = RandomFault { share, until: Instant::now() + time };
     }
 
-    /// Corrupts the answers of this share of the jobs for a time.
+    /// Makes the engine corrupt the answers to this share of the jobs for this time.
     pub fn corrupt_answers(&self, share: f64, time: Duration) {
         locked(&self.state).answer_corruption = RandomFault { share, until: Instant::now() + time };
     }
@@ -241,7 +241,7 @@
     }
 }
 
-/// A listener with a short backlog, so that connecting takes long or fails while no connections are accepted.
+/// Listens with a short backlog, so that connecting takes long or fails while no connections are accepted.
 fn listen(port: u16) -> std::io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -369,7 +369,8 @@
 }
 
 impl Execution {
-    /// Runs a job that takes this long on an idle engine.
+    /// Runs a job that typically takes this long on an idle engine. It takes longer if more jobs are in flight than the
+    /// engine has threads, which are two for each core.
     async fn run(self, work: Duration) {
         self.engine.wait_until_unblocked(self.gateway).await;
         if self.is_cancelled() {
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -25,7 +25,7 @@
 const IDLE_CLIENT: usize = 900;
 const MISBEHAVING_CLIENT: usize = 901;
 
-/// Spawns one task for each fault. It waits for the time of its fault and ends with it.
+/// Spawns one task for each fault. It waits until the fault starts, and ends when the fault ends.
 pub fn inject_all(testbed: &Arc<Testbed>) -> Vec<JoinHandle<()>> {
     let all = testbed.schedule.faults.clone().into_iter();
     all.map(|scheduled| tokio::spawn(inject(testbed.clone(), scheduled))).collect()
@@ -143,7 +143,8 @@
     testbed.bus.publish(testbed, terminated);
 }
 
-/// Ends engines and lists new ones with other names at the same addresses, before the old ones are listed as terminated.
+/// Ends engines and lists new ones with other names at the same addresses, before the old ones are listed as
+/// terminated.
 async fn take_addresses(testbed: &Arc<Testbed>, engines: &[usize]) {
     let old: Vec<_> = engines.iter().filter_map(|engine| testbed.engine(*engine)).collect();
     let mut changes = vec![];
@@ -235,7 +236,7 @@
     fail_for(testbed, gateways, &rates, time).await;
 }
 
-/// Makes system calls fail at these rates for a time.
+/// Makes system calls of the gateways fail at these rates for this time.
 async fn fail_for(testbed: &Arc<Testbed>, gateways: &[usize], rates: &[(FaultKind, f64)], time: Duration) {
     let zero_rates: Vec<(FaultKind, f64)> = rates.iter().map(|(kind, _)| (*kind, 0.0)).collect();
     for gateway in gateways {
@@ -247,7 +248,7 @@
     }
 }
 
-/// Lets misbehaving clients connect to each gateway, one after another, for a time.
+/// Lets misbehaving clients connect to each gateway, one after another, for this time.
 async fn run_misbehaving_clients(testbed: &Arc<Testbed>, gateways: &[usize], time: Duration) {
     let end = std::time::Instant::now() + time;
     let clients = gateways.iter().map(|gateway| {
--- a/crates/soak/src/gateway.rs
+++ b/crates/soak/src/gateway.rs
@@ -1,4 +1,5 @@
-//! The gateways, which are the processes under test: their configurations, signals, logs and control files.
+//! The gateways, which are the processes under test, and their supervisor: it writes configurations and control files,
+//! starts and signals the processes, and collects their logs.
 
 use crate::history::{Event, GatewayRun};
 use crate::schedule::{Schedule, StopSignal};
@@ -16,14 +17,15 @@
 use tokio::net::TcpStream;
 use tokio::process::Command;
 
-/// Starts the program as the deploy file does. A SIGHUP that arrives before the program has installed its signal handlers
-/// is ignored instead of ending the process. Nothing is lost, as the program reads its configuration later.
+/// Starts the program as the deploy file does. A SIGHUP that arrives before the program has installed its signal
+/// handlers is ignored instead of ending the process. No change is missed, as the program reads its configuration after
+/// that.
 const START_SCRIPT: &str = "trap '' HUP; exec \"$0\"";
-/// Maximum number of sockets in the configuration of a gateway.
+/// The maximum number of sockets that the configuration allows a gateway.
 const SOCKET_LIMIT: usize = 320;
-/// The same for a gateway with many clients.
+/// The same for a gateway with many more clients than the others.
 const MANY_CLIENTS_SOCKET_LIMIT: usize = 1024;
-/// How long a started gateway is checked for readiness.
+/// How long a started gateway is checked for readiness. A start that takes longer has failed.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval at which waiting tasks check their condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -29,6 +29,7 @@
     },
     /// The connection ended before an answer, and the client had not closed it.
     Closed {
+        /// Whether it was reset, not closed in order.
         reset: bool,
     },
     /// The client cancelled the request or closed the connection.
@@ -54,7 +55,7 @@
     #[serde(rename = "fresh")]
     pub is_first_on_connection: bool,
     pub end: Option<(Micros, RequestEnd)>,
-    /// Answers after the first end.
+    /// Number of answers after the first end.
     pub further_answers: u32,
 }
 
@@ -120,6 +121,7 @@
         to: GatewayRun,
         engine: usize,
         run: u32,
+        /// Whether the engine was listed as terminating or terminated.
         drained: bool,
     },
     GatewayStarted {
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,5 +1,5 @@
-//! Soak test of pebblevane: runs dozens of its processes on loopback, with simulated engines, event bus and clients, and
-//! injects faults that overlap. All parts record a history, which is checked afterwards.
+//! Soak test of pebblevane: runs dozens of its processes on loopback, with simulated engines, event bus and clients,
+//! and injects faults that overlap. All parts record a history, which is checked afterwards.
 //!
 //! A play is one execution of a schedule. The schedule is derived from a seed or read from a file.
 
@@ -26,9 +26,10 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Semaphore;
 
-/// The first port of all plays. Concurrent plays have separate ports. All are below those that the system assigns, so
-/// that the port of an engine is still free when the engine restarts.
+/// The first port of all plays. Concurrent plays use separate ports. All ports are below the range from which the
+/// system assigns ports to connections, so that the port of an engine is still free when the engine restarts.
 const FIRST_PORT: u16 = 10_000;
+/// Number of ports that are reserved for each play.
 const PORTS_PER_PLAY: u64 = 100;
 /// Number of port ranges; seeds that differ by a multiple of this share one.
 const PORT_RANGES: u64 = 220;
@@ -61,7 +62,7 @@
     /// Folder for logs and histories.
     #[arg(long, default_value = "target/soak")]
     folder: PathBuf,
-    /// Also keep the histories of plays that passed.
+    /// Also keep the logs and histories of plays that passed.
     #[arg(long)]
     keep: bool,
     /// Play the schedules in these files instead of seeds, one in each file, as --print-plans prints them.
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! Formats the result of a play for people.
+//! Formats the result of a play as text for developers.
 
 use crate::checker::Violation;
 use crate::history::{Event, Micros};
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -14,9 +14,9 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinHandle;
 
-/// How long clients that are not steady continue after the start of the final stop.
+/// How long clients continue after the start of the final stop, unless they are steady (see `StopPlan`).
 const TRAFFIC_AFTER_STOP: Duration = Duration::from_millis(700);
-/// Maximum wait for each fault to end, and for all clients.
+/// Maximum wait for each fault to end, and then for all clients together.
 const END_TIMEOUT: Duration = Duration::from_secs(6);
 /// Interval at which the soak measures how late its own timers are.
 const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(5);
@@ -43,8 +43,8 @@
     Start(usize, std::io::Error),
 }
 
-/// Plays a schedule: starts the engines, the event bus and the gateways, lets clients send requests while the faults are
-/// injected, stops everything and checks the records. The play uses the ports from `port` on.
+/// Plays a schedule: starts the engines, the event bus and the gateways, lets clients send requests while the faults
+/// are injected, stops everything and checks the records. The play uses the ports from `port` on.
 pub async fn play(schedule: Schedule, folder: &Path, program: &Path, port: u16) -> Result<Played, PlayError> {
     let _ = std::fs::remove_dir_all(folder);
     std::fs::create_dir_all(folder).map_err(|e| PlayError::Folder(folder.to_path_buf(), e))?;
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -8,15 +8,15 @@
 use serde_json::{Value as Json, json};
 use std::time::Duration;
 
-/// When the clients' traffic starts, after the start of the play.
+/// When the clients' traffic starts, counted from the start of the play.
 pub const TRAFFIC_START: Duration = Duration::from_millis(1500);
-/// Maximum start of a fault after the end of the traffic (s). All gateways are being stopped then.
+/// Maximum delay between the end of the traffic and the start of a fault (s). All gateways are being stopped then.
 const MAX_FAULT_START_AFTER_TRAFFIC_S: f64 = 0.4;
-/// Some plays take this many times as long, so that connections are idle until the gateway closes them.
+/// A fifth of the plays take this many times as long, so that some connections stay idle until the gateway closes them.
 const LONG_PLAY_FACTOR: f64 = 1.7;
-/// Maximum client timeout that a stop waits for.
+/// A stop waits for the longest client timeout of all classes, but no longer than this.
 const MAX_STOP_WAIT_MS: u64 = 3000;
-/// What a stop waits in addition before it kills the gateway.
+/// How much longer a stop waits before it kills the gateway.
 const KILL_MARGIN_MS: u64 = 700;
 
 /// Whether the settings allow a class's jobs to be run again.
@@ -43,8 +43,8 @@
 pub struct Class {
     pub name: String,
     pub semantics: Semantics,
-    /// Minimum and maximum timeout of its clients. The settings have the minimum as latency objective and the maximum as
-    /// client timeout.
+    /// Minimum and maximum timeout of its clients. The settings have the minimum as latency objective and the maximum
+    /// as client timeout.
     #[serde(rename = "patience_ms")]
     pub timeout_ms: [u64; 2],
     /// Typical work of a job on an idle engine.
@@ -61,21 +61,21 @@
     /// Window in which retries are counted.
     #[serde(rename = "budget_window")]
     pub retry_budget_window: Duration,
-    /// Retries that are allowed in any window.
+    /// Retries that are allowed in each window, however few jobs there are.
     #[serde(rename = "spare_attempts")]
     pub min_retries: f64,
-    /// Retries that are allowed for each job of the window.
+    /// Additional retries that are allowed for each job of the window.
     #[serde(rename = "extra_ratio")]
     pub retries_per_job: f64,
-    /// How long a gateway may send to a draining engine after the notification.
+    /// How long a gateway may still send to an engine after it has been notified that the engine drains.
     pub drain_grace: Duration,
-    /// Work that a warming engine may get in a window, over the work that it can do then.
+    /// Work that a warming engine may get in a window, as a multiple of the work that it can do in that time.
     #[serde(rename = "fall_multiple")]
     pub warm_up_overload_factor: f64,
     /// Window in which the work sent to a warming engine is counted.
     #[serde(rename = "overload_for")]
     pub warm_up_window: Duration,
-    /// The part of its capacity that an engine has when it starts.
+    /// The fraction of its full capacity that an engine has when it starts.
     #[serde(rename = "start_capacity")]
     pub initial_capacity_fraction: f64,
     /// How long after its start an engine has its full capacity.
@@ -83,8 +83,8 @@
     pub warm_up_time: Duration,
 }
 
-/// A fault. `gateways` and `engines` are their indices, `for_ms` is how long the fault lasts, and `share` is the
-/// probability with which it affects a call, job or answer.
+/// A fault. `gateways` and `engines` are the indices of those affected, `for_ms` is how long the fault lasts, and
+/// `share` is the probability with which it affects a call, job or answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Fault {
     /// The event bus lists the engines as terminating.
@@ -113,7 +113,7 @@
     /// The event bus sends nothing on the connections that are open.
     BusSilent { for_ms: u64 },
     /// The event bus moves to another port. The gateways reload a configuration with its new address, and are also made
-    /// to reload while that is only half written.
+    /// to reload while the file is only half written.
     BusMoves { times: u32 },
     /// The gateways are stopped as the stop plan says, then started again.
     StopGateways { gateways: Vec<usize> },
@@ -132,15 +132,15 @@
     FailCalls { gateways: Vec<usize>, share: f64, for_ms: u64 },
     /// System calls of the gateways on client connections fail, while the connections stay open.
     FailClientCalls { gateways: Vec<usize>, share: f64, for_ms: u64 },
-    /// `BadClients` for 100 ms.
+    /// The same as [`Fault::BadClients`], for 100 ms.
     ClientsLeave { gateways: Vec<usize> },
     /// A client opens this number of idle connections to each of the gateways.
     IdleFlood { gateways: Vec<usize>, connections: usize, for_ms: u64 },
-    /// Further clients of the gateways send malformed, incomplete or many requests and disconnect at once.
+    /// Additional clients of the gateways send malformed, incomplete or many requests and disconnect shortly after.
     BadClients { gateways: Vec<usize>, for_ms: u64 },
 }
 
-/// A fault and when it starts, in milliseconds after the start of the play.
+/// A fault and when it starts, in milliseconds from the start of the play.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ScheduledFault {
     pub at_ms: u64,
@@ -196,7 +196,7 @@
     pub group: Group,
     pub classes: Vec<Class>,
     pub rules: RuleSettings,
-    /// When traffic ends and all gateways are stopped, after the start of the play.
+    /// When traffic ends and all gateways are stopped, counted from the start of the play.
     pub traffic_until_ms: u64,
     /// Typical pause between the requests of one client.
     pub think_ms: u64,
@@ -212,11 +212,11 @@
 }
 
 impl Schedule {
-    /// The schedule that belongs to a seed, with this number of gateways and seconds of traffic.
+    /// Creates the schedule for a seed, with this number of gateways and seconds of traffic.
     pub fn from_seed(seed: u64, gateways: usize, seconds: f64) -> Schedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let seconds = if rng.random_bool(0.2) { seconds * LONG_PLAY_FACTOR } else { seconds };
-        // With very few engines, slow start has to limit the load of a cold one to keep it from being overloaded.
+        // Some plays have so few engines that a cold one is overloaded unless slow start limits its load.
         let has_few_engines = rng.random_bool(0.3);
         let engines = if has_few_engines { rng.random_range(3..=5) } else { rng.random_range(6..=14) };
         let zones = rng.random_range(1..=2);
@@ -260,8 +260,8 @@
         let count = rng.random_range(3..=8);
         let last_start = seconds + MAX_FAULT_START_AFTER_TRAFFIC_S;
         let first_start = TRAFFIC_START.as_secs_f64() + 0.5;
-        // Most faults start within 0.7 s of a common time, so that they overlap. In a third of the plays that time is the
-        // stop of all gateways.
+        // Most faults start within 0.7 s of a common time, so that they overlap. In a third of the plays that time is
+        // the stop of all gateways.
         let fault_center =
             if rng.random_bool(0.33) { seconds } else { rng.random_range(first_start..last_start) };
         for _ in 0..count {
@@ -300,8 +300,8 @@
         self.first_gateway_clients.filter(|_| gateway == 0).unwrap_or(self.clients_per_gateway)
     }
 
-    /// Typical pause (ms) between the requests of one client of a gateway. With many clients it is longer, so that they send
-    /// about twice as many requests together as the clients of another gateway.
+    /// Typical pause (ms) between the requests of one client of a gateway. With many clients it is longer, so that they
+    /// send about twice as many requests together as the clients of another gateway.
     pub fn think_time_ms(&self, gateway: usize) -> u64 {
         let factor = self.client_count(gateway) / self.clients_per_gateway;
         self.think_ms * (factor as u64 / 2).max(1)
@@ -359,11 +359,12 @@
         all
     }
 
+    /// Engines are assigned to the zones in turn.
     pub fn zone_of(&self, engine: usize) -> usize {
         engine % self.zones
     }
 
-    /// Engines of one zone are spread over two cells.
+    /// Each zone has two cells, to which its engines are assigned in turn.
     pub fn cell_of(&self, engine: usize) -> usize {
         engine % (2 * self.zones)
     }
--- a/crates/soak/src/testbed.rs
+++ b/crates/soak/src/testbed.rs
@@ -1,6 +1,6 @@
-//! What the parts of a play share: the schedule, the history and the addresses. Each gateway has an
-//! IP address of its own for its connections with clients, engines and the event bus, so that a fault can be injected
-//! between certain gateways and engines.
+//! What the parts of a play share: the schedule, the history and the addresses. Each gateway has an IP address of its
+//! own for its connections with clients, engines and the event bus, so that a fault can be injected between certain
+//! gateways and engines.
 
 use crate::bus::Bus;
 use crate::engine::Engine;
@@ -41,13 +41,13 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The address of a port between a gateway and the others: the gateway listens on it for clients, and connects to it for
-/// engines and the event bus.
+/// This port at the IP address of a gateway's connections. The gateway listens at that IP address for clients, and
+/// connects to it to reach engines and the event bus, which listen at all IP addresses.
 pub fn gateway_address(gateway: usize, port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 1, (gateway + 1) as u8, 1)), port)
 }
 
-/// The gateway that has connected to this local address, see [`gateway_address`].
+/// The gateway that has connected to this address of an engine or of the event bus, see [`gateway_address`].
 pub fn gateway_of(local: SocketAddr) -> Option<usize> {
     match local.ip() {
         IpAddr::V4(ip) => Some(usize::from(ip.octets()[2]).checked_sub(1)?),
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -111,6 +111,8 @@
     text
 }
 
+/// Guards against a check that misses a violation of its rule, and against one that reports correct behavior. Most
+/// plays violate one rule with one request; the others look similar and violate none.
 #[test]
 fn each_broken_rule_is_detected() {
     use DispatchEnd::{Disconnected, Done, Fault, Shed};
@@ -221,10 +223,11 @@
     }
 }
 
+/// The same for rules that concern several requests, engines or processes.
 #[test]
 fn windows_and_processes_are_checked() {
     let mut trace = String::new();
-    // A job with an idempotency key is repeated after the deduplication window, within its client's timeout.
+    // A job with an idempotency key is retried after the deduplication window, within its client's timeout.
     let mut keyed = schedule();
     keyed.rules.dedup_window = std::time::Duration::from_millis(200);
     let late = vec![dispatch(POST, 0, 1010, Some((1100, DispatchEnd::Fault))), dispatch(POST, 2, 1500, None)];
@@ -250,7 +253,7 @@
         }
     }
     writeln!(trace, "budget: {}", rules(all).split(' ').next().unwrap()).unwrap();
-    // A cold engine that gets far more dispatches than it can bear from a gateway that was notified of its start; and a
+    // A cold engine that gets far more dispatches than allowed from a gateway that was notified of its start; and a
     // drained engine that gets a dispatch.
     for drained in [false, true] {
         let mut cold = Play::default();
@@ -313,6 +316,8 @@
     .assert_eq(&trace);
 }
 
+/// The same for connections that end without an answer. A gateway may end one late in a stop, if it does so without
+/// delay and has not dispatched the request, or after an injected failure of a call on it, by the request's timeout.
 #[test]
 fn ends_of_connections_without_an_answer_are_checked() {
     let closed = |sent_ms: Micros, closed_ms: Micros| {
--- a/crates/syscall-faults/shim/faults.c
+++ b/crates/syscall-faults/shim/faults.c
@@ -58,14 +58,16 @@
     _Atomic uint32_t rate[FAULT_KINDS];
 };
 
+/* The same as in src/lib.rs. */
 #define CONTROL_BYTES 64
 #define MAX_DESCRIPTORS 4096
+/* The same as READ_DELAY in src/lib.rs. */
 #define READ_DELAY_US 20000
 
 /* NULL if there is no control file: no call fails then. */
 static struct control *control;
 static _Atomic uint64_t random_state = 0x9e3779b97f4a7c15u;
-/* How a descriptor came about. Descriptors from MAX_DESCRIPTORS on count as OTHER. */
+/* How a descriptor was created. Descriptors from MAX_DESCRIPTORS on count as OTHER. */
 enum origin { OTHER, ACCEPTED, CONNECTED };
 static _Atomic uint8_t origins[MAX_DESCRIPTORS];
 
--- a/crates/syscall-faults/src/lib.rs
+++ b/crates/syscall-faults/src/lib.rs
@@ -38,7 +38,7 @@
     CreateThread = 6,
     /// A TCP read or write is interrupted.
     InterruptTcp = 7,
-    /// A read-ahead (`MSG_PEEK`) on an accepted connection fails; the connection stays open.
+    /// A peek (`recv` with `MSG_PEEK`) on an accepted connection fails; the connection stays open.
     AcceptedPeek = 8,
     /// A read on an accepted connection fails; the connection stays open.
     AcceptedRead = 9,
@@ -51,7 +51,7 @@
     DelayRead = 12,
 }
 
-/// The delay of reads under [`FaultKind::DelayRead`].
+/// The delay of reads under [`FaultKind::DelayRead`]; the same as in `shim/faults.c`.
 pub const READ_DELAY: Duration = Duration::from_millis(20);
 
 /// The control file of one process. Rates and offset can be changed while the process runs.
