--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -84,7 +84,8 @@
 }
 
 /// A fault. `gateways` and `engines` are the indices of those affected, `for_ms` is how long the fault lasts, and
-/// `share` is the probability with which it affects a call, job or answer.
+/// `share` is the probability with which it affects a call, job or answer. A cold engine is one that has just started
+/// and is warming up.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Fault {
     /// The event bus lists the engines as terminating.
