--- a/crates/server/src/client/admission.rs
+++ b/crates/server/src/client/admission.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// The job in the form that the thread which dispatches and answers it receives.
+/// The job as it is passed to the thread that dispatches and answers it.
 fn admitted_job(
     context: &ClientContext,
     session: &Arc<ClientSession>,
--- a/crates/server/src/client/arrival_time.rs
+++ b/crates/server/src/client/arrival_time.rs
@@ -3,11 +3,11 @@
 
 use pebblevane::time::{TimeDelta, Timestamp};
 
-/// The events of a wait that returns within this time (2 ms) had arrived before it began. The call itself may take some
-/// tenths of a millisecond if the process has only a fraction of a core.
-const MAX_IMMEDIATE_RETURN: TimeDelta = TimeDelta(2_000);
-/// A wait that exceeds its timeout by more than this (10 ms) was delayed by the system.
-const MAX_RETURN_DELAY: TimeDelta = TimeDelta(10_000);
+/// The events of a wait that returns within this time had arrived before it began. The call itself may take some tenths
+/// of a millisecond if the process has only a fraction of a core.
+const MAX_IMMEDIATE_RETURN: TimeDelta = TimeDelta::from_millis(2);
+/// A wait that exceeds its timeout by more than this was delayed by the system.
+const MAX_RETURN_DELAY: TimeDelta = TimeDelta::from_millis(10);
 
 /// Estimates arrival times from the waits for events of one thread.
 pub struct ArrivalTimeEstimator {
--- a/crates/server/src/client/close_reason.rs
+++ b/crates/server/src/client/close_reason.rs
@@ -10,7 +10,7 @@
     /// The client has closed the connection, or its side of it.
     #[error("closed by the client")]
     ClosedByClient,
-    /// A read or write failed, or answers that the client did not read exceeded a limit.
+    /// A read or write failed, or answers that the client did not read exceeded the time limit or the memory budget.
     #[error(transparent)]
     Failed(#[from] ConnectionError),
     /// The client kept sending after this side of the connection was shut down.
--- a/crates/server/src/client/connection.rs
+++ b/crates/server/src/client/connection.rs
@@ -15,8 +15,8 @@
     pub received: Vec<u8>,
     /// Permit for the received bytes beyond those that each connection may buffer without one.
     pub received_permit: Permit,
-    /// Since when a message is expected: since the accept for the first one, since its first byte for a later one.
-    /// `None` between messages.
+    /// Since when a message is expected. Before the first byte, since the connection was accepted; within a message,
+    /// since its first byte; `None` between messages.
     pub message_expected_since: Option<Instant>,
     /// The pass of the event loop that accepted the connection.
     pub accepted_in: Pass,
@@ -57,7 +57,7 @@
 
     /// How long the client has been silent, if this exceeds the limit for the connection's state. `None` also while a
     /// request is open, the client has not read all answers, or the connection is being closed.
-    pub fn overdue_for(&self, limits: &IdleLimits) -> Option<Duration> {
+    pub fn excessive_silence(&self, limits: &IdleLimits) -> Option<Duration> {
         let idle_for = self.session.idle_for().filter(|_| self.closing.is_none())?;
         let (silent_for, limit) = match self.message_expected_since {
             Some(since) if self.received.is_empty() => (since.elapsed(), limits.first_message),
--- a/crates/server/src/client/event_loop/close.rs
+++ b/crates/server/src/client/event_loop/close.rs
@@ -1,4 +1,4 @@
-//! Ending connections: at once, or gracefully.
+//! Ends connections, immediately or gracefully.
 
 use super::ClientEventLoop;
 use crate::client::close_reason::CloseReason;
@@ -11,7 +11,7 @@
 use std::os::fd::AsRawFd;
 
 impl ClientEventLoop {
-    /// Ends a connection at once, and cancels its open requests.
+    /// Ends a connection immediately, and cancels its open requests.
     pub(super) fn abort(&mut self, id: ConnectionId, reason: &CloseReason) {
         let Some(connection) = self.connections.remove(&id) else { return };
         tracing::debug!(connection = id.0, reason = %reason, "client connection ended");
@@ -35,7 +35,7 @@
         let session = connection.session.clone();
         self.cancel_open_requests(&session);
         self.advance_close(id);
-        // The event causes a read, which discards unread bytes and notices a dead connection.
+        // The event causes a read, which discards unread bytes and notices if the connection has failed.
         self.request_event(id);
     }
 
--- a/crates/server/src/client/event_loop/evict.rs
+++ b/crates/server/src/client/event_loop/evict.rs
@@ -20,22 +20,23 @@
 struct EvictionRank {
     /// Whether a message is expected. Such connections are evicted before those that are idle between messages.
     message_is_expected: bool,
-    overdue_for: Duration,
+    silent_for: Duration,
 }
 
 impl EvictionRank {
     /// The rank of a connection, or `None` if it may not be evicted.
     fn of(connection: &ClientConnection) -> Option<EvictionRank> {
-        let overdue_for = connection.overdue_for(&IDLE_LIMITS_AT_CAPACITY)?;
-        Some(EvictionRank { message_is_expected: connection.message_expected_since.is_some(), overdue_for })
+        let silent_for = connection.excessive_silence(&IDLE_LIMITS_AT_CAPACITY)?;
+        Some(EvictionRank { message_is_expected: connection.message_expected_since.is_some(), silent_for })
     }
 }
 
 impl ClientEventLoop {
-    /// Closes connections that have been silent for too long. Also writes buffered answers, which disconnects clients
-    /// that have not read theirs in time.
+    /// Closes connections that have been silent for too long, and advances graceful closes. Also writes buffered
+    /// answers, which disconnects clients that have not read theirs in time. Reads connections on which a peek has
+    /// found a cancellation that is not processed yet.
     pub(super) fn sweep(&mut self) {
-        let is_overdue = |connection: &ClientConnection| connection.overdue_for(&IDLE_LIMITS).is_some();
+        let is_overdue = |connection: &ClientConnection| connection.excessive_silence(&IDLE_LIMITS).is_some();
         for id in self.connections.keys().copied().collect::<Vec<ConnectionId>>() {
             let Some(connection) = self.connections.get(&id) else { continue };
             connection.session.flush();
@@ -49,8 +50,9 @@
         }
     }
 
-    /// Closes connections to free descriptors for new ones: first those in the last step of a graceful close, then
-    /// those that expect a message, then those that are idle between messages, in each group the longest silent first.
+    /// Closes connections to free descriptors for new ones. Those in the last step of a graceful close are aborted
+    /// first. Then connections that expect a message are closed, then those that are idle between messages; in each of
+    /// these two groups, those that have been silent longest are first.
     pub(super) fn evict(&mut self) {
         self.abort_lingering();
         for id in self.eviction_candidates() {
--- a/crates/server/src/client/event_loop/mod.rs
+++ b/crates/server/src/client/event_loop/mod.rs
@@ -31,11 +31,12 @@
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// How often the counters are logged.
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(30);
-/// The maximum wait for events. That the system delayed a wait is noticed only if the wait takes longer than this.
+/// The maximum wait for events. A delay of the wait by the system is noticed only if the wait takes longer than this.
 const POLL_TIMEOUT: Duration = Duration::from_millis(100);
 /// The maximum wait for events while new connections wait for a descriptor, and during a shutdown.
 const BUSY_POLL_TIMEOUT: Duration = Duration::from_millis(20);
-const EVENTS_CAPACITY: usize = 256;
+/// The maximum number of events that one poll returns.
+const MAX_EVENTS_PER_POLL: usize = 256;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 const LISTENER_TOKEN: Token = Token(usize::MAX);
 const FAILURE_TOKEN: Token = Token(usize::MAX - 1);
@@ -107,7 +108,7 @@
 
     /// Serves clients until a graceful shutdown is over: all connections are closed, or its time has run out.
     pub fn run(mut self) {
-        let mut events = Events::with_capacity(EVENTS_CAPACITY);
+        let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
         loop {
             let shutdown = self.context.shutdown.schedule();
             let outcome = self.wait(&mut events, shutdown.is_some());
--- a/crates/server/src/client/event_loop/shutdown.rs
+++ b/crates/server/src/client/event_loop/shutdown.rs
@@ -14,7 +14,7 @@
             return false;
         }
         self.stop_accepting();
-        // After `answered_by`, connections are closed even if a first or incomplete message may still arrive.
+        // After `answered_by`, connections are closed even if a first message, or the rest of one, may still arrive.
         let may_still_send = now < schedule.answered_by;
         for id in self.connections.keys().copied().collect::<Vec<ConnectionId>>() {
             self.close_for_shutdown(id, may_still_send);
--- a/crates/server/src/client/idle.rs
+++ b/crates/server/src/client/idle.rs
@@ -4,7 +4,7 @@
 
 /// How long a connection may be silent in each of its states.
 pub(super) struct IdleLimits {
-    /// Before the first byte of its first message.
+    /// Before the first byte of the first message.
     pub first_message: Duration,
     /// After the first byte of a message and before its last.
     pub rest_of_message: Duration,
@@ -12,7 +12,8 @@
     pub idle: Duration,
 }
 
-/// Longer than the time after which clients close idle connections themselves.
+/// The usual limit before the first message and between messages. It is longer than the time after which clients close
+/// idle connections themselves.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The usual limits.
--- a/crates/server/src/client/reading.rs
+++ b/crates/server/src/client/reading.rs
@@ -17,8 +17,8 @@
 /// How many bytes of an incomplete message need no permit of the budget. Also the buffer capacity that a connection
 /// retains when no message is incomplete.
 const SMALL_BUFFER_BYTES: usize = 4096;
-/// The maximum number of reads from one connection before other connections are served.
-const READS_PER_TURN: usize = 4;
+/// The maximum number of consecutive reads from one connection before the others are served.
+const MAX_CONSECUTIVE_READS: usize = 4;
 /// How long reading pauses after a refused message, multiplied by the number of consecutive refusals. Also the pause
 /// after a temporary read error.
 const BASE_PAUSE: Duration = Duration::from_millis(5);
@@ -89,7 +89,8 @@
     }
 
     /// Checks that each request that was cancelled by a peek at unread bytes has also been cancelled by a message. All
-    /// received messages have been processed, so without one the client is waiting for an answer that will not come.
+    /// received messages have been processed, so without one the client, whose connection is still open, is waiting for
+    /// an answer that will not come.
     fn check_cancellations(&self) {
         for request_id in self.session.take_unconfirmed_cancellations() {
             invariants::report_violation(Invariant::CancelledByClient, &request_id.0.to_string());
@@ -105,7 +106,7 @@
 
     /// Reads received bytes, up to a limit. During a graceful close they are discarded.
     fn receive(&mut self, buffer: &mut [u8]) -> Result<ReadProgress, ReadError> {
-        for _ in 0..READS_PER_TURN {
+        for _ in 0..MAX_CONSECUTIVE_READS {
             match self.session.stream().read(buffer) {
                 Ok(0) => return Err(ReadError::Abort(CloseReason::ClosedByClient)),
                 Ok(count) => self.keep_or_discard(&buffer[..count]).map_err(ReadError::Abort)?,
@@ -114,7 +115,7 @@
                 Err(e) if is_reset_by_client(&e) => {
                     return Err(ReadError::Abort(ConnectionError::from(e).into()));
                 }
-                // Pending answers are still written; if the connection is dead, a later read reports its end.
+                // Pending answers are still written; if the connection has failed, a later read reports its end.
                 Err(_) if self.closing.is_some() => return Ok(ReadProgress::Drained),
                 Err(e) if is_transient_io_error(&e) => return Ok(self.pause_reading()),
                 Err(e) => return Err(ReadError::Close(ConnectionError::from(e).into())),
--- a/crates/server/src/codec/client/frame.rs
+++ b/crates/server/src/codec/client/frame.rs
@@ -5,7 +5,8 @@
 
 /// The maximum length of a message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
-/// The maximum number of levels of nesting, including that of the message itself.
+/// The maximum number of levels of nesting. The outermost level contains only the message, so non-empty lists and maps,
+/// including the message itself, may be nested five deep.
 const MAX_NESTING_LEVELS: usize = 6;
 /// The maximum length of a string, in bytes.
 const MAX_STRING_BYTES: usize = 4096;
--- a/crates/server/src/codec/event_bus.rs
+++ b/crates/server/src/codec/event_bus.rs
@@ -4,9 +4,9 @@
 use pebblevane_adapter_common::{FieldError, Fields, Wanted};
 use serde_json::Value as Json;
 
-/// What errors call an event.
+/// The name for an event in errors.
 const EVENT_OBJECT: &str = "event";
-/// What errors call an entry of the endpoint list.
+/// The name for an entry of the endpoint list in errors.
 const ENTRY_OBJECT: &str = "instances";
 
 /// In an event: its number. In a heartbeat: the number of the last event.
@@ -39,8 +39,8 @@
     format!("from {last_event}\n")
 }
 
-/// Unix time in microseconds, by the wall clock of some machine; [`Timestamp`](pebblevane::time::Timestamp) is by the
-/// program's monotonic clock.
+/// Unix time in microseconds, read from a machine's wall clock. A [`Timestamp`](pebblevane::time::Timestamp) is read
+/// from the program's monotonic clock instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnixTime(pub i64);
 
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -27,13 +27,13 @@
 };
 use std::net::SocketAddr;
 
-/// What errors call the environment.
+/// The name for the environment in errors.
 const ENVIRONMENT: &str = "environment";
-/// What errors call the outermost object of the configuration file.
+/// The name for the outermost object of the configuration file in errors.
 const CONFIGURATION: &str = "configuration";
-/// The minimum of the descriptor limit. With fewer descriptors, none would be left for engines.
+/// The minimum descriptor limit. With fewer descriptors, none would be left for engines.
 const MIN_SOCKETS: usize = 100;
-/// The minimum of the memory limit. With less memory, none would be left for jobs.
+/// The minimum memory limit. With less memory, none would be left for jobs.
 const MIN_MEMORY_MB: usize = 24;
 /// The seed is written in hexadecimal digits.
 const SEED_RADIX: u32 = 16;
--- a/crates/server/src/decision/actions.rs
+++ b/crates/server/src/decision/actions.rs
@@ -39,7 +39,7 @@
             self.endpoints.remove_id(engine);
         }
         self.next_timer = actions.next_timer;
-        // Reported last: the controller's reaction sets `next_timer` again.
+        // Reported only now, since the controller's reaction sets `next_timer` again.
         for dispatch in not_started {
             self.finish_unstarted(dispatch);
         }
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -69,7 +69,7 @@
         loop {
             let event = self.next_event(events, urgent_events);
             let now = clock::now();
-            self.endpoints.observe_wall_clock(now);
+            self.endpoints.record_wall_clock(now);
             self.handle_disconnected_clients(now);
             if let Some(event) = event {
                 self.handle_event(now, event);
@@ -111,7 +111,7 @@
     fn handle_event(&mut self, now: Timestamp, event: ControllerEvent) {
         let actions = match event {
             ControllerEvent::JobSubmitted { id, mut job, arrived, admitted } => {
-                // Subtracts the time that the job has spent in the event queue.
+                // Subtracts the time since the client's request arrived.
                 job.time_left = job.time_left + (arrived - now);
                 self.job_submitted(now, id, job, admitted)
             }
@@ -147,7 +147,7 @@
         admitted: Box<AdmittedJob>,
     ) -> Option<Actions> {
         let open = OpenJob::new(admitted);
-        // The client disconnected while the job was queued, so it is not submitted to the controller.
+        // The client disconnected or cancelled the job while it was queued, so it is not submitted to the controller.
         if open.is_finished() {
             self.handle.open_jobs.fetch_sub(1, SeqCst);
             return None;
@@ -164,7 +164,8 @@
         mut result: DispatchResult,
     ) -> Option<Actions> {
         let open = self.jobs.get_mut(&id)?;
-        // After a disconnect, no answer is due, even if the controller has not been notified yet.
+        // After a disconnect or cancellation, the client expects no answer, even if the controller has not been
+        // notified yet.
         if open.is_finished() || result.status == DispatchStatus::Completed {
             open.mark_answered();
         }
--- a/crates/server/src/decision/endpoint_directory.rs
+++ b/crates/server/src/decision/endpoint_directory.rs
@@ -64,7 +64,7 @@
 
     /// Records the current offset of the wall clock from the program's clock. The offsets before and after each step of
     /// the wall clock are needed to convert the start times that the list reports.
-    pub(super) fn observe_wall_clock(&mut self, now: Timestamp) {
+    pub(super) fn record_wall_clock(&mut self, now: Timestamp) {
         self.start_time_converter.record_clocks(now, StartTimeConverter::wall_clock_now());
     }
 
@@ -87,7 +87,7 @@
         event: Event,
         last_complete: Option<Timestamp>,
     ) -> Vec<Endpoint> {
-        self.observe_wall_clock(now);
+        self.record_wall_clock(now);
         let mut endpoints = Vec::with_capacity(event.engines.len());
         for entry in event.engines {
             endpoints.extend(self.apply_entry(now, entry, last_complete));
--- a/crates/server/src/decision/event.rs
+++ b/crates/server/src/decision/event.rs
@@ -11,7 +11,7 @@
     JobSubmitted {
         id: JobId,
         job: Job,
-        /// When the client's request was read.
+        /// The earliest time at which the client's request can have arrived.
         arrived: Timestamp,
         admitted: Box<AdmittedJob>,
     },
@@ -34,6 +34,6 @@
         /// The time by which all jobs must be answered.
         deadline: Timestamp,
     },
-    /// Clients have disconnected. The controller's handle holds the ids of their jobs.
+    /// Clients have disconnected or cancelled jobs. The controller's handle holds the ids of the jobs.
     ClientsDisconnected,
 }
--- a/crates/server/src/decision/handle.rs
+++ b/crates/server/src/decision/handle.rs
@@ -1,5 +1,5 @@
-//! The handle on the controller's thread. Events reach the thread through one bounded channel, which only changes of
-//! the endpoint list, a graceful shutdown and disconnects of clients bypass.
+//! The handle on the controller's thread. Events reach the thread through one bounded channel. Only events about the
+//! endpoint list, a graceful shutdown, and clients that disconnect or cancel jobs bypass it.
 
 use crate::codec::client::Reply;
 use crate::codec::event_bus::Event;
@@ -13,15 +13,15 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 
-/// The retry delay, 1 s, that is sent to clients whose jobs are rejected because one of the program's own limits is
-/// reached.
-pub const LOCAL_LIMIT_RETRY_DELAY: TimeDelta = TimeDelta(1_000_000);
+/// The retry delay that is sent to clients whose jobs are rejected because one of the program's own limits is reached.
+pub const LOCAL_LIMIT_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(1_000);
 
 /// The handle on the controller's thread, through which other threads submit jobs and report events.
 pub struct ControllerHandle {
     events: Sender<ControllerEvent>,
     urgent_events: Sender<ControllerEvent>,
-    /// Jobs whose clients have disconnected. This list bypasses the bounded channel; the limit on open jobs bounds it.
+    /// Jobs whose clients have disconnected or cancelled them. This list bypasses the bounded channel; the limit on
+    /// open jobs bounds it.
     disconnected: Mutex<Vec<JobId>>,
     next_job: Mutex<u32>,
     /// The number of jobs that were submitted and are not released yet.
@@ -63,11 +63,11 @@
         true
     }
 
-    /// Notifies the thread that the client of a job has disconnected. The job's cancellation token has been cancelled
-    /// already.
+    /// Notifies the thread that the client of a job has disconnected or cancelled the job. The job's cancellation token
+    /// has been cancelled already.
     pub fn client_disconnected(&self, id: JobId) {
         lock(&self.disconnected).push(id);
-        // If the event queue is full, the thread is awake and handles disconnected clients before its next event.
+        // If the event queue is full, the thread is awake, and it handles these jobs before its next event.
         let _ = self.events.try_send(ControllerEvent::ClientsDisconnected);
     }
 
@@ -81,7 +81,7 @@
         self.send(ControllerEvent::HealthCheckFinished { engine, result });
     }
 
-    /// Returns the jobs whose clients have disconnected since the last call.
+    /// Returns the jobs whose clients have disconnected or cancelled them since the last call.
     #[must_use]
     pub(super) fn take_disconnected(&self) -> Vec<JobId> {
         std::mem::take(&mut *lock(&self.disconnected))
--- a/crates/server/src/decision/open_job.rs
+++ b/crates/server/src/decision/open_job.rs
@@ -39,8 +39,8 @@
         OpenJob { state: JobState::Pending(admitted), responder, ledger, answered: false, attempts: 0 }
     }
 
-    /// Whether the job has been answered or its client has disconnected, even if the controller has not been notified
-    /// yet.
+    /// Whether the job has been answered, or its client has disconnected or cancelled it. The controller may not have
+    /// been notified yet.
     pub(super) fn is_finished(&self) -> bool {
         self.responder.is_finished()
     }
--- a/crates/server/src/discovery/connection.rs
+++ b/crates/server/src/discovery/connection.rs
@@ -8,7 +8,7 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// How long connecting may take, and then the write of the subscription.
+/// The timeout for connecting, and then for writing the subscription.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Makes connections to the event bus, and closes the current one when the address changes.
@@ -36,7 +36,8 @@
     /// Connects, and subscribes to the events after this one.
     ///
     /// # Errors
-    /// The system's error if the connection can't be made or written to, or an error if the address changes meanwhile.
+    /// The system's error if the connection can't be made or written to, or an error if the address changes in the
+    /// meantime.
     pub(super) fn connect(&self, last_event: u64) -> io::Result<TcpStream> {
         let address = self.state().address;
         let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
@@ -55,7 +56,7 @@
         self.state().stream = None;
     }
 
-    /// Changes the address, and shuts down the connection to the old one at once.
+    /// Changes the address, and shuts down the connection to the old one immediately.
     pub(super) fn set_address(&self, address: SocketAddr) {
         let mut state = self.state();
         if state.address == address {
--- a/crates/server/src/discovery/disconnect.rs
+++ b/crates/server/src/discovery/disconnect.rs
@@ -12,7 +12,7 @@
     #[error("cannot set the read timeout: {0}")]
     CannotSetTimeout(#[source] io::Error),
     /// No bytes were received in time, or reading failed.
-    #[error("no line received in time: {0}")]
+    #[error("no line received: {0}")]
     ReadFailed(#[source] io::Error),
     /// The bus has closed the connection.
     #[error("closed by the event bus")]
--- a/crates/server/src/discovery/follower.rs
+++ b/crates/server/src/discovery/follower.rs
@@ -15,8 +15,8 @@
 /// How long to wait for a complete line: two heartbeat intervals and some slack.
 const LINE_TIMEOUT: Duration = Duration::from_millis(2200);
 /// How long to wait for the first line of a new connection; the bus sends a heartbeat each second. It is shorter than
-/// [`LINE_TIMEOUT`] so that a draining engine is detected within 7 s, even if the bus becomes silent, one attempt to
-/// connect fails and two new connections stay silent.
+/// [`LINE_TIMEOUT`] so that a draining engine is detected within 7 s even in this case: the bus becomes silent, one
+/// attempt to connect fails, and two new connections stay silent.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Receives the changes of the endpoint list.
@@ -61,12 +61,12 @@
         let mut position = ReadPosition { event: last_event, gap_after: None, complete_at: None };
         let mut backoff = Backoff::new(seed);
         loop {
-            let (event_before, begun) = (position.event, Instant::now());
+            let (event_before, started_at) = (position.event, Instant::now());
             let reason = self.follow_connection(listener, &mut position);
             self.connector.disconnected();
             tracing::info!(reason = %reason, last_event = position.event, "event bus connection lost");
             listener.connection_lost();
-            let was_useful = position.event > event_before || begun.elapsed() > LINE_TIMEOUT;
+            let was_useful = position.event > event_before || started_at.elapsed() > LINE_TIMEOUT;
             if was_useful {
                 backoff.reset();
             } else {
--- a/crates/server/src/discovery/start_time_converter.rs
+++ b/crates/server/src/discovery/start_time_converter.rs
@@ -9,17 +9,16 @@
 use std::collections::VecDeque;
 use std::time::SystemTime;
 
-/// If the wall clock has changed against the monotonic clock by more than this (50 ms) between two records, it was
-/// stepped; a smaller change is ordinary drift.
-const MAX_DRIFT: TimeDelta = TimeDelta(50_000);
+/// If the wall clock has changed against the monotonic clock by more than this between two records, it was stepped; a
+/// smaller change is ordinary drift.
+const MAX_DRIFT: TimeDelta = TimeDelta::from_millis(50);
 /// The maximum number of offsets that are retained, one for each step. The oldest is dropped first.
 const MAX_OFFSETS: usize = 16;
-/// How far in the future a start time may seem to be (0.1 s): it is in whole milliseconds, and from another machine's
-/// clock.
-const MAX_FUTURE_START: TimeDelta = TimeDelta(100_000);
-/// The maximum delay between a start and its report in the list (10 s): 7 s by the protocol, plus the time until the
-/// engine is listed.
-const MAX_LISTING_DELAY: TimeDelta = TimeDelta(10_000_000);
+/// How far in the future a start time may seem to be: it is in whole milliseconds, and from another machine's clock.
+const MAX_FUTURE_START: TimeDelta = TimeDelta::from_millis(100);
+/// The maximum delay between a start and its report in the list: 7 s by the protocol, plus the time until the engine is
+/// listed.
+const MAX_LISTING_DELAY: TimeDelta = TimeDelta::from_millis(10_000);
 
 /// Converts start times with the offsets that the wall clock has had from the monotonic clock since the program's
 /// start.
@@ -57,8 +56,9 @@
     /// `last_complete` is the last time at which the list was complete without this start.
     ///
     /// Each retained offset gives a candidate. The latest one that is not in the future is used: an engine whose age is
-    /// underestimated gets less load than it could handle, while an overestimate would overload it. The candidate can't
-    /// be long before `last_complete` either. If no candidate is plausible, the engine counts as started now.
+    /// underestimated gets less load than it could handle, while an overestimate would overload it. If there is no such
+    /// candidate, or it precedes `last_complete` by more than the maximum listing delay, the engine counts as started
+    /// now.
     pub fn start_time(
         &self,
         wall_start: UnixTime,
--- a/crates/server/src/engine/connection_input.rs
+++ b/crates/server/src/engine/connection_input.rs
@@ -52,7 +52,7 @@
     /// The bytes of an incomplete message.
     buffer: Vec<u8>,
     last_read: Instant,
-    /// Reading has failed, or reached the end of the stream.
+    /// Whether reading has failed, or has reached the end of the stream.
     has_ended: bool,
 }
 
--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -1,6 +1,6 @@
 //! A job's record of the dispatches that were sent for it. The engine's pool checks it before the first byte of each
-//! dispatch. Since it does not depend on the admission controller, it detects violations of the invariants that are due
-//! to the controller's faults.
+//! dispatch. The record does not depend on the admission controller, so it detects violations of invariants that are
+//! caused by faults of the controller.
 
 use crate::config::retry_semantics::{IdempotencyScope, RetrySemantics};
 use crate::lifecycle::sync::lock;
@@ -8,8 +8,8 @@
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::Mutex;
 
-/// The maximum time by which a dispatch's deadline may exceed the end of the client's timeout: 150 ms.
-const DEADLINE_SLACK: TimeDelta = TimeDelta(150_000);
+/// The maximum time by which a dispatch's deadline may exceed the end of the client's timeout.
+const DEADLINE_SLACK: TimeDelta = TimeDelta::from_millis(150);
 
 /// Whether an engine may have run a dispatch that was sent to it and has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/server/src/engine/endpoint_updates.rs
+++ b/crates/server/src/engine/endpoint_updates.rs
@@ -25,9 +25,9 @@
     pub(crate) added: Option<AddedEndpoint>,
     /// The engine has restarted at this time: connections that were established before are closed.
     pub(crate) restarted_at: Option<Timestamp>,
-    /// No further dispatches may be sent.
+    /// Whether the engine is draining, so that no further dispatches may be sent.
     pub(crate) draining: bool,
-    /// The engine was removed from the endpoint list.
+    /// Whether the engine was removed from the endpoint list.
     pub(crate) removed: bool,
 }
 
--- a/crates/server/src/engine/pool/connecting.rs
+++ b/crates/server/src/engine/pool/connecting.rs
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 
 impl EnginePool {
-    /// Starts an attempt to connect for each waiting request, within the limits. If none is in progress then, requests
-    /// share the existing connections.
+    /// Starts an attempt to connect for each waiting request, within the limits. If no attempt is in progress
+    /// afterwards, the requests share the existing connections.
     pub(super) fn dial_for_waiting(&mut self, context: &PoolContext) {
         let allowed = context.settings.max_connections.saturating_sub(self.connections.len());
         while self.dials_in_progress < self.waiting.len().min(allowed) && self.start_dial(context) {}
--- a/crates/server/src/engine/pool/connection_choice.rs
+++ b/crates/server/src/engine/pool/connection_choice.rs
@@ -31,7 +31,8 @@
         self.dial_for_waiting(context);
     }
 
-    /// Requests may share connections if the engine has the maximum number of connections.
+    /// Requests may share connections if the connections and the attempts to connect have reached the maximum number
+    /// for one engine.
     fn sharing(&self, context: &PoolContext) -> Sharing {
         let is_full = self.connections.len() + self.dials_in_progress >= context.settings.max_connections;
         if is_full { Sharing::Allowed } else { Sharing::Forbidden }
--- a/crates/server/src/engine/pool/in_flight.rs
+++ b/crates/server/src/engine/pool/in_flight.rs
@@ -19,9 +19,9 @@
     pub(super) wire_id: Box<str>,
     /// The connection that the request was written to; `None` while it waits for one.
     pub(super) connection: Option<ConnectionId>,
-    /// The first page of the result was received; only further pages are still expected.
+    /// Whether the first page of the result was received, so that only further pages are still expected.
     pub(super) has_first_page: bool,
-    /// The request has waited long enough to share a connection.
+    /// Whether the request has waited long enough to share a connection.
     pub(super) may_share: bool,
     /// The number of connections that ended before a byte of the request was sent.
     failed_connections: u32,
--- a/crates/server/src/engine/pool/mod.rs
+++ b/crates/server/src/engine/pool/mod.rs
@@ -74,7 +74,7 @@
     /// Dispatches whose connections were lost. They are reported once it is known whether the engine accepts a new
     /// connection.
     lost_dispatches: Vec<Sender<DispatchEvent>>,
-    /// The engine is no longer on the endpoint list.
+    /// Whether the engine was removed from the endpoint list.
     removed: bool,
     reuse_limit: ReuseLimit,
     fault_log: FaultLog,
--- a/crates/server/src/engine/pool/results.rs
+++ b/crates/server/src/engine/pool/results.rs
@@ -61,7 +61,7 @@
     }
 
     /// Cancels a dispatch, or releases its result at the engine if the first page was received. If the engine has been
-    /// silent on the connection for a while, it may not read a cancellation, so the connection is closed instead,
+    /// silent on the connection for a while, it may not read a cancellation. The connection is then closed instead,
     /// unless other requests are in flight on it.
     pub(super) fn cancel(&mut self, id: RequestId, context: &PoolContext) {
         let Some(request) = self.in_flight.get(&id) else { return };
--- a/crates/server/src/engine/pool/reuse_limit.rs
+++ b/crates/server/src/engine/pool/reuse_limit.rs
@@ -25,7 +25,7 @@
         self.limit.min(idle_timeout)
     }
 
-    /// Lowers the limit to half of the idle time of a stale connection, if it is longer than that.
+    /// Lowers the limit to half of the idle time of a stale connection, but not below the minimum. A lower limit stays.
     pub(super) fn lower(&mut self, idle_before_use: Duration) {
         self.limit = self.limit.min((idle_before_use / 2).max(MIN_LIMIT));
         self.changed_at = Instant::now();
--- a/crates/server/src/engine/pool/sending.rs
+++ b/crates/server/src/engine/pool/sending.rs
@@ -74,9 +74,13 @@
         }
     }
 
-    /// Claims a dispatch for sending. Returns false, and withholds it, if it may no longer be sent: its client no
-    /// longer waits, its `begin_by` has passed, the engine is draining, the job has withheld it, or the job's ledger
-    /// does not permit it.
+    /// Claims a dispatch for sending. Returns false, and withholds it, if one of these applies:
+    ///
+    /// - its client is no longer waiting;
+    /// - its `begin_by` has passed;
+    /// - the engine is draining;
+    /// - the job has withheld it;
+    /// - the job's ledger does not permit it.
     fn claim_dispatch(&self, request: &EngineRequest, gate: &SendGate, now: Timestamp) -> bool {
         let is_obsolete = !request.liveness.is_waiting() || now >= request.begin_by;
         if is_obsolete || !self.accepts_dispatches.load(SeqCst) || !gate.try_begin_send() {
--- a/crates/server/src/engine/registry_loop.rs
+++ b/crates/server/src/engine/registry_loop.rs
@@ -145,7 +145,7 @@
     }
 }
 
-/// Reports that a command can't be carried out because its engine has been removed.
+/// Reports that a command can't be executed because its engine has been removed.
 fn refuse_command(command: PoolCommand) {
     match command {
         PoolCommand::Send { events, .. } => {
--- a/crates/server/src/engine/send_gate.rs
+++ b/crates/server/src/engine/send_gate.rs
@@ -20,7 +20,7 @@
 pub(crate) struct SendGate {
     /// A [`SendState`].
     state: AtomicU8,
-    /// A byte of the dispatch may have been sent.
+    /// Whether a byte of the dispatch may have been sent.
     may_have_been_sent: AtomicBool,
 }
 
--- a/crates/server/src/job/cancelled_dispatch.rs
+++ b/crates/server/src/job/cancelled_dispatch.rs
@@ -6,10 +6,10 @@
 use pebblevane::time::{TimeDelta, Timestamp};
 
 /// The time after which an engine is assumed to have read a cancellation that was written, or the end of its
-/// connection: 5 ms.
-const CANCELLATION_READ_DELAY: TimeDelta = TimeDelta(5_000);
-/// The maximum time that a job waits for a cancellation to be written: 500 ms.
-const CANCELLATION_WRITE_TIMEOUT: TimeDelta = TimeDelta(500_000);
+/// connection.
+const CANCELLATION_READ_DELAY: TimeDelta = TimeDelta::from_millis(5);
+/// The maximum time that a job waits for a cancellation to be written.
+const CANCELLATION_WRITE_TIMEOUT: TimeDelta = TimeDelta::from_millis(500);
 
 /// A finished attempt that is being cancelled at its engine. Its end is reported once the engine is assumed to have
 /// read the cancellation. Writes to different engines are not ordered: without the wait, the next engine could receive
--- a/crates/server/src/job/command.rs
+++ b/crates/server/src/job/command.rs
@@ -9,7 +9,7 @@
 pub enum JobCommand {
     /// Send the job to an engine.
     Dispatch(DispatchCommand),
-    /// End this attempt. If it has not been sent yet, it must not be sent any more.
+    /// End this attempt. If it has not been sent yet, it is withheld.
     Cancel {
         /// The number of the attempt within its job, from 0.
         attempt: u32,
--- a/crates/server/src/job/in_flight_dispatch.rs
+++ b/crates/server/src/job/in_flight_dispatch.rs
@@ -68,7 +68,8 @@
         self.begin_by.map_or(self.deadline, |begin_by| begin_by.min(self.deadline))
     }
 
-    /// Withholds the attempt if its `begin_by` has passed while it waits for a connection. Returns whether it did.
+    /// Withholds the attempt if its `begin_by` has passed while it waits for a connection. Returns whether it was
+    /// withheld.
     pub(super) fn withhold_after_begin_by(&mut self) -> bool {
         let due = self.begin_by.take_if(|begin_by| *begin_by <= clock::now());
         due.is_some() && self.handle.withhold_if_queued()
--- a/crates/server/src/job/result_pages.rs
+++ b/crates/server/src/job/result_pages.rs
@@ -2,9 +2,9 @@
 
 use pebblevane::interface::{ActualCost, LoadReport};
 
-/// The maximum size of a result in the protocol.
+/// The maximum size of a result that the protocol allows.
 const MAX_RESULT_BYTES: usize = 48_000;
-/// The maximum number of pages of a result in the protocol.
+/// The maximum number of pages of a result that the protocol allows.
 const MAX_PAGES: u32 = 4096;
 /// The number of pages, counted from the first missing one, that may be requested at the same time.
 const REQUEST_WINDOW_PAGES: u32 = 8;
--- a/crates/server/src/lifecycle/shutdown.rs
+++ b/crates/server/src/lifecycle/shutdown.rs
@@ -8,14 +8,14 @@
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::OnceLock;
 
-/// How long new connections are accepted after the shutdown has begun (1 s).
-const ACCEPT_WINDOW: TimeDelta = TimeDelta(1_000_000);
-/// The time allowed after the longest client timeout for answering every admitted job (0.4 s).
-const ANSWER_MARGIN: TimeDelta = TimeDelta(400_000);
-/// The longest client timeout that the schedule waits for (3 s).
-const MAX_SCHEDULED_CLIENT_TIMEOUT: TimeDelta = TimeDelta(3_000_000);
-/// How long clients may take to read the last answers (0.2 s). The process may be killed 0.1 s after that.
-const FLUSH_WINDOW: TimeDelta = TimeDelta(200_000);
+/// How long new connections are accepted after the shutdown has begun.
+const ACCEPT_WINDOW: TimeDelta = TimeDelta::from_millis(1_000);
+/// The time allowed after the longest client timeout for answering every admitted job.
+const ANSWER_MARGIN: TimeDelta = TimeDelta::from_millis(400);
+/// The longest client timeout that the schedule waits for.
+const MAX_SCHEDULED_CLIENT_TIMEOUT: TimeDelta = TimeDelta::from_millis(3_000);
+/// How long clients may take to read the last answers. The process may be killed 0.1 s after that.
+const FLUSH_WINDOW: TimeDelta = TimeDelta::from_millis(200);
 
 /// When each step of a graceful shutdown ends.
 #[derive(Clone, Copy)]
--- a/crates/server/src/lifecycle/startup.rs
+++ b/crates/server/src/lifecycle/startup.rs
@@ -5,7 +5,7 @@
 use std::io::Result;
 use std::time::{Duration, Instant};
 
-/// How long attempts are repeated. A restarted process has to be ready within 10 s, so the startup fails after that.
+/// How long attempts are repeated before the startup fails, since a restarted process has to be ready within 10 s.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(6);
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
--- a/crates/server/src/limits/quotas.rs
+++ b/crates/server/src/limits/quotas.rs
@@ -12,19 +12,19 @@
 const MIN_BUFFER_BYTES: usize = MEBIBYTE;
 /// Descriptors for the listener, the event bus, the log, a connection that is being accepted, and the C library.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The connections to a single engine may use at most one in this many of the descriptors for all engines.
+/// The descriptors for all engines, divided by this, are the usual maximum for a single engine.
 const ENGINE_SHARE_DIVISOR: usize = 6;
 const MIN_CONNECTIONS_PER_ENGINE: usize = 4;
 const MAX_CONNECTIONS_PER_ENGINE: usize = 48;
-/// A line of the event bus, which may contain the complete endpoint list, may use at most one in this many bytes of the
-/// configured memory.
+/// The configured memory, divided by this, is the usual maximum for a line of the event bus. A line may contain the
+/// complete endpoint list.
 const EVENT_LINE_MEMORY_DIVISOR: usize = 16;
 const MIN_EVENT_LINE_BYTES: usize = MEBIBYTE;
 
 /// The configured limits of the whole process.
 #[derive(Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// The maximum number of open file descriptors, sockets in the main.
+    /// The maximum number of open file descriptors, most of which are sockets.
     pub sockets: usize,
     /// The maximum resident memory, in mebibytes.
     pub memory_mb: usize,
--- a/crates/server/src/server/reload.rs
+++ b/crates/server/src/server/reload.rs
@@ -1,8 +1,8 @@
 //! Reloading the configuration while the program runs.
 //!
-//! A new address of the event bus takes effect at once, other changes at the next start. The initial endpoint list is
-//! ignored, since the event numbers continue. If the file is invalid, it may still be being written, so it is read
-//! again for a while.
+//! A new address of the event bus takes effect immediately, other changes at the next start. The initial endpoint list
+//! is ignored, since the event numbers continue. An invalid file may be only partly written, so it is read again for a
+//! while.
 
 use super::environment_variable;
 use crate::config::Config;
--- a/crates/server/src/session/cancellation.rs
+++ b/crates/server/src/session/cancellation.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Tells whether a job's client is still waiting. This is the last check before the job's first byte is sent to an
+/// Reports whether a job's client is still waiting. This is the last check before the job's first byte is sent to an
 /// engine.
 pub trait ClientLiveness: Send + Sync {
     /// Whether the client is still waiting for the job's answer.
--- a/crates/server/src/session/client_session.rs
+++ b/crates/server/src/session/client_session.rs
@@ -48,7 +48,7 @@
 /// How far a connection has been read. The thread that reads holds the lock until it has processed what it has read.
 #[derive(Default)]
 pub struct ReadPosition {
-    /// Whether the last message has been read only partly, so that the unread bytes do not begin with a message.
+    /// Whether the last message has been read only partly, so that the unread bytes begin within a message.
     pub inside_message: bool,
 }
 
@@ -104,7 +104,7 @@
     }
 
     /// Cancels this request if bytes that were received but not yet read contain its cancellation, or the connection
-    /// has ended or failed. Returns whether the request is cancelled.
+    /// has ended or failed. Returns whether that was found.
     pub fn apply_unread_cancellation(&self, request_id: RequestId) -> bool {
         // The thread that holds the lock processes cancellations itself.
         let Ok(position) = self.read_position.try_lock() else { return false };
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Ends the connection at once. Answers that the client has not read yet may be lost.
+    /// Ends the connection immediately. Answers that the client has not read yet may be lost.
     pub fn abort(&self) {
         lock(&self.output).abort(&self.stream);
     }
--- a/crates/server/src/session/responder.rs
+++ b/crates/server/src/session/responder.rs
@@ -12,8 +12,8 @@
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::sync::{Arc, Mutex, OnceLock};
 
-/// An answer that is later than the client's timeout by more than this (0.5 s) counts as lost.
-const ANSWER_GRACE_PERIOD: TimeDelta = TimeDelta(500_000);
+/// An answer that is later than the client's timeout by more than this counts as lost.
+const ANSWER_GRACE_PERIOD: TimeDelta = TimeDelta::from_millis(500);
 
 /// Answers one request, at most once. A registered request has to be answered before its responder is dropped, unless
 /// the client has cancelled it.
--- a/crates/server/src/session/write_buffer.rs
+++ b/crates/server/src/session/write_buffer.rs
@@ -95,7 +95,7 @@
         self.unwritten_since.elapsed() >= WRITE_TIMEOUT
     }
 
-    /// Ends the connection at once and discards the unwritten bytes.
+    /// Ends the connection immediately and discards the unwritten bytes.
     pub fn abort(&mut self, stream: &TcpStream) {
         self.closed = true;
         self.unwritten = Vec::new();
