--- a/crates/server/src/client/admission.rs
+++ b/crates/server/src/client/admission.rs
@@ -144,7 +144,7 @@
 ) -> AdmittedJob {
     let class = &context.classes[request.class];
     let responder = Responder::new(session.clone(), request.request_id, job_id, deadline);
-    let ledger = DispatchLedger::new(&request.job_id, class.retry_semantics, deadline);
+    let ledger = DispatchLedger::new(&request.job_id, class.retry_safety, deadline);
     AdmittedJob {
         responder: Arc::new(responder),
         ledger: Arc::new(ledger),
--- a/crates/server/src/client/context.rs
+++ b/crates/server/src/client/context.rs
@@ -1,6 +1,6 @@
 //! The state and limits that all client connections share.
 
-use crate::config::retry_semantics::RetrySemantics;
+use crate::config::retry_safety::RetrySafety;
 use crate::decision::ControllerHandle;
 use crate::lifecycle::shutdown::ShutdownState;
 use crate::limits::{ResourceBudget, ResourceQuotas};
@@ -26,7 +26,7 @@
 /// The properties of a job class that admission uses.
 pub(super) struct JobClass {
     pub name: Arc<str>,
-    pub retry_semantics: RetrySemantics,
+    pub retry_safety: RetrySafety,
 }
 
 /// The parts of the program that client connections use, and the settings and limits that apply to them.
@@ -38,7 +38,7 @@
     /// The names of the job classes, in the order of the settings.
     pub class_names: Vec<String>,
     /// Whether the jobs of each class may be retried, in the same order.
-    pub retry_semantics: Vec<RetrySemantics>,
+    pub retry_safety: Vec<RetrySafety>,
     /// The limits of connections, buffers and open jobs.
     pub quotas: &'a ResourceQuotas,
 }
@@ -46,10 +46,10 @@
 impl ClientContext {
     /// Creates the context, with budgets as large as the quotas.
     pub fn new(config: ClientContextConfig) -> ClientContext {
-        let ClientContextConfig { controller, shutdown, class_names, retry_semantics, quotas } = config;
+        let ClientContextConfig { controller, shutdown, class_names, retry_safety, quotas } = config;
         let names = class_names.iter().map(|name| name.as_str().into());
-        let classes = names.zip(retry_semantics);
-        let classes = classes.map(|(name, retry_semantics)| JobClass { name, retry_semantics }).collect();
+        let classes = names.zip(retry_safety);
+        let classes = classes.map(|(name, retry_safety)| JobClass { name, retry_safety }).collect();
         ClientContext {
             controller,
             shutdown,
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -6,13 +6,13 @@
 pub mod engine_connection_settings;
 mod error;
 mod location_names;
-pub mod retry_semantics;
+pub mod retry_safety;
 mod setting_names;
 
 pub use engine_connection_settings::EngineConnectionSettings;
 pub use error::ConfigError;
 pub use location_names::LocationNames;
-pub use retry_semantics::{IdempotencyScope, RetrySemantics};
+pub use retry_safety::{IdempotencyScope, RetrySafety};
 
 use crate::codec::event_bus::{self, Event};
 use crate::limits::Limits;
@@ -101,9 +101,9 @@
     }
 
     /// Whether the jobs of each class may be retried, in the order of the settings.
-    pub fn retry_semantics(&self) -> Vec<RetrySemantics> {
+    pub fn retry_safety(&self) -> Vec<RetrySafety> {
         let positions = self.class_positions();
-        positions.map(|position| RetrySemantics::read(&self.settings, position)).collect()
+        positions.map(|position| RetrySafety::read(&self.settings, position)).collect()
     }
 
     /// The longest client timeout of all classes. A class without one counts as unlimited.
--- a/crates/server/src/config/retry_semantics.rs
+++ b/crates/server/src/config/retry_safety.rs
@@ -1,15 +1,15 @@
 //! Whether a job that may already have run may be retried, which depends on its class.
 
 use crate::config::setting_names::{
-    CLASS_IDEMPOTENCY_SCOPE, CLASS_IDEMPOTENCY_WINDOW, CLASS_SEMANTICS, CLASSES, IDEMPOTENCY_SCOPE_ALL,
-    SEMANTICS_IDEMPOTENCY_KEY, SEMANTICS_RESTARTABLE,
+    CLASS_IDEMPOTENCY_SCOPE, CLASS_IDEMPOTENCY_WINDOW, CLASS_RETRY_SAFETY, CLASSES, IDEMPOTENCY_SCOPE_ALL,
+    RETRY_SAFETY_IDEMPOTENCY_KEY, RETRY_SAFETY_RESTARTABLE,
 };
 use pebblevane::settings::Settings;
 use pebblevane::time::TimeDelta;
 
 /// Whether the jobs of a class may be retried after they may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RetrySemantics {
+pub enum RetrySafety {
     /// A retry is harmless at any time.
     Restartable,
     /// A retry is harmless while the engines remember the idempotency key of the first run.
@@ -38,20 +38,20 @@
     }
 }
 
-impl RetrySemantics {
-    /// Reads the semantics of the class at this position of the settings.
-    pub fn read(settings: &Settings, position: usize) -> RetrySemantics {
+impl RetrySafety {
+    /// Reads the retry safety of the class at this position of the settings.
+    pub fn read(settings: &Settings, position: usize) -> RetrySafety {
         let field = |name: &str| format!("{CLASSES}.{position}.{name}");
-        match settings.text(&field(CLASS_SEMANTICS)) {
-            SEMANTICS_RESTARTABLE => RetrySemantics::Restartable,
-            SEMANTICS_IDEMPOTENCY_KEY => {
+        match settings.text(&field(CLASS_RETRY_SAFETY)) {
+            RETRY_SAFETY_RESTARTABLE => RetrySafety::Restartable,
+            RETRY_SAFETY_IDEMPOTENCY_KEY => {
                 let window_ms = settings.number(&field(CLASS_IDEMPOTENCY_WINDOW)).unwrap_or(0.0);
-                RetrySemantics::IdempotencyKey {
+                RetrySafety::IdempotencyKey {
                     window: TimeDelta::from_millis_f64(window_ms),
                     scope: IdempotencyScope::read(settings.text(&field(CLASS_IDEMPOTENCY_SCOPE))),
                 }
             }
-            _ => RetrySemantics::RunOnce,
+            _ => RetrySafety::RunOnce,
         }
     }
 }
--- a/crates/server/src/config/setting_names.rs
+++ b/crates/server/src/config/setting_names.rs
@@ -39,11 +39,11 @@
 /// Of a class: how long clients wait for an answer, in milliseconds.
 pub(super) const CLASS_CLIENT_TIMEOUT: &str = "GiveUp";
 /// Of a class: whether its jobs may be retried.
-pub(super) const CLASS_SEMANTICS: &str = "Semantics";
-/// A value of [`CLASS_SEMANTICS`]: a retry is harmless at any time.
-pub(super) const SEMANTICS_RESTARTABLE: &str = "read_like";
-/// A value of [`CLASS_SEMANTICS`]: a retry is harmless within [`CLASS_IDEMPOTENCY_WINDOW`].
-pub(super) const SEMANTICS_IDEMPOTENCY_KEY: &str = "idempotency_key";
+pub(super) const CLASS_RETRY_SAFETY: &str = "Semantics";
+/// A value of [`CLASS_RETRY_SAFETY`]: a retry is harmless at any time.
+pub(super) const RETRY_SAFETY_RESTARTABLE: &str = "read_like";
+/// A value of [`CLASS_RETRY_SAFETY`]: a retry is harmless within [`CLASS_IDEMPOTENCY_WINDOW`].
+pub(super) const RETRY_SAFETY_IDEMPOTENCY_KEY: &str = "idempotency_key";
 /// Of a class: how long engines remember an idempotency key, in milliseconds.
 pub(super) const CLASS_IDEMPOTENCY_WINDOW: &str = "DedupWindow";
 /// Of a class: which engines know the idempotency key of a job that one of them has run.
--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -2,7 +2,7 @@
 //! dispatch. The record does not depend on the admission controller, so it detects violations of invariants that are
 //! caused by faults of the controller.
 
-use crate::config::retry_semantics::{IdempotencyScope, RetrySemantics};
+use crate::config::retry_safety::{IdempotencyScope, RetrySafety};
 use crate::lifecycle::sync::lock;
 use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::time::{TimeDelta, Timestamp};
@@ -23,7 +23,7 @@
 /// One job's record of the dispatches that were sent for it.
 pub struct DispatchLedger {
     id: Box<str>,
-    semantics: RetrySemantics,
+    retry_safety: RetrySafety,
     /// When the client stops waiting.
     deadline: Timestamp,
     entries: Mutex<Entries>,
@@ -39,8 +39,8 @@
 
 impl DispatchLedger {
     /// The record of a job that has not been sent; its client stops waiting at `deadline`.
-    pub fn new(id: &str, semantics: RetrySemantics, deadline: Timestamp) -> DispatchLedger {
-        DispatchLedger { id: id.into(), semantics, deadline, entries: Mutex::default() }
+    pub fn new(id: &str, retry_safety: RetrySafety, deadline: Timestamp) -> DispatchLedger {
+        DispatchLedger { id: id.into(), retry_safety, deadline, entries: Mutex::default() }
     }
 
     /// Records a dispatch that is about to be sent with this deadline, and returns whether it may be sent. A dispatch
@@ -49,11 +49,11 @@
     pub fn try_record_send(&self, now: Timestamp, deadline: Timestamp) -> bool {
         let mut entries = lock(&self.entries);
         let first_possible_run = entries.first_possible_run;
-        let violation = match self.semantics {
+        let violation = match self.retry_safety {
             _ if entries.in_flight > 0 => Some(Invariant::SingleDispatchInFlight),
             _ if deadline > self.deadline + DEADLINE_SLACK => Some(Invariant::DeadlineWithinClientTimeout),
-            RetrySemantics::RunOnce if first_possible_run.is_some() => Some(Invariant::RunOnceNotRetried),
-            RetrySemantics::IdempotencyKey { window, .. }
+            RetrySafety::RunOnce if first_possible_run.is_some() => Some(Invariant::RunOnceNotRetried),
+            RetrySafety::IdempotencyKey { window, .. }
                 if first_possible_run.is_some_and(|first| now >= first + window) =>
             {
                 Some(Invariant::KeyedRetryWithinWindow)
@@ -87,10 +87,10 @@
     pub fn check_rejection(&self) {
         let entries = lock(&self.entries);
         let may_have_run = entries.in_flight > 0 || entries.first_possible_run.is_some();
-        let retry_is_harmless = match self.semantics {
-            RetrySemantics::Restartable => true,
-            RetrySemantics::IdempotencyKey { scope, .. } => scope == IdempotencyScope::Pool,
-            RetrySemantics::RunOnce => false,
+        let retry_is_harmless = match self.retry_safety {
+            RetrySafety::Restartable => true,
+            RetrySafety::IdempotencyKey { scope, .. } => scope == IdempotencyScope::Pool,
+            RetrySafety::RunOnce => false,
         };
         if may_have_run && !retry_is_harmless {
             invariants::report_violation(Invariant::RejectedOnlyIfHarmless, &self.id);
--- a/crates/server/src/engine/pool/tests.rs
+++ b/crates/server/src/engine/pool/tests.rs
@@ -3,7 +3,7 @@
 use super::in_flight::{InFlightRequest, RequestKind};
 use super::{EnginePool, PoolContext};
 use crate::config::engine_connection_settings::EngineConnectionSettings;
-use crate::config::retry_semantics::RetrySemantics;
+use crate::config::retry_safety::RetrySafety;
 use crate::engine::connection::EngineConnection;
 use crate::engine::connection_input::ConnectionInput;
 use crate::engine::dialer::Dialer;
@@ -59,7 +59,7 @@
         deadline,
         begin_by: deadline,
         liveness: Arc::new(CancellationToken::default()),
-        ledger: Arc::new(DispatchLedger::new(&wire_id, RetrySemantics::RunOnce, deadline)),
+        ledger: Arc::new(DispatchLedger::new(&wire_id, RetrySafety::RunOnce, deadline)),
         priority: None,
         statement: b"select 1".as_slice().into(),
     };
--- a/crates/server/src/server/startup.rs
+++ b/crates/server/src/server/startup.rs
@@ -45,7 +45,7 @@
             controller: controller.clone(),
             shutdown: shutdown.clone(),
             class_names: config.class_names(),
-            retry_semantics: config.retry_semantics(),
+            retry_safety: config.retry_safety(),
             quotas: &quotas,
         });
         let listener = listen(config.listen)?;
--- a/crates/server/tests/server/connection_pool.rs
+++ b/crates/server/tests/server/connection_pool.rs
@@ -5,7 +5,7 @@
 use expect_test::expect;
 use pebblevane::time::TimeDelta;
 use pebblevane_server::config::engine_connection_settings::EngineConnectionSettings;
-use pebblevane_server::config::retry_semantics::RetrySemantics;
+use pebblevane_server::config::retry_safety::RetrySafety;
 use pebblevane_server::engine::dispatch_ledger::DispatchLedger;
 use pebblevane_server::engine::handle::{DispatchHandle, EngineHandle, EngineRequest};
 use pebblevane_server::engine::registry::EngineRegistry;
@@ -50,7 +50,7 @@
 fn a_dispatch_is_checked_again_before_its_first_byte() {
     let pool = start_pool();
 
-    let rules = RetrySemantics::RunOnce;
+    let rules = RetrySafety::RunOnce;
     let mut trace = String::new();
     for what in ["wanted", "left", "late"] {
         let unaccepting = UnacceptingEngine::start();
@@ -112,7 +112,7 @@
         deadline: far,
         begin_by: far,
         liveness: Arc::new(CancellationToken::default()),
-        ledger: Arc::new(DispatchLedger::new(id, RetrySemantics::RunOnce, far)),
+        ledger: Arc::new(DispatchLedger::new(id, RetrySafety::RunOnce, far)),
         priority: None,
         statement: b"select 1".as_slice().into(),
     };
@@ -148,7 +148,7 @@
         deadline: far,
         begin_by: far,
         liveness: Arc::new(CancellationToken::default()),
-        ledger: Arc::new(DispatchLedger::new("0123456789abcdef", RetrySemantics::RunOnce, far)),
+        ledger: Arc::new(DispatchLedger::new("0123456789abcdef", RetrySafety::RunOnce, far)),
         priority: None,
         statement: b"select 1".as_slice().into(),
     });
