--- a/crates/server/src/client/arrival_time.rs
+++ b/crates/server/src/client/arrival_time.rs
@@ -45,6 +45,10 @@
     }
 
     /// The earliest time at which the events that a wait has returned can have arrived.
+    ///
+    /// Events that were returned immediately arrived before the wait began, but after those of earlier waits. If the
+    /// system delayed the return, the events may have arrived at any time during the wait. Otherwise the wait returned
+    /// as soon as they arrived.
     pub fn earliest_arrival(&mut self, wait: &PollWait) -> Timestamp {
         let was_delayed = wait.was_delayed();
         let earliest = if wait.returned_immediately() {
@@ -54,6 +58,7 @@
         } else {
             wait.returned_at
         };
+        // A delayed or interrupted wait may have missed events that arrived after it began.
         self.seen_until = if was_delayed || wait.interrupted { wait.started_at } else { wait.returned_at };
         earliest
     }
--- a/crates/server/src/engine/pool/mod.rs
+++ b/crates/server/src/engine/pool/mod.rs
@@ -170,6 +170,7 @@
                 self.enqueue(id, wire_id, RequestKind::Dispatch { request, gate, events }, context);
             }
             PoolCommand::CheckHealth { id, callback } => {
+                // This differs from the ids of all jobs, which consist of hexadecimal digits.
                 let wire_id = format!("p{}", id.0).into();
                 self.enqueue(id, wire_id, RequestKind::HealthCheck(Some(callback)), context);
             }
--- a/crates/server/src/job/worker_pool.rs
+++ b/crates/server/src/job/worker_pool.rs
@@ -48,7 +48,6 @@
     }
 
     fn idle(&self) -> MutexGuard<'_, Vec<IdleWorker>> {
-        // A panic aborts the process, so a poisoned mutex needs no handling.
         lock(&self.idle)
     }
 
