--- a/crates/server/src/client/event_loop/mod.rs
+++ b/crates/server/src/client/event_loop/mod.rs
@@ -175,7 +175,7 @@
     fn process(&mut self, outcome: PollOutcome) {
         self.close_failed();
         for id in outcome.closed {
-            self.closed_by_client(id);
+            self.handle_closed_by_client(id);
         }
         for id in outcome.ready {
             self.read(id);
@@ -233,7 +233,7 @@
     /// Handles a connection that the client has closed, or of which it has shut down its side. The two can't be
     /// distinguished, and clients of this protocol have no use for a half-closed connection, so open requests are
     /// cancelled.
-    fn closed_by_client(&mut self, id: ConnectionId) {
+    fn handle_closed_by_client(&mut self, id: ConnectionId) {
         match self.connections.get_mut(&id) {
             // The client may still read the last answers. The bytes that it has sent are read to the end, since unread
             // bytes would reset the connection.
--- a/crates/server/src/discovery/follower.rs
+++ b/crates/server/src/discovery/follower.rs
@@ -142,7 +142,7 @@
         if event.offset <= self.event {
             return Ok(());
         }
-        if event.offset > self.event + 1 && !event.complete && self.is_new_gap() {
+        if event.offset > self.event + 1 && !event.complete && self.record_if_new_gap() {
             return Err(DisconnectReason::Gap { event: event.offset, previous: self.event });
         }
         self.event = event.offset;
@@ -157,7 +157,7 @@
     /// Records a gap after the last event, and returns whether the gap is new. If the same gap is found again after
     /// reconnecting, the bus no longer has the missing events. They are then skipped, since the follower would
     /// otherwise reconnect forever.
-    fn is_new_gap(&mut self) -> bool {
+    fn record_if_new_gap(&mut self) -> bool {
         self.gap_after.replace(self.event) != Some(self.event)
     }
 }
--- a/crates/server/src/engine/pool/connecting.rs
+++ b/crates/server/src/engine/pool/connecting.rs
@@ -40,7 +40,11 @@
     }
 
     /// Handles the result of an attempt to connect.
-    pub(super) fn dialed(&mut self, dialed: Result<DialedConnection, ConnectError>, context: &PoolContext) {
+    pub(super) fn handle_dialed(
+        &mut self,
+        dialed: Result<DialedConnection, ConnectError>,
+        context: &PoolContext,
+    ) {
         self.dials_in_progress -= 1;
         let engine_reachable = dialed.is_ok();
         self.report_lost_dispatches(engine_reachable);
@@ -48,11 +52,11 @@
             dialed.and_then(|dialed| self.add_connection(dialed, context).map_err(ConnectError::Setup));
         match connected {
             Ok(()) => self.assign_waiting(context),
-            Err(e) => self.dial_failed(&e, context),
+            Err(e) => self.handle_dial_failure(&e, context),
         }
     }
 
-    fn dial_failed(&mut self, error: &ConnectError, context: &PoolContext) {
+    fn handle_dial_failure(&mut self, error: &ConnectError, context: &PoolContext) {
         self.fault_log.report(&self.name, "connecting failed", 0, error);
         if self.dials_in_progress == 0 {
             self.share_connections(context);
--- a/crates/server/src/engine/pool/mod.rs
+++ b/crates/server/src/engine/pool/mod.rs
@@ -158,7 +158,7 @@
     fn close_opened_before(&mut self, restarted_at: Timestamp, context: &PoolContext) {
         let earlier = self.connections.iter().filter(|(_, connection)| connection.opened_at < restarted_at);
         for id in earlier.map(|(id, _)| *id).collect::<Vec<ConnectionId>>() {
-            self.connection_lost(id, &ConnectionLostReason::EngineRestarted, context);
+            self.close_connection(id, &ConnectionLostReason::EngineRestarted, context);
         }
     }
 
@@ -179,7 +179,7 @@
                 self.cancel(id, context);
                 drop(done);
             }
-            PoolCommand::Dialed(dialed) => self.dialed(dialed, context),
+            PoolCommand::Dialed(dialed) => self.handle_dialed(dialed, context),
             PoolCommand::ConnectionEvent { connection, event } => {
                 self.handle_connection_event(connection, event, context);
             }
@@ -189,8 +189,8 @@
 
     fn handle_connection_event(&mut self, id: ConnectionId, event: ConnectionEvent, context: &PoolContext) {
         match event {
-            ConnectionEvent::Message(received) => self.message_received(id, received),
-            ConnectionEvent::Ended(reason) => self.connection_lost(id, &reason, context),
+            ConnectionEvent::Message(received) => self.handle_message(id, received),
+            ConnectionEvent::Ended(reason) => self.close_connection(id, &reason, context),
         }
     }
 
--- a/crates/server/src/engine/pool/results.rs
+++ b/crates/server/src/engine/pool/results.rs
@@ -27,7 +27,7 @@
 
 impl EnginePool {
     /// Handles a message that was received on a connection.
-    pub(super) fn message_received(&mut self, connection: ConnectionId, received: ReceivedMessage) {
+    pub(super) fn handle_message(&mut self, connection: ConnectionId, received: ReceivedMessage) {
         let ReceivedMessage { wire_id, message, read_at } = received;
         let Some(connection) = self.connections.get_mut(&connection) else { return };
         connection.last_received = Instant::now();
@@ -76,7 +76,7 @@
             self.write_for(id, encode_end, context);
         } else if self.connections.get(&connection).is_some_and(is_silent) {
             self.remove_request(id, IdUse::Retired);
-            return self.connection_lost(connection, &ConnectionLostReason::CancelledWhileSilent, context);
+            return self.close_connection(connection, &ConnectionLostReason::CancelledWhileSilent, context);
         } else {
             self.write_for(id, encode_stop, context);
         }
@@ -114,7 +114,7 @@
     }
 
     /// Closes a connection and fails the requests in flight on it.
-    pub(super) fn connection_lost(
+    pub(super) fn close_connection(
         &mut self,
         id: ConnectionId,
         reason: &ConnectionLostReason,
--- a/crates/server/src/engine/pool/sending.rs
+++ b/crates/server/src/engine/pool/sending.rs
@@ -16,7 +16,7 @@
     /// Writes a request to this connection if it may still be sent.
     pub(super) fn send_on(&mut self, id: RequestId, connection_id: ConnectionId, context: &PoolContext) {
         if self.is_stale(connection_id) {
-            self.connection_lost(connection_id, &ConnectionLostReason::UnexpectedInput, context);
+            self.close_connection(connection_id, &ConnectionLostReason::UnexpectedInput, context);
             self.waiting.push_front(id);
             return self.assign_waiting(context);
         }
@@ -133,7 +133,7 @@
             }
             request.ledger.record_unsent();
         }
-        self.connection_lost(connection_id, &ConnectionLostReason::WriteRefused(error), context);
+        self.close_connection(connection_id, &ConnectionLostReason::WriteRefused(error), context);
         if may_retry {
             self.waiting.push_back(id);
             self.assign_waiting(context);
@@ -163,7 +163,7 @@
     fn write(&mut self, id: ConnectionId, bytes: &[u8], context: &PoolContext) {
         let Some(connection) = self.connections.get(&id) else { return };
         if let Err(e) = connection.write_all(bytes) {
-            self.connection_lost(id, &ConnectionLostReason::WriteIncomplete(e), context);
+            self.close_connection(id, &ConnectionLostReason::WriteIncomplete(e), context);
         }
     }
 }
--- a/crates/server/src/engine/pool/timeouts.rs
+++ b/crates/server/src/engine/pool/timeouts.rs
@@ -89,7 +89,7 @@
             .iter()
             .filter(|(_, connection)| !connection.is_idle() && connection.silent_for() > limit);
         for id in silent.map(|(id, _)| *id).collect::<Vec<ConnectionId>>() {
-            self.connection_lost(id, &ConnectionLostReason::Silent, context);
+            self.close_connection(id, &ConnectionLostReason::Silent, context);
         }
     }
 }
