--- a/crates/server/tests/server/cancellation.rs
+++ b/crates/server/tests/server/cancellation.rs
@@ -61,7 +61,7 @@
     assert_eq!((seen.field(0), seen.field(1)), ("REQ", &*wire_id(50)));
     seen.reply("HIT", "-", "");
     assert_eq!(other.next_answer(), "50: done ");
-    engines.expect_silence();
+    engines.expect_no_line();
 }
 
 /// A client that has sent unusable requests is read late, but not so late that its cancellation is heard after 0.1 s.
--- a/crates/server/tests/server/client_connections.rs
+++ b/crates/server/tests/server/client_connections.rs
@@ -113,7 +113,7 @@
     for message in 2..20 {
         client.submit(message, "lookup", 9000);
     }
-    engines.expect_silence();
+    engines.expect_no_line();
 }
 
 /// A message of another protocol ends its connection, but the answers that were given on it before still arrive.
--- a/crates/server/tests/server/deadlines.rs
+++ b/crates/server/tests/server/deadlines.rs
@@ -30,7 +30,7 @@
     let left = 5000 - asked.elapsed().as_millis();
     let told = if limit <= left + 150 { "within" } else { "past" };
     let answers = [client.next_answer(), fresh.next_answer()].join("; ");
-    engines.expect_silence();
+    engines.expect_no_line();
     let trace = format!("{} {} {told} what is left; {answers}", seen.field(0), seen.field(1));
 
     expect!["REQ 0000000000000003 within what is left; 2: Busy w=1000; 4: Busy w=1000"].assert_eq(&trace);
--- a/crates/server/tests/server/requests.rs
+++ b/crates/server/tests/server/requests.rs
@@ -132,7 +132,7 @@
         1: done own\tb\tc\n
         1: done again\tb\tc\n"]]
     .assert_eq(&trace);
-    engines.expect_silence();
+    engines.expect_no_line();
 }
 
 /// The table group decides the engines, however the statement is worded.
--- a/crates/server/tests/server/results.rs
+++ b/crates/server/tests/server/results.rs
@@ -39,7 +39,7 @@
         FETCH 0000000000000002 1
         2: Failed why=cancelled"]]
     .assert_eq(&trace.join("\n"));
-    engines.expect_silence();
+    engines.expect_no_line();
 }
 
 #[test]
--- a/crates/server/tests/server/support/client.rs
+++ b/crates/server/tests/server/support/client.rs
@@ -1,4 +1,4 @@
-//! A client of the program, and the requests that it sends.
+//! A client of the program, and the encoding of its requests.
 
 use super::RECEIVE_TIMEOUT;
 use rmp::{decode, encode};
@@ -7,10 +7,10 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// The statement of most requests.
+/// The statement of all requests for which a test needs no other.
 pub const SELECT: &str = "select * from sales_17.orders";
 
-/// One request as bytes.
+/// Encodes a request that submits a job. `message` is its message number, which the answer repeats.
 pub fn encode_request(message: u32, class: &str, fields: &[(&str, &str)], statement: &str) -> Vec<u8> {
     let mut bytes = vec![0x94, 0];
     encode::write_uint(&mut bytes, message.into()).unwrap();
@@ -24,18 +24,18 @@
     bytes
 }
 
-/// The id of a job on the wire.
+/// The job id with which [`Client::submit`] submits the job of this message number. Engines receive it too.
 pub fn wire_id(message: u32) -> String {
     format!("{message:016x}")
 }
 
-/// A connection to the program.
+/// A client's connection to the program.
 pub struct Client {
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
-    pub fn over(stream: TcpStream) -> Client {
+    pub fn new(stream: TcpStream) -> Client {
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(RECEIVE_TIMEOUT)).unwrap();
         Client { reader: BufReader::new(stream) }
@@ -43,24 +43,24 @@
     pub fn send_raw(&mut self, bytes: &[u8]) {
         self.reader.get_ref().write_all(bytes).unwrap();
     }
-    /// Submits a job whose client waits for this long.
+    /// Submits a job whose client waits for this long, and panics if the connection has failed.
     pub fn submit(&mut self, message: u32, class: &str, timeout_ms: u32) {
-        assert!(self.try_submit(message, class, timeout_ms), "the connection is gone");
+        assert!(self.try_submit(message, class, timeout_ms), "the connection has failed");
     }
-    /// The same; says whether the connection took it.
+    /// As [`Client::submit`], but returns whether the request could be written to the connection.
     pub fn try_submit(&mut self, message: u32, class: &str, timeout_ms: u32) -> bool {
         let (id, timeout) = (wire_id(message), timeout_ms.to_string());
         let fields = [("i", id.as_str()), ("d", &timeout), ("h", "100.0"), ("mem", "96")];
         self.reader.get_ref().write_all(&encode_request(message, class, &fields, SELECT)).is_ok()
     }
-    /// Asks whether the program is healthy.
+    /// Sends a health check.
     pub fn request_health(&mut self, message: u32) {
         let mut bytes = vec![0x94, 0];
         encode::write_uint(&mut bytes, message.into()).unwrap();
         bytes.extend(b"\xa6isWell\x91\x80");
         self.send_raw(&bytes);
     }
-    /// Cancels a request.
+    /// Sends the cancellation of a request.
     pub fn cancel(&mut self, message: u32) {
         let mut bytes = b"\x93\x02\xa6forget\x91".to_vec();
         encode::write_uint(&mut bytes, message.into()).unwrap();
@@ -73,11 +73,12 @@
     pub fn reset(self) {
         SockRef::from(self.reader.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
     }
-    /// Reads to the connection's end, which has to come in order: a reset is an error.
+    /// Reads until the program closes the connection. A reset is an error.
     pub fn read_to_end(&mut self) -> std::io::Result<usize> {
         self.reader.read_to_end(&mut Vec::new())
     }
-    /// The next answer in words, or `closed`.
+    /// Reads the next answer and returns it as text: message number, result and fields. Returns `closed` if there is
+    /// none.
     pub fn next_answer(&mut self) -> String {
         let reader = &mut self.reader;
         let Ok(4) = decode::read_array_len(reader) else { return "closed".to_string() };
@@ -88,7 +89,7 @@
             decode::read_nil(reader).unwrap();
         }
         assert_eq!(decode::read_array_len(reader).unwrap(), 2);
-        let what = match reader.fill_buf().unwrap()[0] {
+        let result = match reader.fill_buf().unwrap()[0] {
             0xc2 | 0xc3 => format!("well {}", decode::read_bool(reader).unwrap()),
             0xc4..=0xc6 => {
                 let length = decode::read_bin_len(reader).unwrap();
@@ -103,7 +104,7 @@
         if !no_error {
             decode::read_nil(reader).unwrap();
         }
-        format!("{message}: {}{fields}", what.escape_debug())
+        format!("{message}: {}{fields}", result.escape_debug())
     }
 }
 
--- a/crates/server/tests/server/support/config.rs
+++ b/crates/server/tests/server/support/config.rs
@@ -1,18 +1,18 @@
-//! The configuration that the program is started with.
+//! The configuration with which the program is started.
 
 use super::engines::EngineStandIns;
 use super::event_bus::{IN_SERVICE, endpoint, snapshot_event};
 use serde_json::{Value as Json, json};
 
-/// Two job classes (`lookup`, which may be retried, and `load`, which must not run twice), generous limits and timeouts.
-/// Tests change what they are about.
+/// A configuration with two job classes (`lookup`, which may be retried, and `load`, which must not run twice),
+/// generous limits and long timeouts. Tests change the fields that they depend on.
 #[derive(Clone)]
 pub struct ProgramConfig {
     json: Json,
 }
 
 impl ProgramConfig {
-    /// Knows all these engines as `e0`, `e1`, ... from the start.
+    /// A configuration whose initial endpoint list contains these engines as `e0`, `e1`, ...
     pub fn new(engines: &EngineStandIns, bus_address: &str) -> ProgramConfig {
         let known = engines.addresses.iter().enumerate();
         let known: Vec<Json> =
@@ -32,17 +32,17 @@
                     "DialTimeout": 250.0, "ConnIdle": 15000.0}}});
         ProgramConfig { json }
     }
-    /// Sets a field by its JSON pointer; its parent has to be there.
+    /// Sets the field at this JSON pointer. Its parent must exist.
     pub fn set(mut self, pointer: &str, value: Json) -> ProgramConfig {
         let (parent, field) = pointer.rsplit_once('/').unwrap();
-        let parent = self.json.pointer_mut(parent).expect("the field's parent is there");
+        let parent = self.json.pointer_mut(parent).expect("the field's parent exists");
         match field.parse::<usize>() {
             Ok(index) => parent[index] = value,
             Err(_) => parent[field] = value,
         }
         self
     }
-    /// The endpoints that are known from the start, in place of the engines.
+    /// Replaces the initial endpoint list.
     pub fn known_endpoints(self, endpoints: &[Json]) -> ProgramConfig {
         self.set("/known/batch", json!([snapshot_event(1, endpoints)]))
     }
@@ -52,32 +52,33 @@
     pub fn socket_limit(self, sockets: u32) -> ProgramConfig {
         self.set("/limits/sockets", json!(sockets))
     }
-    /// How long a connection to an engine may take, and how long a connection may be silent.
+    /// The timeout for connecting to an engine. Also the time without a message after which an engine connection counts
+    /// as silent; if the only job on a silent connection is cancelled, the connection is closed.
     pub fn dial_timeout_ms(self, timeout: f64) -> ProgramConfig {
         self.set("/settings/Ceilings/DialTimeout", json!(timeout))
     }
-    /// How many jobs share a connection to an engine.
+    /// The maximum number of jobs that share a connection to an engine.
     pub fn jobs_per_connection(self, jobs: u32) -> ProgramConfig {
         self.set("/settings/Ceilings/StreamsPerConn", json!(jobs))
     }
     pub fn timer_tick_ms(self, tick: f64) -> ProgramConfig {
         self.set("/settings/Tick", json!(tick))
     }
-    /// How long clients of both classes wait.
+    /// The client timeout of both job classes.
     pub fn client_timeout_ms(self, timeout: f64) -> ProgramConfig {
         self.set("/settings/Classes/0/GiveUp", json!(timeout))
             .set("/settings/Classes/1/GiveUp", json!(timeout))
     }
-    /// Jobs of the class `load` have idempotency keys with this deduplication window.
+    /// Gives jobs of the class `load` idempotency keys with this deduplication window.
     pub fn idempotency_key_for_loads(self, window_ms: f64) -> ProgramConfig {
         self.set("/settings/Classes/1/Semantics", json!("idempotency_key"))
             .set("/settings/Classes/1/DedupWindow", json!(window_ms))
     }
-    /// The address that clients connect to.
+    /// The address at which the program listens for clients.
     pub fn listen(self, address: &str) -> ProgramConfig {
         self.set("/listen", json!(address))
     }
-    /// The text of the file.
+    /// The content of the configuration file.
     pub fn text(&self) -> String {
         self.json.to_string()
     }
--- a/crates/server/tests/server/support/engines.rs
+++ b/crates/server/tests/server/support/engines.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for engines: they pass on each line that they read, and answer what a test says.
+//! Stand-ins for engines: they pass each line that they receive to the test, which decides the answer.
 
 use super::RECEIVE_TIMEOUT;
 use super::client::wire_id;
@@ -8,52 +8,53 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// Long enough for what should not come, on an idle machine; a busy one can only miss a failure.
-const SILENCE: Duration = Duration::from_millis(120);
-/// Pause between two looks for a connection.
+/// How long to wait for a line that is not expected, or not certain. A line that a busy machine delays for longer is
+/// not noticed, so a test may miss a failure then, but it does not fail without one.
+const UNEXPECTED_LINE_TIMEOUT: Duration = Duration::from_millis(120);
+/// The pause between two attempts to accept a connection.
 const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A line that an engine has read, and the way to answer it.
+/// A line that an engine has received, and the connection on which to answer it.
 pub struct ReceivedLine {
-    /// The engine's place in [`EngineStandIns::addresses`].
+    /// The engine's index in [`EngineStandIns::addresses`].
     pub engine: usize,
     pub line: String,
-    /// The statement of a request.
+    /// The statement, if the line is a request; otherwise empty.
     pub body: Vec<u8>,
     from: SocketAddr,
     stream: TcpStream,
 }
 
 impl ReceivedLine {
-    /// A field of the line, or nothing past its end.
+    /// A field of the line, or an empty string if the line has fewer fields.
     pub fn field(&self, index: usize) -> &str {
         self.line.split(' ').nth(index).unwrap_or("")
     }
-    /// Answers under the line's id, with a page of one row that begins with this text.
+    /// Answers with the line's id, and with a page of one row that begins with `row`, or no rows if `row` is empty.
     pub fn reply(&self, kind: &str, fields: &str, row: &str) {
         self.reply_as(self.field(1), kind, fields, row);
     }
-    /// Answers under another id.
+    /// As [`ReceivedLine::reply`], but with this id.
     pub fn reply_as(&self, id: &str, kind: &str, fields: &str, row: &str) {
         let page = if row.is_empty() { String::new() } else { format!("{row}\tb\tc\n") };
         let answer = format!("{id} {kind} {fields} {}\r\n{page}\r\n", page.len());
         let _ = (&self.stream).write_all(answer.as_bytes());
     }
-    /// Writes bytes to the connection on which the line came.
+    /// Writes bytes to the connection on which the line was received.
     pub fn send_raw(&self, bytes: &[u8]) {
         let _ = (&self.stream).write_all(bytes);
     }
-    /// Whether both came on one connection.
+    /// Whether both lines were received on the same connection.
     pub fn shares_connection_with(&self, other: &ReceivedLine) -> bool {
         self.from == other.from
     }
-    /// Closes the connection on which the line came.
+    /// Closes the connection on which the line was received.
     pub fn close_connection(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-/// Engines that listen on loopback, with one queue of what they read.
+/// Engines that listen on loopback addresses. The lines that they receive are in one queue.
 pub struct EngineStandIns {
     pub addresses: Vec<String>,
     received: Receiver<ReceivedLine>,
@@ -67,7 +68,7 @@
         (0..count).for_each(|_| engines.add("127.0.0.1:0"));
         engines
     }
-    /// Starts one more engine.
+    /// Starts a further engine that listens at this address.
     pub fn add(&mut self, address: &str) {
         let listener = TcpListener::bind(address).unwrap();
         let engine = self.addresses.len();
@@ -80,15 +81,15 @@
             }
         });
     }
-    /// Lists an engine at an address where nobody listens.
+    /// Adds an engine with an address that refuses connections.
     pub fn add_unreachable(&mut self) {
         self.addresses.push("127.0.0.1:1".to_string());
     }
-    /// The next line that any engine reads, but for health checks, which are answered.
+    /// The next line that any engine receives. Health checks are answered and not returned.
     pub fn next_line(&self) -> ReceivedLine {
-        self.next_line_within(RECEIVE_TIMEOUT).expect("no engine has read anything")
+        self.next_line_within(RECEIVE_TIMEOUT).expect("no engine has received a line")
     }
-    /// Completes the job of this number with no rows, whatever else is read before it.
+    /// Completes the job with this message number, without rows. Lines received before its request are dropped.
     pub fn complete(&self, message: u32) {
         let mut received = self.next_line();
         while (received.field(0), received.field(1)) != ("REQ", &wire_id(message)) {
@@ -96,14 +97,14 @@
         }
         received.reply("HIT", "-", "");
     }
-    /// The next line, if one comes soon.
+    /// The next line, if one is received within [`UNEXPECTED_LINE_TIMEOUT`].
     pub fn next_line_if_soon(&self) -> Option<ReceivedLine> {
-        self.next_line_within(SILENCE)
+        self.next_line_within(UNEXPECTED_LINE_TIMEOUT)
     }
-    /// Fails where an engine reads anything soon.
-    pub fn expect_silence(&self) {
+    /// Panics if an engine receives a line within [`UNEXPECTED_LINE_TIMEOUT`].
+    pub fn expect_no_line(&self) {
         if let Some(received) = self.next_line_if_soon() {
-            panic!("engine {} has read {}", received.engine, received.line);
+            panic!("engine {} has received {}", received.engine, received.line);
         }
     }
     fn next_line_within(&self, timeout: Duration) -> Option<ReceivedLine> {
@@ -138,17 +139,18 @@
     let length: usize = line.rsplit(' ').next().unwrap().parse().unwrap();
     let mut body = vec![0; length + 2];
     reader.read_exact(&mut body).unwrap();
-    assert!(body.ends_with(b"\r\n"), "a body without its end");
+    assert!(body.ends_with(b"\r\n"), "the body does not end with CR LF");
     body.truncate(length);
     body
 }
 
-/// An engine that accepts no connection until it is told to: one of our own fills its queue, so that the next ones are
-/// established only when they are tried again.
+/// An engine that accepts no connection until [`UnacceptingEngine::accept`] is called. A connection of its own fills
+/// its listen queue, so the system establishes the program's connection only when it retries after that.
 pub struct UnacceptingEngine {
     pub address: String,
     listener: TcpListener,
-    filler: TcpStream,
+    /// Fills the listen queue.
+    queue_filler: TcpStream,
 }
 
 impl UnacceptingEngine {
@@ -159,15 +161,15 @@
         let listener: TcpListener = socket.into();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
-        let filler = TcpStream::connect(address).unwrap();
-        UnacceptingEngine { address: address.to_string(), listener, filler }
+        let queue_filler = TcpStream::connect(address).unwrap();
+        UnacceptingEngine { address: address.to_string(), listener, queue_filler }
     }
-    /// The first connection that is not our own.
+    /// Accepts connections up to the first one of the program, which is returned.
     pub fn accept(&self) -> TcpStream {
         let deadline = Instant::now() + RECEIVE_TIMEOUT;
         while Instant::now() < deadline {
             match self.listener.accept() {
-                Ok((stream, from)) if from != self.filler.local_addr().unwrap() => {
+                Ok((stream, from)) if from != self.queue_filler.local_addr().unwrap() => {
                     stream.set_nonblocking(false).unwrap();
                     stream.set_read_timeout(Some(RECEIVE_TIMEOUT)).unwrap();
                     return stream;
--- a/crates/server/tests/server/support/event_bus.rs
+++ b/crates/server/tests/server/support/event_bus.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the event bus, and what it sends: events of the endpoint list.
+//! A stand-in for the event bus, and the events that it sends, which contain endpoints.
 
 use super::RECEIVE_TIMEOUT;
 use serde_json::{Value as Json, json};
@@ -9,19 +9,20 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-/// Lifecycle states as the event bus names them.
+/// Lifecycle states of an endpoint as the event bus names them: in service, draining, and gone.
 pub const IN_SERVICE: &str = "in_service";
 pub const TERMINATING: &str = "terminating";
 pub const TERMINATED: &str = "terminated";
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
+/// A connection of the program, and the line with which it subscribed.
 struct Subscription {
     line: String,
     stream: TcpStream,
 }
 
-/// The event bus. It sends heartbeats on each connection until that is closed.
+/// The event bus. It sends heartbeats on each connection until the connection is closed.
 pub struct EventBusStandIn {
     pub address: String,
     last_offset: Arc<AtomicU64>,
@@ -33,7 +34,8 @@
     pub fn start() -> EventBusStandIn {
         EventBusStandIn::listen("127.0.0.1:0", 1)
     }
-    /// Listens at an address; its heartbeats name this offset as the last.
+    /// Listens at this address. Heartbeats contain this offset as the last one, until [`EventBusStandIn::send_snapshot`]
+    /// or [`EventBusStandIn::send_update`] sends an event with a higher one.
     pub fn listen(address: &str, last_offset: u64) -> EventBusStandIn {
         let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap().to_string();
@@ -45,7 +47,7 @@
                 let mut line = String::new();
                 let _ = BufReader::new(&stream).read_line(&mut line);
                 let (mut heartbeats, offset) = (stream.try_clone().unwrap(), heartbeat_offset.clone());
-                // Before the test can send an event: the first heartbeat tells that the list is complete so far.
+                // Sent before the test can send an event: it tells the program that its list is complete up to then.
                 if send_heartbeat(&mut heartbeats, &offset) {
                     std::thread::spawn(move || send_heartbeats(heartbeats, &offset));
                 }
@@ -54,13 +56,16 @@
         });
         EventBusStandIn { address, last_offset, subscriptions, connection: None }
     }
-    /// Waits for the program to connect; says what it asked for.
+    /// Waits until the program connects, and returns the line with which it subscribes.
     pub fn next_subscription(&mut self) -> String {
-        let subscription =
-            self.subscriptions.recv_timeout(RECEIVE_TIMEOUT).expect("nobody connected to the event bus");
+        let subscription = self
+            .subscriptions
+            .recv_timeout(RECEIVE_TIMEOUT)
+            .expect("the program did not connect to the event bus");
         self.connection = Some(subscription.stream);
         subscription.line
     }
+    /// Sends a line. If the program is not connected, waits until it connects.
     pub fn send_line(&mut self, line: &str) {
         if self.connection.is_none() {
             self.next_subscription();
@@ -70,11 +75,11 @@
     pub fn send_raw(&mut self, bytes: &[u8]) {
         self.connection.as_ref().unwrap().write_all(bytes).unwrap();
     }
-    /// Sends the complete endpoint list.
+    /// Sends an event with the complete endpoint list.
     pub fn send_snapshot(&mut self, offset: u64, endpoints: &[Json]) {
         self.send_event(offset, &snapshot_event(offset, endpoints));
     }
-    /// Sends endpoints that have changed.
+    /// Sends an event with the endpoints that have changed.
     pub fn send_update(&mut self, offset: u64, endpoints: &[Json]) {
         self.send_event(offset, &update_event(offset, endpoints));
     }
@@ -88,7 +93,7 @@
     }
 }
 
-/// Sends heartbeats after the first one until the connection ends.
+/// Sends heartbeats at regular intervals, the first one after a pause, until the connection ends.
 fn send_heartbeats(mut stream: TcpStream, offset: &AtomicU64) {
     loop {
         std::thread::sleep(HEARTBEAT_INTERVAL);
@@ -98,7 +103,7 @@
     }
 }
 
-/// Sends one heartbeat; says whether the connection took it.
+/// Sends one heartbeat, and returns whether it could be written to the connection.
 fn send_heartbeat(stream: &mut TcpStream, offset: &AtomicU64) -> bool {
     stream.write_all(format!("{{\"offset\":{}}}\n", offset.load(SeqCst)).as_bytes()).is_ok()
 }
--- a/crates/server/tests/server/support/mod.rs
+++ b/crates/server/tests/server/support/mod.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for what the program talks to (engines, the event bus and clients) and the program under test. Stand-ins do
-//! only what a test tells them to, and tests wait for what they see, never for a time to pass.
+//! The program under test, and stand-ins for the engines, the event bus and the clients. Apart from answers to health
+//! checks and heartbeats, stand-ins send only what a test makes them send. Tests wait until they observe an effect,
+//! rather than for a fixed time.
 
 pub mod client;
 pub mod config;
@@ -14,10 +15,10 @@
 use program::Program;
 use std::time::Duration;
 
-/// Longer than anything takes that comes at all.
+/// The maximum wait for an expected line, answer or connection; far longer than any of them takes.
 pub const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One engine, the event bus, the program and a client of it.
+/// The program with one engine, the event bus and one client.
 pub struct SingleEngine {
     pub engines: EngineStandIns,
     pub bus: EventBusStandIn,
--- a/crates/server/tests/server/support/program.rs
+++ b/crates/server/tests/server/support/program.rs
@@ -1,4 +1,4 @@
-//! The program under test.
+//! Starts, observes and controls the program under test.
 
 use super::RECEIVE_TIMEOUT;
 use super::client::Client;
@@ -16,20 +16,20 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// A start that has not come to listening by then has failed.
+/// The maximum time until the started program listens for clients.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longer than a graceful shutdown may take.
+/// The maximum wait for the program's exit; longer than a graceful shutdown may take.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(45);
-/// Pause between two looks whether the program has ended.
+/// The pause between two checks whether the program has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Descriptors that the system gives the program unless a test says otherwise.
+/// The system's limit of file descriptors for the program, unless a test sets another.
 const DESCRIPTOR_LIMIT: u32 = 1024;
 
-/// Determines which calls fail where only a share of them does.
+/// The seed that determines which calls fail if a fault has a rate between 0 and 1.
 const FAULTS_SEED: u64 = 1;
 
-/// Numbers the configuration files of this test process.
-static STARTS: AtomicU32 = AtomicU32::new(0);
+/// The number in the name of the next file that this test process writes.
+static NEXT_FILE_NUMBER: AtomicU32 = AtomicU32::new(0);
 
 /// A child process that is killed when the test ends, however it ends.
 struct KillOnDrop(Child);
@@ -41,17 +41,18 @@
     }
 }
 
-/// How the system treats the program, and what it logs.
+/// The options with which the program is started, besides its configuration.
 #[derive(Clone, Copy)]
 struct StartOptions<'a> {
-    descriptors: u32,
+    descriptor_limit: u32,
+    /// The system calls that are made to fail, if any.
     faults: Option<&'a FaultControl>,
     log_level: &'static str,
 }
 
 impl Default for StartOptions<'_> {
     fn default() -> Self {
-        StartOptions { descriptors: DESCRIPTOR_LIMIT, faults: None, log_level: "info" }
+        StartOptions { descriptor_limit: DESCRIPTOR_LIMIT, faults: None, log_level: "info" }
     }
 }
 
@@ -61,7 +62,7 @@
     pub config_file: String,
 }
 
-/// A running program whose system calls a test can let fail.
+/// A running program, and the control of faults in its system calls.
 pub struct FaultyProgram {
     pub program: Program,
     pub faults: FaultControl,
@@ -76,9 +77,9 @@
 }
 
 impl Program {
-    /// Writes the configuration to a file of its own.
+    /// Writes the configuration to a new file, and returns a command that starts the program with it.
     pub fn command(config: &ProgramConfig) -> PreparedCommand {
-        let number = STARTS.fetch_add(1, SeqCst);
+        let number = NEXT_FILE_NUMBER.fetch_add(1, SeqCst);
         let config_file =
             format!("{}/config-{}-{number}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
         std::fs::write(&config_file, config.text()).unwrap();
@@ -90,32 +91,33 @@
     pub fn start(engines: &EngineStandIns, bus: &EventBusStandIn) -> Program {
         Program::start_with(ProgramConfig::new(engines, &bus.address))
     }
+    /// Starts the program with this configuration and waits until it is healthy.
     pub fn start_with(config: ProgramConfig) -> Program {
         Program::start_with_descriptor_limit(config, DESCRIPTOR_LIMIT)
     }
-    /// Starts it where the system gives so many descriptors.
-    pub fn start_with_descriptor_limit(config: ProgramConfig, descriptors: u32) -> Program {
-        Program::start_in_shell(config, StartOptions { descriptors, ..StartOptions::default() })
+    /// As [`Program::start_with`], with this limit of file descriptors, which the system enforces.
+    pub fn start_with_descriptor_limit(config: ProgramConfig, descriptor_limit: u32) -> Program {
+        Program::start_in_shell(config, StartOptions { descriptor_limit, ..StartOptions::default() })
     }
-    /// Starts it so that its system calls can be made to fail. None fails yet. Its log is that of
-    /// [`Program::start_with_debug_log`].
+    /// As [`Program::start_with_debug_log`], with faults in system calls that a test can enable. None is enabled at the
+    /// start.
     pub fn start_with_faults(config: ProgramConfig) -> FaultyProgram {
-        let number = STARTS.fetch_add(1, SeqCst);
+        let number = NEXT_FILE_NUMBER.fetch_add(1, SeqCst);
         let file = format!("faults-{}-{number}", std::process::id());
         let faults = FaultControl::open(&PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(file)).unwrap();
         let options = StartOptions { faults: Some(&faults), log_level: "debug", ..StartOptions::default() };
         let program = Program::start_in_shell(config, options);
         FaultyProgram { program, faults }
     }
-    /// Starts it with all log lines that trace a job or a connection.
+    /// As [`Program::start_with`], with the log level that shows the events of each job and connection.
     pub fn start_with_debug_log(config: ProgramConfig) -> Program {
         Program::start_in_shell(config, StartOptions { log_level: "debug", ..StartOptions::default() })
     }
     fn start_in_shell(config: ProgramConfig, options: StartOptions) -> Program {
-        let StartOptions { descriptors, faults, log_level } = options;
+        let StartOptions { descriptor_limit, faults, log_level } = options;
         let prepared = Program::command(&config.listen("127.0.0.1:0"));
         let mut command = Command::new("sh");
-        command.args(["-c", &format!("ulimit -n {descriptors} && exec \"$0\"")]);
+        command.args(["-c", &format!("ulimit -n {descriptor_limit} && exec \"$0\"")]);
         command.arg(prepared.command.get_program());
         set_environment(&mut command, &prepared.config_file);
         command.env("PEBBLEVANE_LOG", log_level);
@@ -132,18 +134,19 @@
         program
     }
     pub fn connect(&self) -> Client {
-        Client::over(TcpStream::connect(&self.address).unwrap())
+        Client::new(TcpStream::connect(&self.address).unwrap())
     }
-    /// A client of which the system takes little that it has not read.
+    /// Connects a client with small socket buffers on both sides, so that the system buffers few answers that it has
+    /// not read.
     pub fn connect_with_small_buffers(&self) -> Client {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
-        // The system sizes the other side's buffer by this.
+        // The system derives the size of the program's send buffer from the segment size.
         socket.set_tcp_mss(536).unwrap();
         socket.connect(&self.address.parse::<SocketAddr>().unwrap().into()).unwrap();
-        Client::over(socket.into())
+        Client::new(socket.into())
     }
-    /// Waits for a line of the log that holds this.
+    /// Waits for a log line that contains this text. Earlier lines are dropped.
     pub fn wait_for_log(&self, text: &str) -> String {
         let log = self.log.lock().unwrap();
         loop {
@@ -154,21 +157,21 @@
             }
         }
     }
-    /// Suspends the program while something is done, so that it then finds all of it at once.
+    /// Suspends the program during the action, so that it then finds all effects of the action at once.
     pub fn while_suspended<T>(&self, action: impl FnOnce() -> T) -> T {
         self.signal("STOP");
         let result = action();
         self.signal("CONT");
         result
     }
-    /// Sends a signal by its name without SIG.
+    /// Sends a signal, whose name is given without `SIG`.
     pub fn signal(&self, name: &str) {
         send_signal(self.pid(), name);
     }
     pub fn is_running(&mut self) -> bool {
         self.process.0.try_wait().unwrap().is_none()
     }
-    /// Waits for the program's end.
+    /// Waits until the program exits.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let deadline = Instant::now() + EXIT_TIMEOUT;
         while Instant::now() < deadline {
@@ -177,7 +180,7 @@
             }
             std::thread::sleep(EXIT_POLL_INTERVAL);
         }
-        panic!("the program has not ended within {EXIT_TIMEOUT:?}");
+        panic!("the program has not exited within {EXIT_TIMEOUT:?}");
     }
     pub fn pid(&self) -> u32 {
         self.process.0.id()
@@ -188,7 +191,7 @@
     pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.pid())).unwrap().count()
     }
-    /// Memory that the program holds in RAM.
+    /// The program's resident memory, in KiB.
     pub fn resident_kb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).unwrap();
         let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap();
@@ -196,7 +199,7 @@
     }
 }
 
-/// Sends a signal by its name without SIG.
+/// Sends a signal, whose name is given without `SIG`.
 pub fn send_signal(pid: u32, name: &str) {
     let kill = Command::new("kill").args([&format!("-{name}"), &pid.to_string()]).status();
     assert!(kill.unwrap().success());
@@ -206,7 +209,7 @@
     command.env("NODE_CONFIG", config_file).env_remove("NODE_NAME").env_remove("NODE_LISTEN");
 }
 
-/// Reads the whole log in a thread, so that the program never waits for a reader.
+/// Reads the log in a thread, so that the program never blocks on writing it.
 fn read_log(process: &mut Child) -> Receiver<String> {
     let stdout = BufReader::new(process.stdout.take().unwrap());
     let (sender, log) = channel();
@@ -218,7 +221,7 @@
     log
 }
 
-/// Waits for the line that says where the program listens.
+/// Waits for the log line with the address at which the program listens.
 fn wait_for_address(log: &Receiver<String>) -> String {
     let deadline = Instant::now() + START_TIMEOUT;
     loop {
--- a/crates/server/tests/server/support/unread_answers.rs
+++ b/crates/server/tests/server/support/unread_answers.rs
@@ -4,24 +4,27 @@
 use super::engines::EngineStandIns;
 use super::program::Program;
 
-/// More answers than the system buffers for a connection.
+/// The number of answers that are left unread: more than the system buffers for a connection with small buffers.
 pub const UNREAD_ANSWERS: u32 = 100;
+/// How many of the jobs are open at the same time. More than one, so that all are answered quickly even on a busy
+/// machine: a client that has not read its answers for two seconds is disconnected.
 const OPEN_AT_A_TIME: u32 = 4;
+/// The message number of the first job.
 const FIRST_MESSAGE: u32 = 100;
-const END: u32 = FIRST_MESSAGE + UNREAD_ANSWERS;
+const END_MESSAGE: u32 = FIRST_MESSAGE + UNREAD_ANSWERS;
 
-/// Has [`UNREAD_ANSWERS`] jobs of this client completed with these rows; it reads none of the answers. Some are open at a
-/// time, so that on a busy machine little goes by of the two seconds within which a client has to read.
+/// Submits and completes [`UNREAD_ANSWERS`] jobs of this client with these rows. The client reads none of the answers.
 pub fn leave_answers_unread(engines: &EngineStandIns, program: &Program, slow: &mut Client, rows: &str) {
-    for first in (FIRST_MESSAGE..END).step_by(OPEN_AT_A_TIME as usize) {
+    for first in (FIRST_MESSAGE..END_MESSAGE).step_by(OPEN_AT_A_TIME as usize) {
         let messages = first..first + OPEN_AT_A_TIME;
         messages.clone().for_each(|message| slow.submit(message, "lookup", 20_000));
         messages.for_each(|_| engines.next_line().reply("HIT", "-", rows));
     }
-    wait_until_answered(engines, program, END - OPEN_AT_A_TIME..END);
+    wait_until_answered(engines, program, END_MESSAGE - OPEN_AT_A_TIME..END_MESSAGE);
 }
 
-/// Waits until these jobs have been answered: another client may submit jobs under their ids then.
+/// Waits until the program has answered the jobs with these message numbers. It rejects the id of an open request, so
+/// another client submits jobs with the same ids until they reach an engine.
 fn wait_until_answered(engines: &EngineStandIns, program: &Program, jobs: std::ops::Range<u32>) {
     let mut other = program.connect();
     let mut message = 0;
@@ -35,6 +38,7 @@
                 break;
             }
         }
+        // The answers before it are those of the rejected attempts.
         while !other.next_answer().ends_with("done ") {}
     }
 }
