--- a/crates/server/tests/server/arrival_time.rs
+++ b/crates/server/tests/server/arrival_time.rs
@@ -1,9 +1,13 @@
-//! When what a wait has found can have arrived at the earliest.
+//! The earliest time at which the events that a wait has returned can have arrived. A client's timeout counts from the
+//! arrival of its request: if the estimate were too late, the client could stop waiting before the program answers.
 
 use pebblevane::time::{TimeDelta, Timestamp};
 use pebblevane_server::client::arrival_time::{ArrivalTimeEstimator, PollWait};
 
-const TIMEOUT_MS: i64 = 100;
+/// The timeout of each wait.
+const POLL_TIMEOUT_MS: i64 = 100;
+/// A wait that exceeds its timeout by this was delayed by the system: more than 10 ms are needed for that.
+const RETURN_DELAY_MS: i64 = 11;
 
 fn at(ms: i64) -> Timestamp {
     Timestamp(ms * 1000)
@@ -13,13 +17,13 @@
     PollWait {
         started_at: at(started_ms),
         returned_at: at(returned_ms),
-        timeout: TimeDelta(TIMEOUT_MS * 1000),
+        timeout: TimeDelta::from_millis(POLL_TIMEOUT_MS),
         interrupted: false,
     }
 }
 
 #[test]
-fn events_that_end_a_wait_have_just_arrived() {
+fn events_that_end_a_wait_arrived_when_it_returned() {
     let mut arrivals = ArrivalTimeEstimator::new(at(0));
     assert_eq!(arrivals.earliest_arrival(&wait(0, 50)), at(50));
 }
@@ -35,12 +39,13 @@
 #[test]
 fn events_of_a_delayed_wait_may_have_arrived_since_it_began() {
     let mut arrivals = ArrivalTimeEstimator::new(at(0));
-    assert_eq!(arrivals.earliest_arrival(&wait(10, 10 + TIMEOUT_MS + 11)), at(10));
-    assert_eq!(arrivals.earliest_arrival(&wait(200, 201)), at(10), "nor has it seen all that came meanwhile");
+    let delayed = wait(10, 10 + POLL_TIMEOUT_MS + RETURN_DELAY_MS);
+    assert_eq!(arrivals.earliest_arrival(&delayed), at(10));
+    assert_eq!(arrivals.earliest_arrival(&wait(200, 201)), at(10), "the delayed wait may have missed events");
 }
 
 #[test]
-fn an_interrupted_wait_has_seen_nothing_of_what_arrived_during_it() {
+fn events_that_arrive_during_an_interrupted_wait_are_returned_by_the_next_one() {
     let mut arrivals = ArrivalTimeEstimator::new(at(0));
     arrivals.earliest_arrival(&PollWait { interrupted: true, ..wait(10, 50) });
     assert_eq!(arrivals.earliest_arrival(&wait(60, 61)), at(10));
--- a/crates/server/tests/server/cancellation.rs
+++ b/crates/server/tests/server/cancellation.rs
@@ -1,4 +1,4 @@
-//! Rule 1: nothing is sent for a client that has cancelled or left.
+//! Nothing is sent to an engine for a client that has cancelled its job or has disconnected (rule 1).
 
 use crate::support::SingleEngine;
 use crate::support::client::{Client, encode_request, wire_id};
@@ -9,10 +9,12 @@
 use expect_test::expect;
 use std::time::Duration;
 
+/// Without the cancellation of its dispatch, an engine would run a job for a client that no longer waits. A
+/// cancellation affects only its own job: the client's connection stays usable.
 #[test]
-fn dispatches_of_clients_that_cancelled_or_left_are_cancelled() {
+fn dispatches_are_cancelled_when_their_clients_cancel_or_disconnect() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
-    // A connection that has been silent for longer than this is closed in place of a cancellation.
+    // So long that no engine connection counts as silent: it would be closed instead of receiving the cancellation.
     let program = Program::start_with(ProgramConfig::new(&engines, &bus.address).dial_timeout_ms(5000.0));
     let mut client = program.connect();
 
@@ -25,7 +27,7 @@
     engines.next_line().reply("INFO", "-", "");
     other.disconnect();
     trace.push(engines.next_line().line);
-    // The first connection is as it was, and nothing was answered on it.
+    // The connection on which job 1 was cancelled still works, and job 1 gets no answer.
     client.submit(3, "lookup", 9000);
     engines.next_line().reply("HIT", "-", "");
     trace.push(client.next_answer());
@@ -38,22 +40,25 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// The client cancels, or leaves, while the program is suspended, so that it reads the job and its end at once.
+/// A job and its cancellation, or the end of its client's connection, may be read at the same time, here because the
+/// program was suspended. If the job were admitted before all is read, it would be dispatched for a client that no
+/// longer waits.
 #[test]
 fn a_job_cancelled_before_it_was_read_is_never_dispatched() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
-    let (mut leaver, mut other) = (program.connect(), program.connect());
+    let (mut disconnecting, mut other) = (program.connect(), program.connect());
 
-    for client in [&mut client, &mut leaver, &mut other] {
+    for client in [&mut client, &mut disconnecting, &mut other] {
         client.request_health(99);
         assert_eq!(client.next_answer(), "99: well true");
     }
     program.while_suspended(|| {
         (1..20).for_each(|message| client.submit(message, "load", 9000));
         (1..20).for_each(|message| client.cancel(message));
-        (20..40).for_each(|message| leaver.submit(message, "load", 9000));
-        leaver.disconnect();
+        (20..40).for_each(|message| disconnecting.submit(message, "load", 9000));
+        disconnecting.disconnect();
     });
+    // Once this is answered, the cancellations that were sent before it have been read.
     client.request_health(98);
     assert_eq!(client.next_answer(), "98: well true");
     other.submit(50, "load", 9000);
@@ -64,11 +69,13 @@
     engines.expect_no_line();
 }
 
-/// A client that has sent unusable requests is read late, but not so late that its cancellation is heard after 0.1 s.
+/// After each refused request the program pauses reading the connection, for longer each time. While a request of the
+/// client is open, the pause must stay short: a cancellation has to be read well within 0.1 s, since no dispatch of its
+/// job may be sent after that.
 #[test]
-fn a_cancellation_is_read_in_time_after_unusable_requests() {
+fn a_cancellation_is_read_in_time_after_refused_requests() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
-    // So that no connection counts as silent, which would be closed instead of getting the cancellation.
+    // So long that no engine connection counts as silent: it would be closed instead of receiving the cancellation.
     let config = ProgramConfig::new(&engines, &bus.address).dial_timeout_ms(9000.0);
     let program = Program::start_with(config);
     let (mut client, mut other) = (program.connect(), program.connect());
@@ -80,6 +87,7 @@
         assert!(client.next_answer().contains("unknown reservation type"));
     }
     client.cancel(1);
+    // The pause is 20 ms while a request is open, and would be 100 ms otherwise.
     std::thread::sleep(Duration::from_millis(60));
     other.submit(40, "load", 9000);
     let order: Vec<String> = (0..2).map(|_| engines.next_line().field(0).to_string()).collect();
@@ -87,13 +95,18 @@
     assert_eq!(order, ["STOP", "REQ"]);
 }
 
-/// Clients have left, or cancelled, while the program was suspended and has much else to read first: their jobs, which wait
-/// for an engine, are not dispatched when one is listed in the same moment.
+/// Jobs wait for an engine. While the program is suspended, their clients cancel or disconnect, and an engine is
+/// listed. The program has many other requests to read first, so it places the jobs before it has read that. Each
+/// dispatch needs a peek at its client's unread bytes, or it would be sent for a client that no longer waits.
 #[test]
-fn a_job_is_not_dispatched_while_its_clients_departure_is_unread() {
+fn a_job_is_not_dispatched_while_its_cancellation_or_disconnect_is_unread() {
     const JOBS: u32 = 24;
+    /// Clients whose health checks the program has to read before the cancellations.
     const BUSY_CLIENTS: usize = 40;
-    const HEALTH_REQUESTS: usize = 4000;
+    const HEALTH_CHECKS_PER_CLIENT: usize = 4000;
+    /// How old the cancellations are when the engine is listed: more than the 0.1 s after which no dispatch may be
+    /// sent.
+    const CANCELLATION_AGE: Duration = Duration::from_millis(150);
     let (engines, mut bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let draining = endpoint("e0", &engines.addresses[0], TERMINATING);
     let config = ProgramConfig::new(&engines, &bus.address).known_endpoints(&[draining]);
@@ -109,13 +122,13 @@
     }
     program.while_suspended(|| {
         for client in &mut busy_clients {
-            let requests = b"\x94\x00\x01\xa6isWell\x91\x80".repeat(HEALTH_REQUESTS);
+            let requests = b"\x94\x00\x01\xa6isWell\x91\x80".repeat(HEALTH_CHECKS_PER_CLIENT);
             client.send_raw(&requests);
         }
         for (message, client) in (1..).zip(&mut clients) {
             if message % 2 == 0 { client.disconnect() } else { client.cancel(message) }
         }
-        std::thread::sleep(Duration::from_millis(150));
+        std::thread::sleep(CANCELLATION_AGE);
         bus.send_update(3, &[endpoint("e0", &engines.addresses[0], IN_SERVICE)]);
     });
     program.wait_for_log("endpoint list changed event=3 ");
--- a/crates/server/tests/server/client_codec.rs
+++ b/crates/server/tests/server/client_codec.rs
@@ -1,4 +1,4 @@
-//! The client protocol: the bytes of each reply, and what is said of requests that can't be used.
+//! The client protocol: the bytes of each reply, the decoding of requests, and the reasons given for invalid ones.
 
 use pebblevane::time::TimeDelta;
 use pebblevane_server::codec::client::{
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_invalid_request_is_told_what_is_wrong() {
+fn the_answer_to_an_invalid_request_says_what_is_wrong() {
     let table: [(&[u8], &str); 8] = [
         (b"\x94\x00\x07\xa5other\x92\x80\xa0", "unknown reservation type other"),
         (b"\x94\x00\x07\xa6lookup\x91\x80", "the list of fields and body is missing or odd"),
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn bytes_beyond_a_limit_are_refused_at_their_head() {
+fn invalid_bytes_are_rejected_before_their_message_is_complete() {
     let too_long = (MAX_MESSAGE_BYTES as u32 + 1).to_be_bytes();
     let table: [(Vec<u8>, ProtocolError); 5] = [
         (b"\x80".to_vec(), ProtocolError::NotAMessage),
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_cancellation_is_found_behind_other_messages() {
+fn a_cancellation_is_found_after_other_messages() {
     let bytes = [REQUEST, b"\x93\x02\xa6forget\x92\x05\x07", b"\x94\x00"].concat();
     assert!(contains_cancellation(&bytes, RequestId(7)));
     assert!(!contains_cancellation(&bytes, RequestId(6)));
--- a/crates/server/tests/server/client_connections.rs
+++ b/crates/server/tests/server/client_connections.rs
@@ -1,4 +1,5 @@
-//! Connections of clients: malformed input, slow readers and idle connections. Rule 1: none of them loses an answer.
+//! Connections of clients: malformed input, clients that read slowly, idle connections and failed ones. None of these
+//! may lose an answer that was already given, nor a request that the program has received (rule 1).
 
 use crate::support::SingleEngine;
 use crate::support::client::{Client, wire_id};
@@ -12,7 +13,7 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// Other connections, and jobs that were submitted before, go on.
+/// Malformed input ends only its own connection. Others stay open, and jobs submitted there are still answered.
 #[test]
 fn a_connection_with_malformed_input_is_closed_alone() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
@@ -46,13 +47,15 @@
     .assert_eq(&trace);
 }
 
+/// Answers are buffered for a client that does not read them. If a thread blocked on writing them instead, the jobs of
+/// other clients would have to wait for it.
 #[test]
-fn a_client_that_reads_nothing_delays_nobody_else() {
+fn a_client_that_reads_nothing_does_not_delay_others() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
     let mut slow = program.connect();
 
     let rows = "x".repeat(5_900);
-    // Its answers accumulate until nothing more is read from it, or it is disconnected.
+    // Unread answers accumulate until the program disconnects the client, or dispatches no more jobs of it.
     'full: for round in 0..64 {
         for i in 100..132 {
             if !slow.try_submit(round * 32 + i, "lookup", 9000) {
@@ -75,10 +78,13 @@
     expect![[r"1: done quick\tb\tc\n"]].assert_eq(&client.next_answer());
 }
 
-/// Bytes that come between the check of an idle connection and its close are not reset. The program finds more connections
-/// ready than it handles at a time, so that some are idle for too long by its clock while their request is there.
+/// A request may arrive just before its connection is closed as idle; closing it without reading would lose the
+/// request. Here the program is suspended for longer than the idle timeout of 5 s, in which a request arrives on each
+/// connection. There are more connections than it handles in one pass, so the next check finds some of them idle for
+/// too long.
 #[test]
 fn a_request_that_arrives_before_its_idle_connection_is_closed_is_answered() {
+    /// More than the 256 events that one pass handles.
     const CLIENTS: u32 = 350;
     let SingleEngine { engines: _engines, bus: _bus, program, client: _client } = SingleEngine::start();
     let connect = |_| {
@@ -101,7 +107,8 @@
     }
 }
 
-/// A request that crosses the close of an idle connection finds the end of the connection, not a reset.
+/// A client may send a request at the moment when the program closes its idle connection. It has to find the regular
+/// end of the connection, not a reset, which would make it lose answers that it has not read yet.
 #[test]
 fn an_idle_connection_is_closed_without_a_reset() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
@@ -109,14 +116,15 @@
     client.submit(1, "lookup", 20_000);
     engines.next_line().reply("HIT", "-", "taken");
     client.read_to_end().unwrap();
-    // Were it closed both ways, the first of these would be answered with a reset and the next one fail.
+    // If the program had closed both directions, the first of these would cause a reset, and the next write would fail.
     for message in 2..20 {
         client.submit(message, "lookup", 9000);
     }
     engines.expect_no_line();
 }
 
-/// A message of another protocol ends its connection, but the answers that were given on it before still arrive.
+/// Bytes that are not of the client protocol end their connection. Answers given before must still reach the client,
+/// also those that the program buffers because the client has not read them: an abort would discard them.
 #[test]
 fn answers_already_given_are_delivered_before_a_malformed_connection_closes() {
     let SingleEngine { engines, bus: _bus, program, client: _client } = SingleEngine::start();
@@ -133,10 +141,11 @@
     slow.read_to_end().unwrap();
 }
 
-/// A socket tells an error once. Where the check before a job's first byte is the one that is told, the client would wait
-/// for an answer that never comes: its connection ends instead, and nothing is sent to an engine.
+/// A socket reports an error only once, to the call that uses it next. If that is the peek before a dispatch is sent,
+/// no later read reports it. The program has to close the connection then, or the client would wait for an answer that
+/// never comes; and the dispatch must not be sent.
 #[test]
-fn a_connection_whose_error_only_the_read_ahead_sees_is_ended() {
+fn a_connection_whose_error_only_a_peek_reports_is_closed() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let FaultyProgram { program, faults } =
         Program::start_with_faults(ProgramConfig::new(&engines, &bus.address));
@@ -146,7 +155,7 @@
     client.submit(1, "load", 9000);
     let end = client.read_to_end().map_err(|error| error.kind());
     faults.set_rate(FaultKind::AcceptedPeek, 0.0).unwrap();
-    // Not the idle timeout, which would end it later.
+    // The error has closed the connection, not the idle timeout.
     let reason = program.wait_for_log("closing client connection");
     assert!(reason.contains("os error"), "{reason}");
     let mut other = program.connect();
@@ -156,9 +165,10 @@
     assert_eq!((end, next.field(1)), (Ok(0), &*wire_id(2)));
 }
 
-/// Answers that were given before a read failed are still written, then the connection ends.
+/// After a failed read the connection is closed. Answers given before must still be written first: an abort would
+/// discard those that the program buffers because the client has not read them.
 #[test]
-fn answers_leave_before_a_connection_whose_read_has_failed_ends() {
+fn answers_are_written_before_a_connection_whose_read_has_failed_closes() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let FaultyProgram { program, faults } =
         Program::start_with_faults(ProgramConfig::new(&engines, &bus.address));
@@ -172,7 +182,8 @@
     assert_eq!(answers.count(), UNREAD_ANSWERS as usize);
 }
 
-/// A client that resets a connection which is being closed frees it at once: in a crowd its descriptor is needed.
+/// During a graceful close the program waits for the client to close its side. If the client resets the connection
+/// instead, the program must end it at once, since waiting connections need its descriptor.
 #[test]
 fn a_reset_ends_a_connection_that_is_being_closed() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
--- a/crates/server/tests/server/configuration_reload.rs
+++ b/crates/server/tests/server/configuration_reload.rs
@@ -1,4 +1,4 @@
-//! The configuration at the start and at SIGHUP.
+//! Reading the configuration at the start, and again after SIGHUP.
 
 use crate::support::config::ProgramConfig;
 use crate::support::engines::{EngineStandIns, UnacceptingEngine};
@@ -9,9 +9,9 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// The program ends at once, with one line that says what is wrong.
+/// The program exits at once, with one line that names the invalid field and says what is wrong.
 #[test]
-fn an_invalid_configuration_is_refused_with_the_name_of_its_field() {
+fn an_invalid_configuration_is_rejected_with_the_name_of_its_field() {
     let engines = EngineStandIns::start(1);
     let good = ProgramConfig::new(&engines, "127.0.0.1:1");
 
@@ -50,9 +50,10 @@
     "#]].assert_eq(&trace);
 }
 
-/// A new configuration moves the event bus and nothing else. The old bus stays connected and silent, and open jobs go on.
+/// A reload changes the event bus and nothing else: open jobs continue. The old bus keeps its connection open and sends
+/// no events, so the program would miss changes of the endpoint list if it went on reading there.
 #[test]
-fn a_reload_moves_the_event_bus_and_an_invalid_one_changes_nothing() {
+fn a_reload_changes_the_event_bus_and_an_invalid_one_changes_nothing() {
     let (engines, mut bus, mut new_bus) =
         (EngineStandIns::start(1), EventBusStandIn::start(), EventBusStandIn::start());
     let draining = endpoint("e0", &engines.addresses[0], TERMINATING);
@@ -81,7 +82,8 @@
     .assert_eq(&trace);
 }
 
-/// The file is half written when SIGHUP comes: it is read again until it is complete.
+/// The file may be only half written when SIGHUP is received. If it were not read again, the change would be lost
+/// without another signal.
 #[test]
 fn a_half_written_configuration_is_read_again() {
     let (engines, bus, mut new_bus) =
@@ -98,10 +100,11 @@
     assert_eq!(new_bus.next_subscription(), "from 1");
 }
 
-/// A connect to an address of the event bus that hangs holds up neither the next address nor the one after it.
+/// The address changes again while the program still connects to the previous one, which does not respond. The attempt
+/// must not end in a connection to that bus, nor in a return to the first one.
 #[test]
 fn two_reloads_in_a_row_end_at_the_second_event_bus() {
-    let (engines, mut bus, hangs, mut last) = (
+    let (engines, mut bus, unresponsive, mut last) = (
         EngineStandIns::start(1),
         EventBusStandIn::start(),
         UnacceptingEngine::start(),
@@ -111,19 +114,19 @@
 
     assert_eq!(bus.next_subscription(), "from 1");
     let good = std::fs::read_to_string(&program.config_file).unwrap();
-    for address in [&hangs.address, &last.address] {
+    for address in [&unresponsive.address, &last.address] {
         std::fs::write(&program.config_file, good.replace(&bus.address, address)).unwrap();
         program.signal("HUP");
         program.wait_for_log("configuration reloaded");
     }
     assert_eq!(last.next_subscription(), "from 1");
-    // The old bus is not gone back to.
+    // The program stays connected to the last bus.
     last.send_update(2, &[endpoint("e0", &engines.addresses[0], TERMINATING)]);
     program.wait_for_log("endpoint list changed event=2 entries=1 running=0");
 }
 
-/// A file that is being prepared is not applied before SIGHUP, however long that takes: the program's main thread wakes
-/// many times meanwhile.
+/// The main thread wakes regularly to check for signals. It must not read the configuration then: without SIGHUP the
+/// file may be in the middle of an edit.
 #[test]
 fn a_changed_configuration_is_not_applied_without_a_signal() {
     let (engines, bus, new_bus) =
@@ -132,6 +135,7 @@
 
     let good = std::fs::read_to_string(&program.config_file).unwrap();
     std::fs::write(&program.config_file, good.replace(&bus.address, &new_bus.address)).unwrap();
+    // The main thread wakes every 50 ms.
     std::thread::sleep(Duration::from_millis(400));
     std::fs::write(&program.config_file, &good).unwrap();
     program.signal("HUP");
--- a/crates/server/tests/server/connection_pool.rs
+++ b/crates/server/tests/server/connection_pool.rs
@@ -1,6 +1,7 @@
-//! The pool of connections to engines alone, over real connections, without the controller and the program around it.
-//! Rule 1: nothing is sent for a client that has left; rule 2: nor after the time by which it had to begin.
+//! The engines' connection pools with real connections, but without the controller and the rest of the program. Nothing
+//! may be sent for a client that has disconnected (rule 1), nor after the time by which a dispatch must begin (rule 2).
 
+use crate::support::RECEIVE_TIMEOUT;
 use crate::support::engines::UnacceptingEngine;
 use expect_test::expect;
 use pebblevane::time::TimeDelta;
@@ -18,10 +19,17 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::Duration;
 
-/// Name of the thread that connects to an engine called `refused`; no other test of this binary has one.
+/// The dial timeout and the idle timeout. Longer than a test waits for a dispatch that must fail without a connection.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(9);
+/// The timeout of each dispatch; it is not reached.
+const REQUEST_TIMEOUT: TimeDelta = TimeDelta::from_millis(60_000);
+/// The time by which a dispatch must begin that is sent too late.
+const LATE_BEGIN_TIMEOUT: TimeDelta = TimeDelta::from_millis(100);
+
+/// The name of the thread that connects to an engine called `refused`. Only one test has such an engine.
 const REFUSED_THREAD: &str = "dial refused";
 
-/// Threads of that name can't be started while this is set.
+/// While this is set, no thread named [`REFUSED_THREAD`] can be started.
 static REFUSES_THREADS: AtomicBool = AtomicBool::new(false);
 
 fn spawn_or_refuse(name: &str, stack_bytes: usize, body: Box<dyn FnOnce() + Send>) -> std::io::Result<()> {
@@ -31,12 +39,12 @@
     threads::spawn(name, stack_bytes, body)
 }
 
-/// A pool that waits long for a connection and may have a few of them.
-fn start_pool() -> Arc<EngineRegistry> {
+/// Starts the pools' thread, with up to eight connections.
+fn start_registry() -> Arc<EngineRegistry> {
     let settings = EngineConnectionSettings {
         streams_per_connection: 32,
-        dial_timeout: Duration::from_secs(9),
-        idle_timeout: Duration::from_secs(9),
+        dial_timeout: CONNECTION_TIMEOUT,
+        idle_timeout: CONNECTION_TIMEOUT,
         progress_interval: None,
         max_connections: 8,
         request_load_reports: false,
@@ -44,50 +52,51 @@
     EngineRegistry::start(settings, ResourceBudget::new(8), clock::now, spawn_or_refuse).unwrap()
 }
 
-/// A dispatch that waits for a connection is checked again when that is established. Where its client has left, or it had
-/// to begin earlier, it is never sent, though nobody has cancelled it yet, and the engine counts as reachable.
+/// A dispatch may wait long for a connection. If its client disconnects meanwhile, or the time by which it must begin
+/// passes, it must not be sent when the connection is established, even if its cancellation has not been received yet.
+/// The engine counts as reachable then, since the program itself has withheld the dispatch.
 #[test]
 fn a_dispatch_is_checked_again_before_its_first_byte() {
-    let pool = start_pool();
+    let registry = start_registry();
 
-    let rules = RetrySafety::RunOnce;
     let mut trace = String::new();
     for what in ["wanted", "left", "late"] {
         let unaccepting = UnacceptingEngine::start();
-        let engine = EngineHandle::new(&pool, "e0", unaccepting.address.parse().unwrap());
-        let wanted = Arc::new(CancellationToken::default());
-        let far = clock::now() + TimeDelta(60_000_000);
+        let engine = EngineHandle::new(&registry, "e0", unaccepting.address.parse().unwrap());
+        let liveness = Arc::new(CancellationToken::default());
+        let deadline = clock::now() + REQUEST_TIMEOUT;
         let request = EngineRequest {
             id: "0123456789abcdef".into(),
             class: "load".into(),
-            deadline: far,
-            begin_by: if what == "late" { clock::now() + TimeDelta(100_000) } else { far },
-            liveness: wanted.clone(),
-            ledger: Arc::new(DispatchLedger::new("0123456789abcdef", rules, far)),
+            deadline,
+            begin_by: if what == "late" { clock::now() + LATE_BEGIN_TIMEOUT } else { deadline },
+            liveness: liveness.clone(),
+            ledger: Arc::new(DispatchLedger::new("0123456789abcdef", RetrySafety::RunOnce, deadline)),
             priority: None,
             statement: b"select 1".as_slice().into(),
         };
-        let out: DispatchHandle = engine.send(request);
+        let dispatch: DispatchHandle = engine.send(request);
         match what {
-            "left" => wanted.cancel(),
+            "left" => liveness.cancel(),
+            // Longer than LATE_BEGIN_TIMEOUT.
             "late" => std::thread::sleep(Duration::from_millis(150)),
             _ => {}
         }
         let mut stream = unaccepting.accept();
-        let heard = if what == "wanted" {
+        let event = if what == "wanted" {
             "out".to_string()
         } else {
-            format!("{:?}", out.events.recv_timeout(Duration::from_secs(20)).unwrap())
+            format!("{:?}", dispatch.events.recv_timeout(RECEIVE_TIMEOUT).unwrap())
         };
         let mut word = [0; 3];
         let read = if what == "wanted" { stream.read(&mut word).unwrap() } else { 0 };
         engine.engine_removed();
-        drop(out);
+        drop(dispatch);
         if what != "wanted" {
-            // The pool has done with the job, and closes the connection on which nothing was ever written.
+            // The pool closes the connection of the removed engine. Nothing was written on it.
             assert_eq!(stream.read(&mut word).unwrap_or(0), 0);
         }
-        writeln!(trace, "{what}: {heard}, {:?} read", String::from_utf8_lossy(&word[..read])).unwrap();
+        writeln!(trace, "{what}: {event}, {:?} read", String::from_utf8_lossy(&word[..read])).unwrap();
     }
 
     expect![[r#"
@@ -98,77 +107,79 @@
     .assert_eq(&trace);
 }
 
-/// While one connection is being established and no thread can be started for a second one, the pool goes on with its
-/// other work: here with a dispatch that is cancelled.
+/// One connection is being established, and no thread can be started to establish a second one. The pool's thread must
+/// go on executing commands meanwhile, here the cancellation of a dispatch, instead of retrying until a thread starts.
 #[test]
-fn the_pool_goes_on_when_no_thread_can_be_started() {
-    let far = clock::now() + TimeDelta(60_000_000);
-    let pool = start_pool();
+fn commands_are_executed_while_no_thread_can_be_started_to_connect() {
+    let deadline = clock::now() + REQUEST_TIMEOUT;
+    let registry = start_registry();
     let unaccepting = UnacceptingEngine::start();
-    let engine = EngineHandle::new(&pool, "refused", unaccepting.address.parse().unwrap());
+    let engine = EngineHandle::new(&registry, "refused", unaccepting.address.parse().unwrap());
     let request = |id: &str| EngineRequest {
         id: id.into(),
         class: "load".into(),
-        deadline: far,
-        begin_by: far,
+        deadline,
+        begin_by: deadline,
         liveness: Arc::new(CancellationToken::default()),
-        ledger: Arc::new(DispatchLedger::new(id, RetrySafety::RunOnce, far)),
+        ledger: Arc::new(DispatchLedger::new(id, RetrySafety::RunOnce, deadline)),
         priority: None,
         statement: b"select 1".as_slice().into(),
     };
     let first = engine.send(request("0000000000000001"));
-    // Its connection is being established once a later command has been carried out.
-    let ended = |cancelled: crossbeam_channel::Receiver<()>| {
+    // Commands are executed in order: once a later one has been executed, the first connection is being established.
+    let is_executed = |cancelled: crossbeam_channel::Receiver<()>| {
         cancelled.recv_timeout(Duration::from_secs(5))
             == Err(crossbeam_channel::RecvTimeoutError::Disconnected)
     };
-    let behind = EngineHandle::new(&pool, "behind", unaccepting.address.parse().unwrap());
-    assert!(ended(behind.send(request("0000000000000002")).cancel()));
+    let behind = EngineHandle::new(&registry, "behind", unaccepting.address.parse().unwrap());
+    assert!(is_executed(behind.send(request("0000000000000002")).cancel()));
+    // The second dispatch needs a second connection, for which no thread can be started.
     REFUSES_THREADS.store(true, SeqCst);
     let second = engine.send(request("0000000000000003"));
-    assert!(ended(second.cancel()), "the pool does nothing else");
+    assert!(is_executed(second.cancel()), "the pool does not execute the cancellation");
     REFUSES_THREADS.store(false, SeqCst);
 
-    assert!(ended(first.cancel()));
+    assert!(is_executed(first.cancel()));
 }
 
-/// A job's thread may hand its dispatch over after the pool has learnt that the engine drains. The dispatch fails at once,
-/// so that its job goes elsewhere, and does not wait for a connection first.
+/// A job's thread may queue a dispatch after the pool was notified that the engine drains. If the dispatch then waited
+/// for a connection before it fails, its job would be sent to another engine too late.
 #[test]
-fn a_dispatch_handed_over_after_its_engine_began_to_drain_fails_at_once() {
-    let far = clock::now() + TimeDelta(60_000_000);
-    let pool = start_pool();
+fn a_dispatch_queued_after_its_engine_began_to_drain_fails_at_once() {
+    let deadline = clock::now() + REQUEST_TIMEOUT;
+    let registry = start_registry();
     let unaccepting = UnacceptingEngine::start();
-    let engine = EngineHandle::new(&pool, "draining", unaccepting.address.parse().unwrap());
+    let engine = EngineHandle::new(&registry, "draining", unaccepting.address.parse().unwrap());
 
     engine.set_accepts_dispatches(false);
     let dispatch = engine.send(EngineRequest {
         id: "0123456789abcdef".into(),
         class: "load".into(),
-        deadline: far,
-        begin_by: far,
+        deadline,
+        begin_by: deadline,
         liveness: Arc::new(CancellationToken::default()),
-        ledger: Arc::new(DispatchLedger::new("0123456789abcdef", RetrySafety::RunOnce, far)),
+        ledger: Arc::new(DispatchLedger::new("0123456789abcdef", RetrySafety::RunOnce, deadline)),
         priority: None,
         statement: b"select 1".as_slice().into(),
     });
-    // Connecting to this engine fails after nine seconds.
+    // Connecting to this engine fails only after nine seconds.
     let event = dispatch.events.recv_timeout(Duration::from_secs(5));
 
     expect!["Ok(Lost { status: Unreachable, engine_reachable: true })"].assert_eq(&format!("{event:?}"));
 }
 
-/// The result of a health check may have to wait for the controller, and the controller may be recording a change of the
-/// endpoint list just then. Neither waits for the other.
+/// While the pool applies a change of the endpoint list, the callback of a health check may block until the
+/// controller's thread makes progress, and that thread may be recording another change. If the recording waited for the
+/// first change to be applied, this would be a deadlock.
 #[test]
 fn a_change_of_the_endpoint_list_is_recorded_while_another_is_applied() {
-    let pool = start_pool();
+    let registry = start_registry();
     let unaccepting = UnacceptingEngine::start();
-    let engine = |name: &str| EngineHandle::new(&pool, name, unaccepting.address.parse().unwrap());
+    let engine = |name: &str| EngineHandle::new(&registry, name, unaccepting.address.parse().unwrap());
     let (checked, other) = (engine("checked"), engine("other"));
     let (recorded, was_recorded) = crossbeam_channel::bounded(1);
 
-    // The check waits for a connection until its engine drains, so that its callback runs while that is applied.
+    // The check waits for a connection, so it ends, and calls back, while the removal of its engine is applied.
     let callback = move |_| {
         let (done, is_done) = crossbeam_channel::bounded(1);
         std::thread::spawn(move || {
@@ -180,5 +191,5 @@
     assert!(checked.check_health(Box::new(callback)));
     checked.engine_removed();
 
-    assert_eq!(was_recorded.recv_timeout(Duration::from_secs(20)), Ok(true));
+    assert_eq!(was_recorded.recv_timeout(RECEIVE_TIMEOUT), Ok(true));
 }
--- a/crates/server/tests/server/decoding.rs
+++ b/crates/server/tests/server/decoding.rs
@@ -1,19 +1,27 @@
-//! What is decoded from bytes of others: the codecs alone, without the program.
+//! Decoding of bytes that were received from clients, engines and the event bus: the codecs alone, without the program.
 
 use pebblevane_server::codec::engine::EngineMessage;
 use pebblevane_server::codec::{client, engine, event_bus, sql};
 
-/// A generator of random numbers (xorshift), the same for each run.
+/// The number of corrupted inputs for each codec.
+const CORRUPTED_INPUTS: usize = 30_000;
+/// More than this many messages of each codec have to be decoded: if nearly all were rejected, the checks of decoded
+/// ones would show nothing.
+const MIN_DECODED: usize = 1000;
+
+/// A generator of random numbers (xorshift) with a fixed seed, so that each run has the same inputs.
 struct Xorshift(u64);
 
 impl Xorshift {
-    fn below(&mut self, most: usize) -> usize {
+    /// A random number less than `bound`.
+    fn below(&mut self, bound: usize) -> usize {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        (self.0 % most.max(1) as u64) as usize
+        (self.0 % bound.max(1) as u64) as usize
     }
-    /// Changes a byte, cuts, repeats a part or puts one elsewhere, up to three times.
+    /// Corrupts the bytes one to three times: changes a byte, truncates them, inserts a copy of a part, or removes a
+    /// part.
     fn corrupt(&mut self, mut bytes: Vec<u8>) -> Vec<u8> {
         for _ in 0..=self.below(3) {
             let (at, other) = (self.below(bytes.len()), self.below(bytes.len()));
@@ -31,8 +39,8 @@
     }
 }
 
-/// Bytes of others that are corrupted in any way are rejected or decoded as something complete: nothing panics, nothing is
-/// read past the end, and no page is passed on but one of complete rows.
+/// Corrupted bytes must be rejected or decoded to complete values. They must not cause a panic or a read past their
+/// end, and no page with incomplete rows may be passed on to a client.
 #[test]
 fn malformed_bytes_are_rejected_or_decoded_completely() {
     let request = b"\x94\x00\x07\xa6lookup\x92\x83\xa1i\xb09b1f03aa5c7e2d41\xa1d\xa41500\xa1h\xa5820.0\
@@ -43,7 +51,7 @@
         "zone":"east","machineType":"std","cell":2,"lifecycle":"in_service","weight":4,"startedAtMs":0}]}}"#;
     let (types, mut random) = (["lookup".to_string()], Xorshift(0x9e37_79b9_7f4a_7c15));
     let (mut jobs, mut pages, mut events) = (0, 0, 0);
-    for _ in 0..30_000 {
+    for _ in 0..CORRUPTED_INPUTS {
         let bytes = random.corrupt(request.to_vec());
         let mut rest = &bytes[..];
         while let client::Frame::Complete(length) = client::frame(rest) {
@@ -74,8 +82,8 @@
         let bytes = random.corrupt(event.to_vec());
         events += usize::from(event_bus::decode_line(&String::from_utf8_lossy(&bytes)).is_ok());
     }
-    // Some are decoded, or nothing was tried.
-    assert!(jobs > 1000 && pages > 1000 && events > 1000, "{jobs} {pages} {events}");
+    let decoded = [jobs, pages, events];
+    assert!(decoded.iter().all(|count| *count > MIN_DECODED), "{jobs} jobs, {pages} pages, {events} events");
 }
 
 #[test]
@@ -107,7 +115,7 @@
         ("select \"never closed", None),
         ("", None),
     ];
-    for (statement, wanted) in table {
-        assert_eq!(sql::table_group(statement.as_bytes()), wanted, "{statement}");
+    for (statement, expected) in table {
+        assert_eq!(sql::table_group(statement.as_bytes()), expected, "{statement}");
     }
 }
--- a/crates/server/tests/server/dispatch_outcomes.rs
+++ b/crates/server/tests/server/dispatch_outcomes.rs
@@ -1,4 +1,5 @@
-//! Rule 2: what each end of a dispatch proves, and what follows from that for jobs that must not run twice.
+//! How dispatches end, and what each end proves: a job that must not run twice is retried only if it cannot have run
+//! (rule 2).
 
 use crate::support::SingleEngine;
 use crate::support::config::ProgramConfig;
@@ -9,10 +10,11 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// What an engine can do to a dispatch, and what follows for a job that may be retried and for one that must not run twice:
-/// the second is retried only where nothing can have run.
+/// An engine ends dispatches in different ways. A job that may be retried is sent again unless its time is over; one
+/// that must not run twice is sent again only if the end proves that it did not run.
 #[test]
-fn a_non_idempotent_job_is_retried_only_where_nothing_can_have_run() {
+fn a_non_idempotent_job_is_retried_only_if_it_cannot_have_run() {
+    /// Ends a dispatch in the way that `what` names.
     fn end(what: &str, seen: &ReceivedLine) {
         match what {
             "full" => seen.reply("SHED", "-", ""),
@@ -26,8 +28,8 @@
             }
         }
     }
-    // Each dispatch ends the same way until the job is answered. A full engine is tried again every 500 ms; no
-    // such time is near the job's end.
+    // Every dispatch of a job ends in the same way until the job is answered. A job that an overloaded engine has
+    // rejected is retried every 500 ms, so no retry coincides with the job's timeout of 1250 ms.
     let run = |what: &'static str, class: &'static str| {
         move || {
             let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
@@ -66,7 +68,8 @@
     .assert_eq(&trace);
 }
 
-/// Nothing ran where no connection was established, so that even a job that must not run twice may go to another engine.
+/// Without an established connection nothing can have run, so even a job that must not run twice is sent to another
+/// engine.
 #[test]
 fn a_non_idempotent_job_is_retried_after_a_refused_connection() {
     let (mut engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
@@ -81,11 +84,12 @@
     }
 }
 
-/// No later dispatch uses that connection, and those on other connections go on.
+/// An engine does not answer a dispatch before its deadline. No later dispatch may use its connection, on which a late
+/// answer could still arrive; dispatches on other connections continue.
 #[test]
-fn a_silent_dispatch_ends_with_its_deadline_and_its_connection_is_not_reused() {
+fn an_unanswered_dispatch_ends_at_its_deadline_and_its_connection_is_not_reused() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
-    // A job waits an eighth of this for a connection of its own, and then shares one.
+    // A job waits an eighth of this time for a connection of its own, and then shares one.
     let program = Program::start_with(ProgramConfig::new(&engines, &bus.address).dial_timeout_ms(1000.0));
     let mut client = program.connect();
 
@@ -115,7 +119,8 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// Connections are reset again and again, idle or in use, and the engine accepts new ones.
+/// Connections to an engine are reset repeatedly, but it accepts new ones. Resets alone must not eject it: it is the
+/// only engine, and jobs would be rejected.
 #[test]
 fn connection_resets_do_not_eject_an_engine_that_accepts_new_ones() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
@@ -135,7 +140,8 @@
     assert_eq!(client.next_answer(), "20: done ");
 }
 
-/// There no late answer of the earlier attempt can be taken for its own.
+/// On the connection of the earlier attempt, a late answer to that attempt could be mistaken for the answer to the
+/// retry.
 #[test]
 fn a_retry_uses_another_connection() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
@@ -150,9 +156,9 @@
     expect![[r"1: done right\tb\tc\n"]].assert_eq(&client.next_answer());
 }
 
-/// A retry of what may have run is sent within its deduplication window or never, however late its connection is
-/// established: here after a second, when the window is over. The job is rejected at the window's end, and its client may
-/// try again.
+/// A job with an idempotency key may have run and is retried, but the connection for the retry is established only
+/// after a second, when the deduplication window of 600 ms has passed: the job could run a second time. The retry must
+/// not be sent then. The job is rejected at the end of the window, and its client may submit it again.
 #[test]
 fn a_retry_is_not_sent_once_its_deduplication_window_has_closed() {
     let (engines, mut bus) = (EngineStandIns::start(1), EventBusStandIn::start());
@@ -171,6 +177,7 @@
     bus.send_update(2, &endpoints);
     program.wait_for_log("endpoint list changed event=2 ");
     first.close_connection();
+    // The window passes before the connection for the retry is established.
     std::thread::sleep(Duration::from_millis(700));
     let mut late = unaccepting.accept();
     program.signal("TERM");
@@ -183,21 +190,22 @@
         .assert_eq(&format!("{answer}, read there: {}", String::from_utf8_lossy(&read)));
 }
 
-/// An engine that has reported progress has begun: that it rejects the job after that proves nothing.
+/// An engine that has reported progress has begun to run the job. A rejection after that does not prove that nothing
+/// ran, so the client must not be told that it may submit the job again.
 #[test]
 fn a_rejection_by_the_engine_after_progress_does_not_prove_that_nothing_ran() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
 
     let mut trace = String::new();
-    let words = [("LATE", "advance,val=0.4"), ("SHED", "advance,val=0.4"), ("SHED", "disk,val=20")];
-    for (message, (word, note)) in (1..).zip(words) {
+    let rejections = [("LATE", "advance,val=0.4"), ("SHED", "advance,val=0.4"), ("SHED", "disk,val=20")];
+    for (message, (word, note)) in (1..).zip(rejections) {
         client.submit(message, "load", 9000);
         let seen = engines.next_line();
         seen.reply("INFO", &format!("tell={note}"), "");
         seen.reply(word, "-", "");
         writeln!(trace, "{word} after {note}: {}", client.next_answer()).unwrap();
     }
-    // A job that waits for memory has not begun.
+    // A job that waits for memory has not begun to run.
     client.submit(4, "load", 9000);
     let seen = engines.next_line();
     seen.reply("INFO", "tell=stall,val=1", "");
--- a/crates/server/tests/server/engine_codec.rs
+++ b/crates/server/tests/server/engine_codec.rs
@@ -1,4 +1,4 @@
-//! The engine protocol, byte by byte: what is sent, what is understood, and what is refused.
+//! The engine protocol: the bytes of each message that is sent, and the decoding or rejection of received ones.
 
 use pebblevane::interface::{ActualCost, LoadReport, ProgressUpdate};
 use pebblevane::time::TimeDelta;
@@ -13,13 +13,14 @@
     String::from_utf8(bytes).expect("requests are text")
 }
 
-/// The message in these bytes, which has to be the whole of them.
+/// Decodes the message in these bytes, which must contain nothing else.
 fn parsed(bytes: &str) -> EngineMessage {
-    let parsed = parse_message(bytes.as_bytes()).expect("a valid message").expect("a whole message");
+    let parsed = parse_message(bytes.as_bytes()).expect("a valid message").expect("a complete message");
     assert_eq!((parsed.length, parsed.id.as_str()), (bytes.len(), ID));
     parsed.message
 }
 
+/// The error with which these bytes are rejected.
 fn error(bytes: &str) -> EngineProtocolError {
     parse_message(bytes.as_bytes()).expect_err("an invalid message")
 }
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_first_page_tells_page_count_cost_and_load() {
+fn a_first_page_contains_page_count_cost_and_load() {
     let bytes =
         format!("{ID} HIT sheets=2,toil=12.5,room=64,meter=inflight:7;util:0.6;x0:0.2 6\r\na\tb\tc\n\r\n");
     let expected = EngineMessage::FirstPage {
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn every_other_kind_of_message_is_understood() {
+fn every_other_kind_of_message_is_decoded() {
     let load_report = Some(LoadReport {
         jobs_in_flight: Some(3.0),
         processor_utilization: Some(0.5),
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn a_message_that_has_not_arrived_in_full_is_waited_for() {
+fn an_incomplete_message_is_neither_decoded_nor_rejected() {
     let bytes = format!("{ID} HIT - 6\r\na\tb\tc\n\r\n");
     for length in 0..bytes.len() {
         assert_eq!(parse_message(&bytes.as_bytes()[..length]), Ok(None), "{length} bytes");
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn what_can_not_become_a_message_is_refused_with_its_reason() {
+fn malformed_messages_are_rejected_with_a_reason() {
     let cases = [
         ("x".repeat(4096), EngineProtocolError::UnterminatedLine, "no line end within 4096 bytes"),
         (
--- a/crates/server/tests/server/engine_connections.rs
+++ b/crates/server/tests/server/engine_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to engines: which are reused, and what happens to dispatches on those that fail. Rule 3: none to an engine
-//! that drains.
+//! Connections to engines: which are reused, and what happens to dispatches on those that fail. Rule 3: none to an
+//! engine that drains.
 
 use crate::support::SingleEngine;
 use crate::support::client::{encode_request, wire_id};
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A dispatch that waits for a connection gets the next free one. Once its engine drains it is never sent there, and its
-/// job goes elsewhere at once.
+/// A dispatch that waits for a connection gets the next free one. Once its engine drains it is never sent there, and
+/// its job goes elsewhere at once.
 #[test]
 fn a_dispatch_waiting_for_a_connection_goes_elsewhere_when_its_engine_drains() {
     let (engines, mut bus) = (EngineStandIns::start(2), EventBusStandIn::start());
@@ -106,8 +106,8 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// An engine's start time comes from a wall clock that may have been stepped since: a new start of an engine that was there
-/// a moment ago is neither an hour old nor an hour ahead.
+/// An engine's start time comes from a wall clock that may have been stepped since: a new start of an engine that was
+/// there a moment ago is neither an hour old nor an hour ahead.
 #[test]
 fn a_restart_is_recognized_by_a_start_time_of_a_stepped_clock() {
     const HOUR_MS: i64 = 3_600_000;
@@ -148,8 +148,8 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// Descriptors for engines are fewer than the engines, and idle connections to other engines hold them all: the one that
-/// has been idle longest is closed. Each job goes to its first engine.
+/// Descriptors for engines are fewer than the engines, and idle connections to other engines hold them all: the one
+/// that has been idle longest is closed. Each job goes to its first engine.
 #[test]
 fn idle_connections_to_other_engines_free_their_descriptors() {
     let (mut engines, bus) = (EngineStandIns::start(0), EventBusStandIn::start());
@@ -175,8 +175,8 @@
         .assert_eq(&format!("{done} done, descriptors kept: {}", descriptors <= 100));
 }
 
-/// A new engine has the address of one that is still listed: the old one gets nothing more, and later events about it do
-/// not affect the new one.
+/// A new engine has the address of one that is still listed: the old one gets nothing more, and later events about it
+/// do not affect the new one.
 #[test]
 fn a_new_engine_replaces_an_old_one_at_its_address() {
     let SingleEngine { engines, mut bus, program: _program, mut client } = SingleEngine::start();
@@ -192,8 +192,8 @@
     }
 }
 
-/// An engine closes an idle connection just as a job that must not run twice arrives: the program finds both at once. The
-/// job goes on a new connection, since nothing can have read it on the old one.
+/// An engine closes an idle connection just as a job that must not run twice arrives: the program finds both at once.
+/// The job goes on a new connection, since nothing can have read it on the old one.
 #[test]
 fn a_non_idempotent_job_survives_an_idle_connection_closed_by_its_engine() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
@@ -254,8 +254,8 @@
     }
 }
 
-/// Each new connection wakes the thread that reads them all, and that call may be interrupted. The connection is used all
-/// the same.
+/// Each new connection wakes the thread that reads them all, and that call may be interrupted. The connection is used
+/// all the same.
 #[test]
 fn a_connection_is_used_though_the_wake_up_of_its_reader_is_interrupted() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
--- a/crates/server/tests/server/event_bus.rs
+++ b/crates/server/tests/server/event_bus.rs
@@ -85,8 +85,8 @@
     drop((first, second));
 }
 
-/// A connection to the event bus that is established and stays silent is closed once its first heartbeat is overdue, sooner
-/// than one that has sent something: after two in a row the bus's events still arrive in time.
+/// A connection to the event bus that is established and stays silent is closed once its first heartbeat is overdue,
+/// sooner than one that has sent something: after two in a row the bus's events still arrive in time.
 #[test]
 fn event_bus_connections_that_never_send_anything_time_out_soon() {
     let engines = EngineStandIns::start(1);
@@ -100,8 +100,8 @@
     assert!(took < Duration::from_millis(4200), "{took:?}");
 }
 
-/// A bus that comes back with lower offsets sends events that are known: what is known stays, drains above all, until its
-/// offsets pass. The protocol numbers events once for each start of the program.
+/// A bus that comes back with lower offsets sends events that are known: what is known stays, drains above all, until
+/// its offsets pass. The protocol numbers events once for each start of the program.
 #[test]
 fn an_event_bus_with_lower_offsets_reverts_nothing() {
     let SingleEngine { engines, mut bus, program, mut client } = SingleEngine::start();
--- a/crates/server/tests/server/limits.rs
+++ b/crates/server/tests/server/limits.rs
@@ -66,8 +66,8 @@
     }
 }
 
-/// Clients that connect and send nothing, that stay when they have their answer, or that stop in the middle of a message are
-/// closed for those who submit jobs. No connection with an open job is.
+/// Clients that connect and send nothing, that stay when they have their answer, or that stop in the middle of a
+/// message are closed for those who submit jobs. No connection with an open job is.
 #[test]
 fn idle_clients_are_closed_for_those_with_requests() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
@@ -138,8 +138,8 @@
     assert_eq!(client.next_answer(), format!("{message}: done "));
 }
 
-/// Hundreds of engines in one list, all replaced by one event, with the least limits: there is no thread for each engine,
-/// since a fleet of programs on one machine would run out of them, and jobs complete before and after.
+/// Hundreds of engines in one list, all replaced by one event, with the least limits: there is no thread for each
+/// engine, since a fleet of programs on one machine would run out of them, and jobs complete before and after.
 #[test]
 fn a_thousand_engines_need_no_more_threads_than_one() {
     let (mut engines, mut bus) = (EngineStandIns::start(0), EventBusStandIn::start());
@@ -174,8 +174,8 @@
     expect!["few|1: done |few|2: done |few"].assert_eq(&observed.join("|"));
 }
 
-/// Engines come and go under ever new ids, and clients on ever new connections: no more threads, descriptors or memory are
-/// held at the end than after a while.
+/// Engines come and go under ever new ids, and clients on ever new connections: no more threads, descriptors or memory
+/// are held at the end than after a while.
 #[test]
 fn state_of_gone_engines_and_clients_is_evicted() {
     let SingleEngine { engines, mut bus, program, client: _idle } = SingleEngine::start();
@@ -206,8 +206,8 @@
     assert!(last.iter().zip(most).all(|(last, most)| *last <= most), "{seen:?}");
 }
 
-/// Idle clients use all descriptors for clients while the event bus is disconnected: those of the bus and of engines stay
-/// free, so that the bus is reached once it is back, and its events are acted on.
+/// Idle clients use all descriptors for clients while the event bus is disconnected: those of the bus and of engines
+/// stay free, so that the bus is reached once it is back, and its events are acted on.
 #[test]
 fn idle_clients_leave_descriptors_to_the_event_bus_and_engines() {
     let (mut engines, mut bus) = (EngineStandIns::start(1), EventBusStandIn::start());
--- a/crates/server/tests/server/main.rs
+++ b/crates/server/tests/server/main.rs
@@ -1,9 +1,10 @@
-//! The program over sockets, with stand-ins for engines, the event bus and clients; and its parts that can be tested
-//! without a program. One file for each concern, one test for each rule or fault.
+//! Tests of the program over its sockets, with stand-ins for engines, the event bus and clients, and tests of those of
+//! its parts that need no running program. Each file covers one area, and each test one rule or fault.
 //!
-//! Many tests are about rare moments: a request, an answer or a signal that comes between two steps of the program. They
-//! make the bad order happen every time: a stand-in holds a byte or a reply until told, and the program is suspended where
-//! it has to find several things at once. Times are waited for only to bring the program to such a moment, never as proof.
+//! Many tests are about races: a request, an answer or a signal arrives between two steps of the program. They force
+//! the harmful order in each run: a stand-in delays a byte or an answer until the test sends it, or the program is
+//! suspended so that it then finds several events at once. Tests sleep only to bring the program into such a state, not
+//! to prove anything by the time that has passed.
 
 mod arrival_time;
 mod cancellation;
--- a/crates/server/tests/server/requests.rs
+++ b/crates/server/tests/server/requests.rs
@@ -94,8 +94,8 @@
     .assert_eq(&trace);
 }
 
-/// Engines know jobs by their clients' ids: a second job under an open one's id never reaches them. A message number that
-/// is open gets one answer or none.
+/// Engines know jobs by their clients' ids: a second job under an open one's id never reaches them. A message number
+/// that is open gets one answer or none.
 #[test]
 fn an_id_of_an_open_request_is_rejected() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
--- a/crates/server/tests/server/results.rs
+++ b/crates/server/tests/server/results.rs
@@ -52,8 +52,8 @@
     expect!["1: Failed why=cancelled"].assert_eq(&client.next_answer());
 }
 
-/// An answer that is malformed, or stops in the middle while its connection stays open, never completes a job; nothing more
-/// is sent on that connection, and dispatches on others go on.
+/// An answer that is malformed, or stops in the middle while its connection stays open, never completes a job; nothing
+/// more is sent on that connection, and dispatches on others go on.
 #[test]
 fn a_malformed_engine_answer_closes_only_its_own_connection() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
--- a/crates/server/tests/server/shutdown.rs
+++ b/crates/server/tests/server/shutdown.rs
@@ -51,9 +51,9 @@
     .assert_eq(&trace);
 }
 
-/// After SIGTERM new connections and requests are served for a second. What arrives after that, but before the program has
-/// ended, is answered too: here what the system holds while the program is suspended, on an idle connection and on one
-/// that was never accepted.
+/// After SIGTERM new connections and requests are served for a second. What arrives after that, but before the program
+/// has ended, is answered too: here what the system holds while the program is suspended, on an idle connection and on
+/// one that was never accepted.
 #[test]
 fn requests_that_arrive_at_the_end_of_a_shutdown_are_answered() {
     let SingleEngine { engines, bus: _bus, mut program, client: mut idle } = SingleEngine::start();
@@ -90,8 +90,8 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// A connection that was accepted during a shutdown and has not carried a request yet stays open for its first one as long
-/// as the shutdown allows: closing it would lose a request that is on its way.
+/// A connection that was accepted during a shutdown and has not carried a request yet stays open for its first one as
+/// long as the shutdown allows: closing it would lose a request that is on its way.
 #[test]
 fn a_new_connection_may_send_its_first_request_during_a_shutdown() {
     let SingleEngine { engines, bus: _bus, mut program, client: mut idle } = SingleEngine::start();
@@ -163,8 +163,8 @@
     assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
 }
 
-/// The event bus moves while the program answers what it accepted before it was told to stop, and a second signal to stop
-/// changes nothing.
+/// The event bus moves while the program answers what it accepted before it was told to stop, and a second signal to
+/// stop changes nothing.
 #[test]
 fn the_configuration_may_be_reloaded_during_a_shutdown() {
     let (engines, mut bus, mut new_bus) =
@@ -191,8 +191,8 @@
     assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
 }
 
-/// Dispatches on unresponsive engines are cancelled, and their jobs answered, before the program ends: clients hear that at
-/// once, not after the engine was told.
+/// Dispatches on unresponsive engines are cancelled, and their jobs answered, before the program ends: clients hear
+/// that at once, not after the engine was told.
 #[test]
 fn a_shutdown_answers_jobs_on_unresponsive_engines_before_it_ends() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
@@ -224,8 +224,8 @@
     assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
 }
 
-/// SIGTERM and SIGHUP come while the first configuration is still being read: the program starts, serves what arrives in the
-/// first second of the shutdown and ends with status 0.
+/// SIGTERM and SIGHUP come while the first configuration is still being read: the program starts, serves what arrives
+/// in the first second of the shutdown and ends with status 0.
 #[test]
 fn a_signal_before_the_program_listens_shuts_it_down_gracefully() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
