--- a/crates/server/src/engine/pool/tests.rs
+++ b/crates/server/src/engine/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Orders of events within one turn of a pool that no stand-in outside the program can force.
+//! Tests of a pool with orders of events that can't be forced from outside the program.
 
 use super::in_flight::{InFlightRequest, RequestKind};
 use super::{EnginePool, PoolContext};
@@ -23,11 +23,13 @@
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
 
+/// The dial timeout, and the idle timeout of connections.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
+/// A connection of which the sending side is shut down, so that writes to it fail.
 const BROKEN: ConnectionId = ConnectionId(1);
 const USABLE: ConnectionId = ConnectionId(2);
 
-/// What a pool shares with others, where no thread can be started to connect with.
+/// The context of a pool that cannot start threads to connect with, so that it has to use its existing connections.
 fn context_without_threads() -> PoolContext {
     let (messages, _) = bounded(64);
     let settings = EngineConnectionSettings {
@@ -49,10 +51,10 @@
     }
 }
 
-/// A dispatch that has waited long enough for a connection of its own.
+/// A dispatch that has waited as long as it may for a connection of its own.
 fn late_dispatch(id: RequestId) -> InFlightRequest {
     let wire_id: Box<str> = format!("{:016x}", id.0).into();
-    let deadline = clock::now() + TimeDelta(60_000_000);
+    let deadline = clock::now() + TimeDelta::from_millis(60_000);
     let request = EngineRequest {
         id: wire_id.clone(),
         class: "load".into(),
@@ -70,8 +72,8 @@
     waiting
 }
 
-/// A pool with a connection that can't be written to and one that can, a request in flight on each. Returns the engine's
-/// ends too.
+/// A pool with the connections [`BROKEN`] and [`USABLE`], and one request in flight on each. Also returns the engine's
+/// ends of the connections, which are closed when dropped.
 fn pool_with_two_connections(context: &PoolContext) -> (EnginePool, Vec<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -92,13 +94,14 @@
         connection.begin_request(format!("busy{}", id.0).into(), RequestId(id.0));
         pool.connections.insert(id, connection);
     }
-    // The broken one is chosen first.
+    // Of connections with equally many requests, the pool chooses the one that received a message last.
     pool.connections.get_mut(&BROKEN).unwrap().last_received = Instant::now() + DIAL_TIMEOUT;
     (pool, engine_ends)
 }
 
-/// Several dispatches have waited too long. To handle the first one finds a connection broken, and with that all others
-/// are sent on the remaining one: none of them may then be handled as one that still waits.
+/// Several dispatches have waited as long as they may. When the first one is written, its connection turns out to be
+/// broken, and all of them are then sent on the other connection. If the pool went on to handle the rest as still
+/// waiting, it would fail dispatches that were just sent.
 #[test]
 fn a_late_dispatch_that_was_just_sent_is_not_failed() {
     let context = context_without_threads();
--- a/crates/server/tests/server/engine_connections.rs
+++ b/crates/server/tests/server/engine_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to engines: which are reused, and what happens to dispatches on those that fail. Rule 3: none to an
-//! engine that drains.
+//! Connections to engines: which are reused, and what happens to dispatches on connections that fail. Nothing is
+//! dispatched to an engine that drains (rule 3).
 
 use crate::support::SingleEngine;
 use crate::support::client::{encode_request, wire_id};
@@ -13,13 +13,13 @@
 use std::time::Duration;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A dispatch that waits for a connection gets the next free one. Once its engine drains it is never sent there, and
-/// its job goes elsewhere at once.
+/// A dispatch that waits for a connection is sent on the next free one, unless its engine has begun to drain meanwhile.
+/// Its job must then be sent to another engine at once, rather than after the wait for a connection.
 #[test]
 fn a_dispatch_waiting_for_a_connection_goes_elsewhere_when_its_engine_drains() {
     let (engines, mut bus) = (EngineStandIns::start(2), EventBusStandIn::start());
     let engine = |i: usize, state: &str| endpoint(&format!("e{i}"), &engines.addresses[i], state);
-    // Eight connections to an engine, one job on each; waiting ends by itself only after nine seconds.
+    // Up to eight connections to an engine, with one job on each. The wait for a connection ends after nine seconds.
     let config = ProgramConfig::new(&engines, &bus.address)
         .socket_limit(120)
         .known_endpoints(&[engine(0, IN_SERVICE)])
@@ -29,9 +29,9 @@
     let mut client = program.connect();
 
     (1..=10).for_each(|message| client.submit(message, "load", 8_000));
-    let out: Vec<ReceivedLine> = (1..=8).map(|_| engines.next_line()).collect();
-    out[0].reply("HIT", "-", "");
-    let mut ends = vec![(out[0].engine, client.next_answer().ends_with(": done "))];
+    let sent: Vec<ReceivedLine> = (1..=8).map(|_| engines.next_line()).collect();
+    sent[0].reply("HIT", "-", "");
+    let mut ends = vec![(sent[0].engine, client.next_answer().ends_with(": done "))];
     let next = engines.next_line();
     bus.send_update(2, &[engine(0, TERMINATING), engine(1, IN_SERVICE)]);
     let last = engines.next_line();
@@ -43,16 +43,17 @@
     assert_eq!(ends, [(0, true), (0, true), (1, true)]);
 }
 
-/// A connection that is reset at the first bytes after idling was stale. Others that have been idle for as long are not
-/// reused, so that jobs that must not run twice meet none.
+/// A connection that is reset at the first bytes after it was idle was stale. Others that have been idle for as long
+/// may be stale too and must not be reused: a job that must not run twice would fail there, since it may have run.
 #[test]
-fn idle_connections_are_not_reused_after_one_of_their_age_was_stale() {
+fn connections_are_not_reused_if_one_idle_as_long_was_stale() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
     let mut other = program.connect();
 
     let idle = || std::thread::sleep(Duration::from_millis(60));
-    // On a busy machine the reset may come too late to be at once, and the next round shows it.
-    let seen = (0..10).any(|round| {
+    // On a busy machine a reset may be received so late that the connection does not count as stale. The next round
+    // then tries again.
+    let observed = (0..10).any(|round| {
         let message = 10 * round;
         for message in message + 1..=message + 3 {
             client.submit(message, "lookup", 9000);
@@ -66,7 +67,7 @@
         client.submit(message + 4, "lookup", 9000);
         let stale = engines.next_line();
         let again_used = used.iter().any(|seen| seen.shares_connection_with(&stale));
-        assert!(again_used || round > 0, "a connection is used again while nothing speaks against it");
+        assert!(again_used || round > 0, "idle connections are reused before one was stale");
         stale.close_connection();
         let again = engines.next_line();
         again.reply("HIT", "-", "");
@@ -80,10 +81,11 @@
         again_used && !used.iter().any(|seen| seen.shares_connection_with(&fresh))
     });
 
-    assert!(seen, "connections that have rested are used after one of them was stale");
+    assert!(observed, "idle connections are reused after one of them was stale");
 }
 
-/// A machine that vanished leaves connections open and silent; its successor at the address gets new ones.
+/// A machine that has vanished leaves its connections open and silent. Jobs on them would wait for an answer until
+/// their deadline, so a new engine at the same address must get new connections.
 #[test]
 fn connections_to_an_earlier_incarnation_of_an_engine_are_not_reused() {
     let SingleEngine { engines, mut bus, program: _program, mut client } = SingleEngine::start();
@@ -106,8 +108,9 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// An engine's start time comes from a wall clock that may have been stepped since: a new start of an engine that was
-/// there a moment ago is neither an hour old nor an hour ahead.
+/// A restart closes the connections that were established before it. The start time comes from a wall clock that may
+/// have been stepped by an hour: taken literally, an early one would keep the old connections, and a late one would
+/// close the new ones too.
 #[test]
 fn a_restart_is_recognized_by_a_start_time_of_a_stepped_clock() {
     const HOUR_MS: i64 = 3_600_000;
@@ -148,10 +151,11 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// Descriptors for engines are fewer than the engines, and idle connections to other engines hold them all: the one
-/// that has been idle longest is closed. Each job goes to its first engine.
+/// There are fewer descriptors for engine connections than engines, and idle connections to other engines use them all.
+/// If the one that has been idle longest were not closed, a job could not be sent to the engine that was chosen for it
+/// first.
 #[test]
-fn idle_connections_to_other_engines_free_their_descriptors() {
+fn idle_connections_to_other_engines_are_closed_for_their_descriptors() {
     let (mut engines, bus) = (EngineStandIns::start(0), EventBusStandIn::start());
     engines.add("0.0.0.0:0");
     let port = engines.addresses[0].rsplit(':').next().unwrap().to_string();
@@ -175,8 +179,8 @@
         .assert_eq(&format!("{done} done, descriptors kept: {}", descriptors <= 100));
 }
 
-/// A new engine has the address of one that is still listed: the old one gets nothing more, and later events about it
-/// do not affect the new one.
+/// A new engine is listed at the address of one that is still listed. No more jobs are sent to the old one, and later
+/// events about the old one must not affect the new one.
 #[test]
 fn a_new_engine_replaces_an_old_one_at_its_address() {
     let SingleEngine { engines, mut bus, program: _program, mut client } = SingleEngine::start();
@@ -192,8 +196,9 @@
     }
 }
 
-/// An engine closes an idle connection just as a job that must not run twice arrives: the program finds both at once.
-/// The job goes on a new connection, since nothing can have read it on the old one.
+/// An engine closes an idle connection at the moment when a job that must not run twice is submitted: the suspended
+/// program finds both at once. A job that is written to the closed connection is lost and may not be retried, so it
+/// must be sent on a new one.
 #[test]
 fn a_non_idempotent_job_survives_an_idle_connection_closed_by_its_engine() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
@@ -212,7 +217,8 @@
     }
 }
 
-/// Half a line on an idle connection would corrupt the answer to the next job there, which goes on another one.
+/// An incomplete message on an idle connection would corrupt the answer to the next job on it, so the job must be sent
+/// on another one.
 #[test]
 fn an_idle_connection_with_unread_bytes_is_not_reused() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
@@ -232,7 +238,8 @@
     }
 }
 
-/// The same while the reader has taken the half line from the socket and has not come to look at it.
+/// As in the previous test, but the thread that reads has already taken the incomplete message from the socket and not
+/// yet processed it. A peek at the socket shows nothing then.
 #[test]
 fn an_idle_connection_is_not_reused_while_its_bytes_are_being_read() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
@@ -254,8 +261,8 @@
     }
 }
 
-/// Each new connection wakes the thread that reads them all, and that call may be interrupted. The connection is used
-/// all the same.
+/// Each new connection wakes the thread that reads all connections. The call that wakes it may be interrupted by a
+/// signal; without a retry the connection could not be used.
 #[test]
 fn a_connection_is_used_though_the_wake_up_of_its_reader_is_interrupted() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
@@ -263,6 +270,7 @@
         Program::start_with_faults(ProgramConfig::new(&engines, &bus.address));
     let mut client = program.connect();
 
+    // Most calls that wake a thread are interrupted.
     faults.set_rate(FaultKind::InterruptNonTcp, 0.95).unwrap();
     let mut done = 0;
     for message in 1..=8 {
--- a/crates/server/tests/server/event_bus.rs
+++ b/crates/server/tests/server/event_bus.rs
@@ -1,4 +1,5 @@
-//! The endpoint list, as the event bus tells it, through faults of the bus and of its connections. Rule 3 rests on it.
+//! The endpoint list that the event bus sends, despite faults of the bus and of connections to it. Without a current
+//! list, jobs would be dispatched to engines that drain (rule 3).
 
 use crate::support::SingleEngine;
 use crate::support::config::ProgramConfig;
@@ -13,18 +14,20 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// The bus is unreachable at the start, repeats and skips events, sends malformed lines and is disconnected.
+/// The bus is unreachable at the start, repeats and skips events, sends malformed lines and disconnects. After each of
+/// these the program must subscribe from the last event that it has read, so that it misses none that the bus still
+/// has.
 #[test]
 fn the_endpoint_list_is_kept_through_faults_of_the_event_bus() {
     let mut engines = EngineStandIns::start(2);
-    // An address of its own, so that nobody else is given the port meanwhile.
+    // A loopback address that nothing else uses, so that the port stays free until the bus listens there.
     let unreachable = TcpListener::bind("127.0.0.77:0").unwrap().local_addr().unwrap().to_string();
     let first = endpoint("e0", &engines.addresses[0], IN_SERVICE);
     let program = Program::start_with(ProgramConfig::new(&engines, &unreachable).known_endpoints(&[first]));
     let mut client = program.connect();
 
     let mut message = 0;
-    let mut goes_to = |engines: &EngineStandIns| {
+    let mut engine_of_next_job = |engines: &EngineStandIns| {
         message += 1;
         client.submit(message, "lookup", 9000);
         let seen = engines.next_line();
@@ -32,7 +35,7 @@
         assert_eq!(client.next_answer(), format!("{message}: done "));
         seen.engine
     };
-    let mut trace = format!("at the start: engine {}\n", goes_to(&engines));
+    let mut trace = format!("at the start: engine {}\n", engine_of_next_job(&engines));
     let mut bus = EventBusStandIn::listen(&unreachable, 1);
     writeln!(trace, "{}", bus.next_subscription()).unwrap();
     bus.send_line("nonsense");
@@ -45,19 +48,19 @@
     bus.send_update(3, &[endpoint("e0", &engines.addresses[0], TERMINATING)]);
     bus.disconnect();
     writeln!(trace, "after a cut: {}", bus.next_subscription()).unwrap();
-    writeln!(trace, "e0 drains: engine {}", goes_to(&engines)).unwrap();
-    // An event that is missing a second time, too, is skipped.
+    writeln!(trace, "e0 drains: engine {}", engine_of_next_job(&engines)).unwrap();
+    // Event 4 is missing. If it is missing again after the reconnect, the bus no longer has it, and it is skipped.
     bus.send_line(&update_event(5, &[]).to_string());
     writeln!(trace, "after a gap: {}", bus.next_subscription()).unwrap();
     bus.send_line(&update_event(5, &[]).to_string());
     bus.disconnect();
     writeln!(trace, "after the same gap: {}", bus.next_subscription()).unwrap();
-    // A new engine at the address of one that has gone, in a list that is complete.
+    // A complete list that contains only a new engine.
     engines.add("127.0.0.1:0");
     bus.send_snapshot(6, &[endpoint("e2", &engines.addresses[2], IN_SERVICE)]);
     bus.disconnect();
     bus.next_subscription();
-    writeln!(trace, "a new list: engine {}", goes_to(&engines)).unwrap();
+    writeln!(trace, "a new list: engine {}", engine_of_next_job(&engines)).unwrap();
 
     expect![[r"
         at the start: engine 0
@@ -72,7 +75,8 @@
     .assert_eq(&trace);
 }
 
-/// Its silence is noticed by the missing heartbeat.
+/// The bus accepts a connection and then sends nothing. Without a timeout for the heartbeat the program would wait
+/// forever and miss all changes.
 #[test]
 fn a_silent_event_bus_is_reconnected() {
     let engines = EngineStandIns::start(1);
@@ -85,10 +89,13 @@
     drop((first, second));
 }
 
-/// A connection to the event bus that is established and stays silent is closed once its first heartbeat is overdue,
-/// sooner than one that has sent something: after two in a row the bus's events still arrive in time.
+/// A connection to the event bus on which nothing was received times out sooner than other silent ones. Otherwise,
+/// after two such connections in a row, the program would notice too late that an engine drains.
 #[test]
 fn event_bus_connections_that_never_send_anything_time_out_soon() {
+    /// The maximum time that two connections may take to time out. With timeouts of 1.5 s they take 3.0 s and two
+    /// pauses of at most 150 and 300 ms; with the timeout of 2.2 s for other connections it would be more than 4.4 s.
+    const MAX_TIME_FOR_TWO_TIMEOUTS: Duration = Duration::from_millis(4200);
     let engines = EngineStandIns::start(1);
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let _program =
@@ -96,12 +103,12 @@
 
     let opened: Vec<_> = (0..3).map(|_| (silent.accept().unwrap(), Instant::now())).collect();
     let took = opened[2].1 - opened[0].1;
-    // 3.0 s and two pauses of 75 and 150 ms at most; with 2.2 s for each it would be 4.4 s.
-    assert!(took < Duration::from_millis(4200), "{took:?}");
+    assert!(took < MAX_TIME_FOR_TWO_TIMEOUTS, "{took:?}");
 }
 
-/// A bus that comes back with lower offsets sends events that are known: what is known stays, drains above all, until
-/// its offsets pass. The protocol numbers events once for each start of the program.
+/// After a reconnect the bus sends events with offsets that the program has already read: within one run of the program
+/// the protocol gives each offset to only one event. These must be ignored, or the program would revert to an older
+/// list and, above all, dispatch jobs to engines that drain.
 #[test]
 fn an_event_bus_with_lower_offsets_reverts_nothing() {
     let SingleEngine { engines, mut bus, program, mut client } = SingleEngine::start();
@@ -110,16 +117,15 @@
     bus.send_update(3, &[endpoint("e1", "127.0.0.1:1", TERMINATING)]);
     program.wait_for_log("endpoint list changed event=3 ");
     bus.disconnect();
-    let mut lower = bus;
-    assert_eq!(lower.next_subscription(), "from 3");
-    lower.send_line("{\"offset\":1}");
-    lower.send_line(&update_event(2, &[endpoint("e0", &engines.addresses[0], TERMINATED)]).to_string());
+    assert_eq!(bus.next_subscription(), "from 3");
+    bus.send_line("{\"offset\":1}");
+    bus.send_line(&update_event(2, &[endpoint("e0", &engines.addresses[0], TERMINATED)]).to_string());
     client.submit(1, "lookup", 9000);
     let mut trace = vec![engines.next_line().engine.to_string()];
     client.submit(2, "lookup", 9000);
     engines.complete(2);
     trace.push(client.next_answer());
-    lower.send_line(&update_event(4, &[endpoint("e0", &engines.addresses[0], TERMINATING)]).to_string());
+    bus.send_line(&update_event(4, &[endpoint("e0", &engines.addresses[0], TERMINATING)]).to_string());
     trace.push(
         program.wait_for_log("endpoint list changed event=4 ").split_once("changed ").unwrap().1.to_string(),
     );
@@ -127,13 +133,14 @@
     expect!["0|2: done |event=4 entries=1 running=0"].assert_eq(&trace.join("|"));
 }
 
-/// A complete list of 3,200 engines with long names is one line.
+/// The complete list is one line, here with 3,200 engines with long names. The maximum line length must not reject it.
 #[test]
 fn an_endpoint_list_of_more_than_a_megabyte_is_read() {
     let SingleEngine { engines, mut bus, program, mut client } = SingleEngine::start();
 
-    let long = |i: usize| format!("engine-{i}-{}", "x".repeat(400));
-    let mut entries: Vec<Json> = (0..3200).map(|i| endpoint(&long(i), "127.0.0.1:1", TERMINATING)).collect();
+    let long_name = |i: usize| format!("engine-{i}-{}", "x".repeat(400));
+    let mut entries: Vec<Json> =
+        (0..3200).map(|i| endpoint(&long_name(i), "127.0.0.1:1", TERMINATING)).collect();
     entries.push(endpoint("e0", &engines.addresses[0], IN_SERVICE));
     let line = snapshot_event(2, &entries).to_string();
     assert!(line.len() > 1024 * 1024);
--- a/crates/server/tests/server/limits.rs
+++ b/crates/server/tests/server/limits.rs
@@ -1,4 +1,5 @@
-//! Descriptors, memory and threads: the program keeps within its limits, and state of what has gone is evicted.
+//! The program stays within its limits of descriptors, memory and threads, and evicts the state of engines and clients
+//! that are gone.
 
 use crate::support::SingleEngine;
 use crate::support::client::Client;
@@ -10,15 +11,15 @@
 use serde_json::Value as Json;
 use std::time::{Duration, Instant};
 
-/// As many threads as the program has with one engine and few jobs.
-const FEW_THREADS: usize = 16;
+/// The maximum number of threads of a program with one engine and few jobs.
+const MAX_FEW_THREADS: usize = 16;
 
-/// Says `few`, or how many threads there are where that is not so.
-fn few(threads: usize) -> String {
-    if threads <= FEW_THREADS { "few".to_string() } else { threads.to_string() }
+/// Returns `few` for up to [`MAX_FEW_THREADS`] threads, and the number for more.
+fn few_or_count(threads: usize) -> String {
+    if threads <= MAX_FEW_THREADS { "few".to_string() } else { threads.to_string() }
 }
 
-/// All descriptors for clients are in use: a further connection waits and is served in its turn.
+/// All descriptors for clients are in use. Further connections must wait and be served later, instead of being refused.
 #[test]
 fn connections_over_the_limit_wait_for_their_turn() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
@@ -27,7 +28,7 @@
     std::thread::scope(|scope| {
         let client = |message| {
             let program = &program;
-            // One that is too slow to submit is closed for others and connects again.
+            // A connection on which no request arrives soon may be closed for another one. The client connects again.
             scope.spawn(move || {
                 loop {
                     let mut client = program.connect();
@@ -51,7 +52,8 @@
     });
 }
 
-/// The system gives fewer descriptors than the limits promise: clients are accepted as others leave.
+/// The system grants fewer descriptors than the configured limits, so that accepting fails. Waiting clients must be
+/// accepted once others have disconnected.
 #[test]
 fn clients_wait_when_the_system_is_out_of_descriptors() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
@@ -66,15 +68,15 @@
     }
 }
 
-/// Clients that connect and send nothing, that stay when they have their answer, or that stop in the middle of a
-/// message are closed for those who submit jobs. No connection with an open job is.
+/// Clients that send nothing, stay connected after their answer, or stop in the middle of a message could use all
+/// descriptors. They are closed for clients that submit jobs; a connection with an open job must not be.
 #[test]
 fn idle_clients_are_closed_for_those_with_requests() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let program = Program::start_with(ProgramConfig::new(&engines, &bus.address).socket_limit(120));
-    let mut patient = program.connect();
+    let mut waiting = program.connect();
 
-    patient.submit(1, "lookup", 20_000);
+    waiting.submit(1, "lookup", 20_000);
     let seen = engines.next_line();
     let mut idle = Vec::new();
     for message in 2..100 {
@@ -91,37 +93,45 @@
         idle.push(client);
     }
     seen.reply("HIT", "-", "patient");
-    expect![[r"1: done patient\tb\tc\n"]].assert_eq(&patient.next_answer());
-    // Silent connections are closed by themselves, too.
+    expect![[r"1: done patient\tb\tc\n"]].assert_eq(&waiting.next_answer());
+    // The connections that were not closed for others are closed by the idle timeout.
     let ends = idle.iter_mut().map(Client::next_answer);
 
     assert!(ends.into_iter().all(|end| end == "closed"));
 }
 
-/// As many jobs as may be open at once fit the least memory; further ones are rejected at once.
+/// With the quota of open jobs in use, the program must stay within its memory limit. Further jobs must be rejected at
+/// once.
 #[test]
-fn the_maximum_of_open_jobs_fits_the_memory_limit() {
+fn the_maximum_number_of_open_jobs_fits_the_memory_limit() {
+    const CLIENTS: u32 = 20;
+    const JOBS_PER_CLIENT: u32 = 32;
+    /// The quota of open jobs that follows from the limits of memory and descriptors.
+    const MAX_OPEN_JOBS: u32 = 422;
+    /// The maximum resident memory with all these jobs open. The limit is 32 MiB.
+    const MAX_RESIDENT_KB: usize = 28 * 1024;
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let program = Program::start_with(ProgramConfig::new(&engines, &bus.address).limits(0.2, 32, 256));
     let mut client = program.connect();
-    let mut clients: Vec<Client> = (0..20).map(|_| program.connect()).collect();
+    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| program.connect()).collect();
 
     for (n, client) in (0..).zip(&mut clients) {
-        (1..=32).for_each(|message| client.submit(n * 32 + message, "lookup", 60_000));
+        (1..=JOBS_PER_CLIENT)
+            .for_each(|message| client.submit(n * JOBS_PER_CLIENT + message, "lookup", 60_000));
     }
-    // A client whose job is rejected hears so at once; others hear nothing yet.
+    // Rejections are answered at once, so before the health check. Other jobs are not answered yet.
     let mut rejected = Vec::new();
     for client in &mut clients {
         client.request_health(9999);
         let answers = std::iter::from_fn(|| Some(client.next_answer()));
         rejected.extend(answers.take_while(|answer| !answer.starts_with("9999:")));
     }
-    assert_eq!(rejected.len(), 640 - 422);
+    assert_eq!(rejected.len() as u32, CLIENTS * JOBS_PER_CLIENT - MAX_OPEN_JOBS);
     assert!(rejected.iter().all(|answer| answer.ends_with(": Busy w=1000")));
     let (resident_kb, threads) = (program.resident_kb(), program.thread_count());
     println!("{resident_kb} KB resident, {threads} threads");
-    assert!(resident_kb < 28 * 1024, "{resident_kb} KB");
-    // When they leave, all resources are released soon.
+    assert!(resident_kb < MAX_RESIDENT_KB, "{resident_kb} KB");
+    // Once the clients have disconnected, a job is admitted again: their resources are released.
     drop(clients);
     let mut message = 1000;
     loop {
@@ -138,8 +148,9 @@
     assert_eq!(client.next_answer(), format!("{message}: done "));
 }
 
-/// Hundreds of engines in one list, all replaced by one event, with the least limits: there is no thread for each
-/// engine, since a fleet of programs on one machine would run out of them, and jobs complete before and after.
+/// A list of 1024 engines is replaced by another, with the lowest limits of memory and descriptors. There must be no
+/// thread for each engine, since many such programs on one machine would exhaust its threads. Jobs complete before and
+/// after.
 #[test]
 fn a_thousand_engines_need_no_more_threads_than_one() {
     let (mut engines, mut bus) = (EngineStandIns::start(0), EventBusStandIn::start());
@@ -158,7 +169,7 @@
     let program = Program::start_with(config);
     let mut client = program.connect();
 
-    let mut observed = vec![few(program.thread_count())];
+    let mut observed = vec![few_or_count(program.thread_count())];
     for (message, name) in [(1, "e"), (2, "new")] {
         if name == "new" {
             bus.send_update(2, &endpoints("new", IN_SERVICE));
@@ -168,19 +179,19 @@
         }
         client.submit(message, "lookup", 9000);
         engines.complete(message);
-        observed.extend([client.next_answer(), few(program.thread_count())]);
+        observed.extend([client.next_answer(), few_or_count(program.thread_count())]);
     }
 
     expect!["few|1: done |few|2: done |few"].assert_eq(&observed.join("|"));
 }
 
-/// Engines come and go under ever new ids, and clients on ever new connections: no more threads, descriptors or memory
-/// are held at the end than after a while.
+/// Engines with new ids and clients on new connections come and go continually. If the state of those that are gone
+/// were kept, the number of threads and descriptors, or the memory, would grow without limit.
 #[test]
 fn state_of_gone_engines_and_clients_is_evicted() {
     let SingleEngine { engines, mut bus, program, client: _idle } = SingleEngine::start();
 
-    let figures = || [program.thread_count(), program.descriptor_count(), program.resident_kb() / 1024];
+    let usage = || [program.thread_count(), program.descriptor_count(), program.resident_kb() / 1024];
     let mut seen = Vec::new();
     for number in 2..600 {
         let endpoints = [(number, IN_SERVICE), (number - 1, TERMINATED)];
@@ -192,22 +203,23 @@
         engines.complete(number);
         assert_eq!(passing.next_answer(), format!("{number}: done "));
         if number % 199 == 0 {
-            seen.push(figures());
+            seen.push(usage());
         }
     }
     let mut client = program.connect();
     client.submit(1, "lookup", 9000);
     engines.complete(1);
     assert_eq!(client.next_answer(), "1: done ");
-    // Some that have just gone may still be there.
-    let [first, .., last] = seen[..] else { panic!("no figures") };
+    // Threads, descriptors and MiB: the state of the last ones that are gone may still be kept.
+    let [first, .., last] = seen[..] else { panic!("no usage was recorded") };
     let most = [first[0] + 40, first[1] + 40, first[2] + 4];
 
     assert!(last.iter().zip(most).all(|(last, most)| *last <= most), "{seen:?}");
 }
 
-/// Idle clients use all descriptors for clients while the event bus is disconnected: those of the bus and of engines
-/// stay free, so that the bus is reached once it is back, and its events are acted on.
+/// Idle clients use all descriptors for clients while the event bus is disconnected. If they also used those reserved
+/// for the bus and for engines, the program could neither reconnect to the bus nor send a job to an engine that it
+/// lists.
 #[test]
 fn idle_clients_leave_descriptors_to_the_event_bus_and_engines() {
     let (mut engines, mut bus) = (EngineStandIns::start(1), EventBusStandIn::start());
@@ -215,7 +227,7 @@
     let program = Program::start_with_descriptor_limit(config, 120);
 
     assert_eq!(bus.next_subscription(), "from 1");
-    let crowd: Vec<Client> = (0..200).map(|_| program.connect()).collect();
+    let idle: Vec<Client> = (0..200).map(|_| program.connect()).collect();
     bus.disconnect();
     assert_eq!(bus.next_subscription(), "from 1");
     engines.add("127.0.0.1:0");
@@ -225,64 +237,69 @@
     ];
     bus.send_update(2, &entries);
     program.wait_for_log("endpoint list changed event=2 ");
-    // Idle and silent clients are closed for one that submits a job, and there is a descriptor for its engine.
+    // Idle clients are closed for one that submits a job, and there is a descriptor for the connection to its engine.
     let mut client = program.connect();
     client.submit(1, "lookup", 20_000);
     let seen = engines.next_line();
     seen.reply("HIT", "-", "");
     assert_eq!((seen.engine, client.next_answer()), (1, "1: done ".to_string()));
-    drop(crowd);
+    drop(idle);
 }
 
-/// Jobs that wait for an engine, or are rejected, need no thread each: with so many threads a gateway that is short of
-/// processor time would answer late.
+/// Jobs that wait for an engine, or are rejected, must not have a thread each: with so many threads, a program that
+/// gets little processor time would answer too late.
 #[test]
 fn jobs_that_are_not_dispatched_need_no_thread() {
     const JOBS: u32 = 300;
+    const JOBS_PER_CLIENT: u32 = 30;
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let draining = endpoint("e0", &engines.addresses[0], TERMINATING);
     let program =
         Program::start_with(ProgramConfig::new(&engines, &bus.address).known_endpoints(&[draining]));
-    let mut clients: Vec<Client> = (0..JOBS / 30).map(|_| program.connect()).collect();
+    let mut clients: Vec<Client> = (0..JOBS / JOBS_PER_CLIENT).map(|_| program.connect()).collect();
     for message in 1..=JOBS {
-        clients[message as usize % (JOBS as usize / 30)].submit(message, "lookup", 1500);
+        clients[(message % (JOBS / JOBS_PER_CLIENT)) as usize].submit(message, "lookup", 1500);
     }
     for client in &mut clients {
         client.request_health(JOBS + 1);
     }
-    let mut most = 0;
+    let mut max_threads = 0;
     for client in &mut clients {
         while !client.next_answer().contains("well") {}
-        most = most.max(program.thread_count());
+        max_threads = max_threads.max(program.thread_count());
     }
     let mut answers: Vec<String> = Vec::new();
     for client in &mut clients {
-        answers.extend((0..30).map(|_| client.next_answer()));
+        answers.extend((0..JOBS_PER_CLIENT).map(|_| client.next_answer()));
     }
     let busy = answers.iter().filter(|answer| answer.contains(": Busy")).count();
 
     expect!["few threads, 300 of 300 turned away"]
-        .assert_eq(&format!("{} threads, {busy} of {JOBS} turned away", few(most)));
+        .assert_eq(&format!("{} threads, {busy} of {JOBS} turned away", few_or_count(max_threads)));
 }
 
-/// Threads that a burst of jobs needed end, though jobs go on arriving one by one: threads that are used in turn would
-/// live for ever.
+/// After a burst of jobs, the threads that it needed must end although single jobs continue to arrive. If idle threads
+/// got these jobs in turn, none of them would reach its idle timeout.
 #[test]
 fn threads_of_a_burst_end_while_jobs_go_on() {
+    /// The number of jobs that are open at the same time.
     const BURST: u32 = 60;
+    const JOBS_PER_CLIENT: u32 = 30;
+    /// The maximum wait for the threads to end; each ends after it was idle for one second.
+    const THREADS_END_TIMEOUT: Duration = Duration::from_secs(8);
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
-    let mut clients: Vec<Client> = (0..BURST / 30).map(|_| program.connect()).collect();
+    let mut clients: Vec<Client> = (0..BURST / JOBS_PER_CLIENT).map(|_| program.connect()).collect();
     for message in 1..=BURST {
-        clients[message as usize % (BURST as usize / 30)].submit(message, "lookup", 20_000);
+        clients[(message % (BURST / JOBS_PER_CLIENT)) as usize].submit(message, "lookup", 20_000);
     }
     let seen: Vec<ReceivedLine> = (0..BURST).map(|_| engines.next_line()).collect();
-    let most = program.thread_count();
+    let burst_threads = program.thread_count();
     for seen in &seen {
         seen.reply("HIT", "-", "");
     }
     let began = Instant::now();
     let mut message = 1000;
-    while program.thread_count() > FEW_THREADS && began.elapsed() < Duration::from_secs(8) {
+    while program.thread_count() > MAX_FEW_THREADS && began.elapsed() < THREADS_END_TIMEOUT {
         client.submit(message, "lookup", 9000);
         engines.complete(message);
         assert_eq!(client.next_answer(), format!("{message}: done "));
@@ -291,7 +308,7 @@
 
     expect!["true, then few"].assert_eq(&format!(
         "{}, then {}",
-        most >= BURST as usize,
-        few(program.thread_count())
+        burst_threads >= BURST as usize,
+        few_or_count(program.thread_count())
     ));
 }
--- a/crates/server/tests/server/requests.rs
+++ b/crates/server/tests/server/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, from the first byte to the answer.
+//! Requests of clients, from the first byte to the answer, and the choice of engines for them.
 
 use crate::support::SingleEngine;
 use crate::support::client::{SELECT, encode_request, wire_id};
@@ -29,6 +29,8 @@
     .assert_eq(&format!("{head}|{tail}\n{}\n{}", String::from_utf8_lossy(&seen.body), client.next_answer()));
 }
 
+/// The bytes of requests may arrive in any pieces, and engines may answer in any order. Each request must get one
+/// answer.
 #[test]
 fn requests_may_arrive_a_byte_at_a_time_or_many_at_once() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
@@ -41,7 +43,7 @@
     client.send_raw(&(2..=32).flat_map(request).collect::<Vec<u8>>());
     let mut seen: Vec<ReceivedLine> = (2..=32).map(|_| engines.next_line()).collect();
     assert!(seen.iter().all(|seen| seen.field(0) == "REQ"));
-    // Answers may come in any order.
+    // The engine answers in the reverse order.
     seen.reverse();
     for seen in &seen {
         seen.reply("HIT", "-", "");
@@ -58,19 +60,20 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// The message can be decoded, but a field is missing or out of range.
+/// A request that can be decoded may have an unknown class, or a field that is missing or invalid. Closing the
+/// connection for that would cancel the client's other requests.
 #[test]
-fn an_unusable_request_is_answered_with_an_error_and_its_connection_stays_open() {
+fn an_invalid_request_is_answered_with_an_error_and_its_connection_stays_open() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
 
-    let name = wire_id(1);
+    let id = wire_id(1);
     let mut trace = String::new();
     for (message, class, fields) in [
-        (1, "nonsense", vec![("i", name.as_str()), ("d", "900")]),
-        (2, "lookup", vec![("i", name.as_str())]),
-        (3, "lookup", vec![("i", name.as_str()), ("d", "soon")]),
-        (4, "lookup", vec![("i", name.as_str()), ("d", "NaN")]),
-        (5, "lookup", vec![("i", name.as_str()), ("d", "900"), ("h", "-1")]),
+        (1, "nonsense", vec![("i", id.as_str()), ("d", "900")]),
+        (2, "lookup", vec![("i", id.as_str())]),
+        (3, "lookup", vec![("i", id.as_str()), ("d", "soon")]),
+        (4, "lookup", vec![("i", id.as_str()), ("d", "NaN")]),
+        (5, "lookup", vec![("i", id.as_str()), ("d", "900"), ("h", "-1")]),
         (6, "lookup", vec![("i", "a b\r\n"), ("d", "900")]),
         (7, "lookup", vec![("d", "900")]),
     ] {
@@ -94,35 +97,35 @@
     .assert_eq(&trace);
 }
 
-/// Engines know jobs by their clients' ids: a second job under an open one's id never reaches them. A message number
-/// that is open gets one answer or none.
+/// Engines identify jobs by the ids that clients choose, so a second job with the id of an open one must not reach
+/// them. A message number must not get two answers: a request with the number of an open one closes its connection.
 #[test]
 fn an_id_of_an_open_request_is_rejected() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
-    // So that no connection counts as silent, which would be closed instead of getting the cancellation.
+    // So long that no engine connection counts as silent: it would be closed instead of receiving the cancellation.
     let config = ProgramConfig::new(&engines, &bus.address).dial_timeout_ms(9000.0);
     let program = Program::start_with(config);
     let mut client = program.connect();
 
     client.submit(1, "lookup", 9000);
     let seen = engines.next_line();
-    let (mut thief, mut double) = (program.connect(), program.connect());
-    let stolen = wire_id(1);
-    thief.send_raw(&encode_request(
+    let (mut same_id, mut same_number) = (program.connect(), program.connect());
+    let open_id = wire_id(1);
+    same_id.send_raw(&encode_request(
         5,
         "lookup",
-        &[("i", &stolen), ("d", "9000")],
+        &[("i", &open_id), ("d", "9000")],
         "delete from sales_17.orders",
     ));
-    let mut trace = format!("{}\n", thief.next_answer());
-    double.submit(7, "lookup", 9000);
+    let mut trace = format!("{}\n", same_id.next_answer());
+    same_number.submit(7, "lookup", 9000);
     let _open = engines.next_line();
-    double.request_health(7);
-    writeln!(trace, "{}", double.next_answer()).unwrap();
+    same_number.request_health(7);
+    writeln!(trace, "{}", same_number.next_answer()).unwrap();
     assert_eq!(engines.next_line().field(0), "STOP");
     seen.reply("HIT", "-", "own");
     writeln!(trace, "{}", client.next_answer()).unwrap();
-    // It is free again.
+    // Once the request is answered, its id may be used again.
     client.submit(1, "lookup", 9000);
     engines.next_line().reply("HIT", "-", "again");
     trace += &client.next_answer();
@@ -135,7 +138,8 @@
     engines.expect_no_line();
 }
 
-/// The table group decides the engines, however the statement is worded.
+/// The engines for a job follow from its table group alone, not from the rest of the statement. Otherwise jobs on the
+/// same tables would be spread over more engines than the two of their pair.
 #[test]
 fn statements_on_one_table_group_go_to_its_pair_of_engines() {
     let (engines, bus) = (EngineStandIns::start(6), EventBusStandIn::start());
--- a/crates/server/tests/server/resource_budgets.rs
+++ b/crates/server/tests/server/resource_budgets.rs
@@ -1,9 +1,10 @@
-//! Budgets never grant more than their capacity, and get back what permits held.
+//! Resource budgets grant no more than their capacity, and permits return what they held. Quotas divide the configured
+//! limits among budgets.
 
 use pebblevane_server::limits::{Limits, ResourceBudget, ResourceQuotas};
 
 #[test]
-fn a_dropped_permit_returns_its_part() {
+fn a_dropped_permit_returns_what_it_held() {
     let budget = ResourceBudget::new(10);
     let permit = budget.acquire(7).unwrap();
     assert!(budget.acquire(4).is_none());
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn small_limits_leave_each_part_its_minimum() {
+fn quotas_of_small_limits_are_the_minimums() {
     let quotas = ResourceQuotas::from_limits(Limits { sockets: 0, memory_mb: 0 });
     assert_eq!((quotas.client_connections, quotas.engine_connections), (0, 0));
     assert_eq!((quotas.connections_per_engine, quotas.open_jobs), (4, 64));
--- a/crates/server/tests/server/results.rs
+++ b/crates/server/tests/server/results.rs
@@ -1,4 +1,4 @@
-//! Rule 1: rows reach the client complete and in order, or not at all.
+//! Results reach the client complete and in order, or not at all (rule 1).
 
 use crate::support::SingleEngine;
 use crate::support::client::wire_id;
@@ -6,24 +6,25 @@
 use expect_test::expect;
 use std::fmt::Write as _;
 
-/// Pages that come out of order, twice, under a number that was not requested or not at all never complete a job with
-/// wrong rows.
+/// Pages of a result may arrive out of order or twice, have a number that was not requested, or be missing. None of
+/// these may complete a job with wrong rows.
 #[test]
-fn result_pages_are_put_in_order_and_checked() {
+fn result_pages_are_ordered_and_checked() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
 
     client.submit(1, "lookup", 5000);
-    let head = engines.next_line();
-    head.reply("HIT", "sheets=4", "0");
-    let asked: Vec<ReceivedLine> = (0..3).map(|_| engines.next_line()).collect();
-    let mut trace: Vec<String> = asked.iter().map(|seen| seen.line.clone()).collect();
-    asked[2].reply("PART", "sheet=3", "3");
-    asked[2].reply("PART", "sheet=9", "9");
-    asked[0].reply("PART", "sheet=1", "1");
-    asked[0].reply("PART", "sheet=1", "again");
-    asked[1].reply("PART", "sheet=2", "2");
+    let request = engines.next_line();
+    request.reply("HIT", "sheets=4", "0");
+    let fetches: Vec<ReceivedLine> = (0..3).map(|_| engines.next_line()).collect();
+    let mut trace: Vec<String> = fetches.iter().map(|seen| seen.line.clone()).collect();
+    fetches[2].reply("PART", "sheet=3", "3");
+    fetches[2].reply("PART", "sheet=9", "9");
+    fetches[0].reply("PART", "sheet=1", "1");
+    fetches[0].reply("PART", "sheet=1", "again");
+    fetches[1].reply("PART", "sheet=2", "2");
     trace.push(client.next_answer());
     trace.push(engines.next_line().line);
+    // The engine fails instead of sending the second page.
     client.submit(2, "load", 5000);
     engines.next_line().reply("HIT", "sheets=2", "0");
     let page = engines.next_line();
@@ -42,8 +43,9 @@
     engines.expect_no_line();
 }
 
+/// A page of more than 6000 bytes violates the engine protocol. The job fails and none of the rows are passed on.
 #[test]
-fn a_result_page_over_the_limit_is_not_passed_on() {
+fn a_result_page_over_the_size_limit_is_not_passed_on() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
 
     client.submit(1, "load", 5000);
@@ -52,8 +54,8 @@
     expect!["1: Failed why=cancelled"].assert_eq(&client.next_answer());
 }
 
-/// An answer that is malformed, or stops in the middle while its connection stays open, never completes a job; nothing
-/// more is sent on that connection, and dispatches on others go on.
+/// An answer that is malformed, or incomplete while its connection stays open, must not complete a job, and no later
+/// dispatch may use its connection. Dispatches on other connections must not be affected.
 #[test]
 fn a_malformed_engine_answer_closes_only_its_own_connection() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
@@ -93,6 +95,8 @@
     .assert_eq(&trace);
 }
 
+/// An answer with the id of no dispatch in flight, or a second one with the same id, must not be taken for the answer
+/// to another job.
 #[test]
 fn duplicate_and_unknown_engine_answers_are_dropped() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
--- a/crates/server/tests/server/shutdown.rs
+++ b/crates/server/tests/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown. Rule 1: every request that was accepted, or is on its way, is answered.
+//! Graceful shutdown: every request that was accepted, or is on its way when the shutdown begins, is answered (rule 1).
 
 use crate::support::SingleEngine;
 use crate::support::config::ProgramConfig;
@@ -12,7 +12,8 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Told to stop, the program is no longer healthy but answers all that it has accepted, and what still arrives.
+/// From SIGTERM on, the program reports that it is not healthy, but goes on until the jobs that it has admitted, and
+/// those that still arrive, are answered. An earlier exit would lose these answers.
 #[test]
 fn a_graceful_shutdown_answers_every_accepted_request() {
     let SingleEngine { engines, bus: _bus, mut program, mut client } = SingleEngine::start();
@@ -20,9 +21,9 @@
     client.submit(1, "lookup", 9000);
     let first = engines.next_line();
     client.submit(2, "load", 9000);
-    let _never = engines.next_line();
+    let _unanswered_load = engines.next_line();
     client.submit(3, "lookup", 9000);
-    let _neither = engines.next_line();
+    let _unanswered_lookup = engines.next_line();
     program.signal("TERM");
     let mut other = program.connect();
     let mut trace = String::new();
@@ -51,9 +52,9 @@
     .assert_eq(&trace);
 }
 
-/// After SIGTERM new connections and requests are served for a second. What arrives after that, but before the program
-/// has ended, is answered too: here what the system holds while the program is suspended, on an idle connection and on
-/// one that was never accepted.
+/// For a second after SIGTERM, connections and requests are accepted. Requests that arrive later, but before the
+/// program closes their connections, must not be lost either. Here they arrive while the program is suspended, on an
+/// idle connection and on one that is not accepted yet.
 #[test]
 fn requests_that_arrive_at_the_end_of_a_shutdown_are_answered() {
     let SingleEngine { engines, bus: _bus, mut program, client: mut idle } = SingleEngine::start();
@@ -66,6 +67,7 @@
     program.signal("TERM");
     program.wait_for_log("graceful shutdown started");
     let mut new = program.while_suspended(|| {
+        // Longer than the second in which connections are accepted.
         std::thread::sleep(Duration::from_millis(1300));
         old.submit(2, "lookup", 20_000);
         let mut new = program.connect();
@@ -73,7 +75,7 @@
         new
     });
     let mut seen = [engines.next_line(), engines.next_line()];
-    // A client with no open request is disconnected, while the others wait for their answers.
+    // The connection without an open request is closed while the others wait for their answers.
     assert_eq!(idle.next_answer(), "closed");
     seen.sort_by_key(|seen| seen.field(1).to_string());
     seen[0].reply("HIT", "-", "old");
@@ -90,8 +92,8 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// A connection that was accepted during a shutdown and has not carried a request yet stays open for its first one as
-/// long as the shutdown allows: closing it would lose a request that is on its way.
+/// A connection that was accepted during the shutdown may be idle only because its first request is still on its way.
+/// It must stay open for that request, up to the time by which all jobs are answered, or the request would be lost.
 #[test]
 fn a_new_connection_may_send_its_first_request_during_a_shutdown() {
     let SingleEngine { engines, bus: _bus, mut program, client: mut idle } = SingleEngine::start();
@@ -101,7 +103,7 @@
     program.signal("TERM");
     program.wait_for_log("graceful shutdown started");
     let mut fresh = program.connect();
-    // The shutdown has come to the point from which it closes idle connections, and has checked every connection.
+    // The shutdown now closes idle connections, and soon has checked all of them.
     assert_eq!(idle.next_answer(), "closed");
     std::thread::sleep(Duration::from_millis(100));
     fresh.submit(2, "lookup", 20_000);
@@ -122,16 +124,16 @@
     .assert_eq(&trace.join("\n"));
 }
 
-/// A request that crosses the close at the end of a shutdown finds the end of the connection, not a reset: what was
-/// answered before can still be read.
+/// A client may send a request at the moment when a shutdown closes its connection. It has to find the regular end of
+/// the connection, not a reset, which would make it lose answers that it has not read yet.
 #[test]
-fn a_closed_connection_is_read_until_its_client_has_left() {
+fn a_closed_connection_is_read_until_its_client_closes_it() {
     let SingleEngine { engines: _engines, bus: _bus, mut program, mut client } = SingleEngine::start();
 
     client.request_health(1);
     program.signal("TERM");
     client.read_to_end().unwrap();
-    // The program's side has ended; what still comes from here is read and dropped until this side ends, too.
+    // The program has shut down its side. It reads and discards requests until the client closes the connection.
     client.submit(2, "lookup", 9000);
     client.submit(3, "lookup", 9000);
     assert!(program.is_running());
@@ -140,7 +142,8 @@
     assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
 }
 
-/// Answers that a slow client has not read when the program is told to stop still reach it complete.
+/// A client has not read all its answers when the shutdown begins. If the program exited, or closed the connection,
+/// before it has written the ones that it buffers, the client would lose them.
 #[test]
 fn a_shutdown_waits_for_a_client_that_reads_slowly() {
     let SingleEngine { engines, bus: _bus, mut program, client: mut idle } = SingleEngine::start();
@@ -149,7 +152,7 @@
     assert_eq!(idle.next_answer(), "1: well true");
     let mut slow = program.connect_with_small_buffers();
     let rows = "x".repeat(5_900);
-    // More than the system buffers for a connection: the program has to buffer the rest.
+    // More answers than the system buffers for the connection: the program has to buffer the rest.
     leave_answers_unread(&engines, &program, &mut slow, &rows);
     program.signal("TERM");
     assert_eq!(idle.next_answer(), "closed");
@@ -163,8 +166,8 @@
     assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
 }
 
-/// The event bus moves while the program answers what it accepted before it was told to stop, and a second signal to
-/// stop changes nothing.
+/// During a shutdown, while a job is still open, the address of the event bus changes, and further signals to stop are
+/// received. The program must connect to the new bus, and the signals must not end it before the job is answered.
 #[test]
 fn the_configuration_may_be_reloaded_during_a_shutdown() {
     let (engines, mut bus, mut new_bus) =
@@ -191,8 +194,9 @@
     assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
 }
 
-/// Dispatches on unresponsive engines are cancelled, and their jobs answered, before the program ends: clients hear
-/// that at once, not after the engine was told.
+/// An engine does not answer before the time by which a shutdown must have answered all jobs. The program has to cancel
+/// the dispatches and answer the jobs before it exits. If it waited first until the cancellations are written to the
+/// engine, the answers could be too late.
 #[test]
 fn a_shutdown_answers_jobs_on_unresponsive_engines_before_it_ends() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
@@ -202,16 +206,17 @@
 
     program.signal("TERM");
     program.wait_for_log("graceful shutdown started");
-    let stopping = Instant::now();
+    let shutdown_began = Instant::now();
     std::thread::sleep(Duration::from_millis(700));
     for (message, class) in [(1, "lookup"), (2, "load")] {
         client.submit(message, class, 800);
         engines.next_line();
     }
-    // All that is open is to be answered 1.2 s after the signal, and the program ends at 1.4 s: it finds the first of
-    // these times past for the controller and for its clients' connections at once.
-    let answered = Duration::from_millis(1215);
-    program.while_suspended(|| std::thread::sleep(answered.saturating_sub(stopping.elapsed())));
+    // All jobs must be answered 1.2 s after the signal, and the program exits at 1.4 s. It is suspended beyond the
+    // first of these times, so that the controller and the thread of the client connections find it passed
+    // simultaneously.
+    let resume_after = Duration::from_millis(1215);
+    program.while_suspended(|| std::thread::sleep(resume_after.saturating_sub(shutdown_began.elapsed())));
     let mut answers = [client.next_answer(), client.next_answer()];
     answers.sort();
     expect![[r"
@@ -224,8 +229,8 @@
     assert_eq!(program.wait_for_exit().to_string(), "exit status: 0");
 }
 
-/// SIGTERM and SIGHUP come while the first configuration is still being read: the program starts, serves what arrives
-/// in the first second of the shutdown and ends with status 0.
+/// SIGTERM and SIGHUP are received while the program still reads its configuration for the first time. Without handlers
+/// they would kill it; it has to start, shut down gracefully and exit with status 0.
 #[test]
 fn a_signal_before_the_program_listens_shuts_it_down_gracefully() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
@@ -236,14 +241,14 @@
     std::fs::remove_file(&file).unwrap();
     assert!(Command::new("mkfifo").arg(&file).status().unwrap().success());
     let child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
-    // Its signals are waited for before it opens the configuration.
+    // Blocks until the program opens the configuration, which it does after it has installed its signal handlers.
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&file).unwrap();
     for signal in ["HUP", "TERM", "HUP"] {
         send_signal(child.id(), signal);
     }
     std::io::Write::write_all(&mut pipe, text.as_bytes()).unwrap();
     drop(pipe);
-    // A reload reads the file again, which is a plain one by now.
+    // A reload reads the file again, so the pipe is replaced by a regular file.
     std::fs::remove_file(&file).unwrap();
     std::fs::write(&file, &text).unwrap();
     let output = child.wait_with_output().unwrap();
@@ -265,17 +270,17 @@
     ));
 }
 
-/// The handler of a signal wakes a thread over a socket, and that call may be interrupted. A stop that is told then is
-/// heard all the same.
+/// The handler of SIGTERM wakes a thread through a socket. If that write is interrupted, the wake-up is lost, and the
+/// shutdown must begin without it.
 #[test]
-fn a_stop_is_heard_though_its_wake_up_is_lost() {
+fn a_shutdown_begins_even_if_the_wake_up_of_its_signal_is_lost() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let FaultyProgram { mut program, faults } =
         Program::start_with_faults(ProgramConfig::new(&engines, &bus.address));
 
     faults.set_rate(FaultKind::InterruptNonTcp, 1.0).unwrap();
     program.signal("TERM");
-    // The handler has run by then.
+    // After this time the handler has run.
     std::thread::sleep(Duration::from_millis(100));
     faults.set_rate(FaultKind::InterruptNonTcp, 0.0).unwrap();
 
--- a/crates/server/tests/server/start_time_converter.rs
+++ b/crates/server/tests/server/start_time_converter.rs
@@ -1,4 +1,6 @@
-//! Rule 4 rests on engines' ages: start times, stamped by wall clocks that are stepped, on the monotonic clock.
+//! Conversion of engines' start times, which were taken with a wall clock, to the monotonic clock. Wall clocks may be
+//! stepped, and a wrong start time gives an engine a wrong age (rule 4): an engine that seems older than it is gets
+//! more load than it can handle.
 
 use expect_test::expect;
 use pebblevane::time::Timestamp;
@@ -6,34 +8,41 @@
 use pebblevane_server::discovery::start_time_converter::StartTimeConverter;
 use std::fmt::Write as _;
 
-/// In microseconds.
-const SECOND: i64 = 1_000_000;
+/// One second in microseconds, the unit of [`Timestamp`] and [`UnixTime`].
+const SECOND_US: i64 = 1_000_000;
 
-/// What the wall clock shows over the monotonic one before any step.
-const WALL: i64 = 1_700_000_000 * SECOND;
+/// The wall-clock time minus the monotonic time before any step.
+const WALL_OFFSET_US: i64 = 1_700_000_000 * SECOND_US;
 
-const NOW: i64 = 500 * SECOND;
+/// The monotonic time at which start times are converted.
+const NOW_US: i64 = 500 * SECOND_US;
 
-/// How old an engine is by a clock that began at second 400, was stepped at second 497 and is read at second 500, if
-/// its stamp was `ago` seconds before that by a wall clock `stamped` seconds ahead of the first one.
-fn age(steps: &[i64], stamped: i64, ago: i64, complete: Option<i64>) -> f64 {
+/// The age, in seconds, of an engine that started `ago` seconds before second 500 of the monotonic clock, when its
+/// start time is converted. The start time was taken with a wall clock that was `engine_step` seconds ahead of this
+/// machine's at second 400. This machine's wall clock has these offsets from second 497 on, one each second, in
+/// seconds. The endpoint list was last complete without the start at second `complete`.
+fn age(own_steps: &[i64], engine_step: i64, ago: i64, complete: Option<i64>) -> f64 {
     let mut converter = StartTimeConverter::default();
-    converter.record_clocks(Timestamp(400 * SECOND), UnixTime(WALL + 400 * SECOND));
-    for (at, step) in (497..).zip(steps) {
-        converter.record_clocks(Timestamp(at * SECOND), UnixTime(WALL + (at + step) * SECOND));
+    converter.record_clocks(Timestamp(400 * SECOND_US), UnixTime(WALL_OFFSET_US + 400 * SECOND_US));
+    for (at, step) in (497..).zip(own_steps) {
+        converter
+            .record_clocks(Timestamp(at * SECOND_US), UnixTime(WALL_OFFSET_US + (at + step) * SECOND_US));
     }
-    let stamp = UnixTime(WALL + NOW + (stamped - ago) * SECOND);
-    let started = converter.start_time(stamp, Timestamp(NOW), complete.map(|at| Timestamp(at * SECOND)));
-    (Timestamp(NOW) - started).as_millis_f64() / 1000.0
+    let wall_start = UnixTime(WALL_OFFSET_US + NOW_US + (engine_step - ago) * SECOND_US);
+    let started =
+        converter.start_time(wall_start, Timestamp(NOW_US), complete.map(|at| Timestamp(at * SECOND_US)));
+    (Timestamp(NOW_US) - started).as_millis_f64() / 1000.0
 }
 
+/// A step of either wall clock must not make an engine seem much older than it is: a start is listed within 10 s, so an
+/// earlier one is not plausible. The age may be underestimated.
 #[test]
 fn an_engines_age_survives_steps_of_either_wall_clock() {
     let mut trace = String::new();
     for step in [0, 5, -5, 3600, -3600] {
-        // This machine's clock and the stamping one were stepped together, or one of them alone.
-        for (what, own, stamped) in [("both", step, step), ("own", step, 0), ("other", 0, step)] {
-            let ages = [1, 2, 8, 20].map(|ago| age(&[own], stamped, ago, Some(499)));
+        // This machine's clock and the one that the start time is taken with are stepped together, or only one of them.
+        for (what, own_step, engine_step) in [("both", step, step), ("own", step, 0), ("other", 0, step)] {
+            let ages = [1, 2, 8, 20].map(|ago| age(&[own_step], engine_step, ago, Some(499)));
             writeln!(trace, "step {step:>5} {what:<5} of 1, 2, 8, 20 s: {ages:?}").unwrap();
         }
     }
@@ -58,16 +67,17 @@
     .assert_eq(&trace);
 }
 
-/// So it is at the program's start; times in the future count as now.
+/// At the program's start the list has not been complete before, so a start may be any time ago: its time is converted
+/// as it is, and only times in the future count as now.
 #[test]
-fn start_times_are_taken_as_stamped_before_a_complete_list() {
+fn start_times_have_no_minimum_before_the_list_is_complete() {
     let ages = [-3600, -1, 0, 20, 3600].map(|ago| age(&[], 0, ago, None));
 
     expect!["[0.0, 0.0, 0.0, 20.0, 3600.0]"].assert_eq(&format!("{ages:?}"));
 }
 
 #[test]
-fn a_start_time_converter_retains_only_the_last_steps() {
+fn a_start_time_converter_still_knows_the_latest_of_many_steps() {
     let steps: Vec<i64> = (0..40).map(|step| step * 7).collect();
 
     expect!["1.0"].assert_eq(&format!("{:.1}", age(&steps, 39 * 7, 1, Some(499))));
