--- a/crates/server/tests/server/connection_pool.rs
+++ b/crates/server/tests/server/connection_pool.rs
@@ -60,7 +60,7 @@
     let registry = start_registry();
 
     let mut trace = String::new();
-    for what in ["wanted", "left", "late"] {
+    for case in ["client waits", "client disconnected", "too late"] {
         let unaccepting = UnacceptingEngine::start();
         let engine = EngineHandle::new(&registry, "e0", unaccepting.address.parse().unwrap());
         let liveness = Arc::new(CancellationToken::default());
@@ -69,40 +69,40 @@
             id: "0123456789abcdef".into(),
             class: "load".into(),
             deadline,
-            begin_by: if what == "late" { clock::now() + LATE_BEGIN_TIMEOUT } else { deadline },
+            begin_by: if case == "too late" { clock::now() + LATE_BEGIN_TIMEOUT } else { deadline },
             liveness: liveness.clone(),
             ledger: Arc::new(DispatchLedger::new("0123456789abcdef", RetrySafety::RunOnce, deadline)),
             priority: None,
             statement: b"select 1".as_slice().into(),
         };
         let dispatch: DispatchHandle = engine.send(request);
-        match what {
-            "left" => liveness.cancel(),
+        match case {
+            "client disconnected" => liveness.cancel(),
             // Longer than LATE_BEGIN_TIMEOUT.
-            "late" => std::thread::sleep(Duration::from_millis(150)),
+            "too late" => std::thread::sleep(Duration::from_millis(150)),
             _ => {}
         }
         let mut stream = unaccepting.accept();
-        let event = if what == "wanted" {
-            "out".to_string()
+        let event = if case == "client waits" {
+            "sent".to_string()
         } else {
             format!("{:?}", dispatch.events.recv_timeout(RECEIVE_TIMEOUT).unwrap())
         };
         let mut word = [0; 3];
-        let read = if what == "wanted" { stream.read(&mut word).unwrap() } else { 0 };
+        let read = if case == "client waits" { stream.read(&mut word).unwrap() } else { 0 };
         engine.engine_removed();
         drop(dispatch);
-        if what != "wanted" {
+        if case != "client waits" {
             // The pool closes the connection of the removed engine. Nothing was written on it.
             assert_eq!(stream.read(&mut word).unwrap_or(0), 0);
         }
-        writeln!(trace, "{what}: {event}, {:?} read", String::from_utf8_lossy(&word[..read])).unwrap();
+        writeln!(trace, "{case}: {event}, {:?} read", String::from_utf8_lossy(&word[..read])).unwrap();
     }
 
     expect![[r#"
-        wanted: out, "REQ" read
-        left: Lost { status: Unreachable, engine_reachable: true }, "" read
-        late: Lost { status: Unreachable, engine_reachable: true }, "" read
+        client waits: sent, "REQ" read
+        client disconnected: Lost { status: Unreachable, engine_reachable: true }, "" read
+        too late: Lost { status: Unreachable, engine_reachable: true }, "" read
     "#]]
     .assert_eq(&trace);
 }
--- a/crates/server/tests/server/dispatch_outcomes.rs
+++ b/crates/server/tests/server/dispatch_outcomes.rs
@@ -17,8 +17,8 @@
     /// Ends a dispatch in the way that `what` names.
     fn end(what: &str, seen: &ReceivedLine) {
         match what {
-            "full" => seen.reply("SHED", "-", ""),
-            "over" => seen.reply("LATE", "-", ""),
+            "overloaded" => seen.reply("SHED", "-", ""),
+            "expired" => seen.reply("LATE", "-", ""),
             "error" => seen.reply("FAULT", "-", ""),
             "reset" => seen.close_connection(),
             "garbage" => seen.send_raw(b"what?\r\n"),
@@ -46,24 +46,24 @@
             format!("{what} {class}: {again}, {}\n", answer.join().unwrap())
         }
     };
-    let ends = ["full", "over", "error", "reset", "garbage", "head only"];
+    let ends = ["overloaded", "expired", "error", "reset", "garbage", "first page only"];
     let cases = ends.iter().flat_map(|what| [(what, "lookup"), (what, "load")]);
     let runs: Vec<_> = cases.map(|(what, class)| std::thread::spawn(run(what, class))).collect();
     let trace: String = runs.into_iter().map(|run| run.join().unwrap()).collect();
 
     expect![[r"
-        full lookup: sent again, 1: Busy w=1000
-        full load: sent again, 1: Busy w=1000
-        over lookup: sent once, 1: Busy w=1000
-        over load: sent once, 1: Busy w=1000
+        overloaded lookup: sent again, 1: Busy w=1000
+        overloaded load: sent again, 1: Busy w=1000
+        expired lookup: sent once, 1: Busy w=1000
+        expired load: sent once, 1: Busy w=1000
         error lookup: sent again, 1: Busy w=1000
         error load: sent once, 1: Failed why=cancelled
         reset lookup: sent again, 1: Busy w=1000
         reset load: sent once, 1: Failed why=cancelled
         garbage lookup: sent again, 1: Busy w=1000
         garbage load: sent once, 1: Failed why=cancelled
-        head only lookup: sent again, 1: Busy w=1000
-        head only load: sent once, 1: Failed why=cancelled
+        first page only lookup: sent again, 1: Busy w=1000
+        first page only load: sent once, 1: Failed why=cancelled
     "]]
     .assert_eq(&trace);
 }
@@ -101,7 +101,7 @@
     client.submit(3, "load", 9000);
     let third = engines.next_line();
     trace.push(format!(
-        "beside: {} {}",
+        "shares the unanswered connection: {}, the other one: {}",
         third.shares_connection_with(&silent),
         third.shares_connection_with(&other)
     ));
@@ -113,7 +113,7 @@
 
     expect![[r"
         2: Failed why=cancelled
-        beside: false false
+        shares the unanswered connection: false, the other one: false
         3: done later\tb\tc\n
         1: done in time\tb\tc\n"]]
     .assert_eq(&trace.join("\n"));
--- a/crates/server/tests/server/engine_connections.rs
+++ b/crates/server/tests/server/engine_connections.rs
@@ -128,7 +128,7 @@
         trace.push(client.next_answer());
         client.submit(2, "lookup", 9000);
         let new = engines.next_line();
-        trace.push(format!("{} beside {}", new.field(0), new.shares_connection_with(&old)));
+        trace.push(format!("{} on the old connection: {}", new.field(0), new.shares_connection_with(&old)));
         // The same start time once more changes nothing.
         let mut again = endpoint("e0", &engines.addresses[0], IN_SERVICE);
         again["startedAtMs"] = json!(unix.as_millis() as i64 + stepped_ms);
@@ -141,11 +141,11 @@
 
     expect![[r"
         1: Failed why=cancelled
-        REQ beside false
+        REQ on the old connection: false
         3: well true
         2: done from the new process\tb\tc\n
         1: Failed why=cancelled
-        REQ beside false
+        REQ on the old connection: false
         3: well true
         2: done from the new process\tb\tc\n"]]
     .assert_eq(&trace.join("\n"));
--- a/crates/server/tests/server/event_bus.rs
+++ b/crates/server/tests/server/event_bus.rs
@@ -47,7 +47,7 @@
     writeln!(trace, "after a gap: {}", bus.next_subscription()).unwrap();
     bus.send_update(3, &[endpoint("e0", &engines.addresses[0], TERMINATING)]);
     bus.disconnect();
-    writeln!(trace, "after a cut: {}", bus.next_subscription()).unwrap();
+    writeln!(trace, "after a disconnect: {}", bus.next_subscription()).unwrap();
     writeln!(trace, "e0 drains: engine {}", engine_of_next_job(&engines)).unwrap();
     // Event 4 is missing. If it is missing again after the reconnect, the bus no longer has it, and it is skipped.
     bus.send_line(&update_event(5, &[]).to_string());
@@ -66,7 +66,7 @@
         at the start: engine 0
         from 1
         after a gap: from 2
-        after a cut: from 3
+        after a disconnect: from 3
         e0 drains: engine 1
         after a gap: from 3
         after the same gap: from 5
--- a/crates/server/tests/server/limits.rs
+++ b/crates/server/tests/server/limits.rs
@@ -274,8 +274,8 @@
     }
     let busy = answers.iter().filter(|answer| answer.contains(": Busy")).count();
 
-    expect!["few threads, 300 of 300 turned away"]
-        .assert_eq(&format!("{} threads, {busy} of {JOBS} turned away", few_or_count(max_threads)));
+    expect!["few threads, 300 of 300 rejected"]
+        .assert_eq(&format!("{} threads, {busy} of {JOBS} rejected", few_or_count(max_threads)));
 }
 
 /// After a burst of jobs, the threads that it needed must end although single jobs continue to arrive. If idle threads
@@ -306,8 +306,8 @@
         message += 1;
     }
 
-    expect!["true, then few"].assert_eq(&format!(
-        "{}, then {}",
+    expect!["a thread for each job: true, threads after the burst: few"].assert_eq(&format!(
+        "a thread for each job: {}, threads after the burst: {}",
         burst_threads >= BURST as usize,
         few_or_count(program.thread_count())
     ));
