--- a/crates/server/tests/server/client_connections.rs
+++ b/crates/server/tests/server/client_connections.rs
@@ -15,7 +15,7 @@
 
 /// Malformed input ends only its own connection. Others stay open, and jobs submitted there are still answered.
 #[test]
-fn a_connection_with_malformed_input_is_closed_alone() {
+fn malformed_input_closes_only_its_own_connection() {
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
 
     client.submit(1, "lookup", 9000);
--- a/crates/server/tests/server/engine_connections.rs
+++ b/crates/server/tests/server/engine_connections.rs
@@ -16,7 +16,7 @@
 /// A dispatch that waits for a connection is sent on the next free one, unless its engine has begun to drain meanwhile.
 /// Its job must then be sent to another engine at once, rather than after the wait for a connection.
 #[test]
-fn a_dispatch_waiting_for_a_connection_goes_elsewhere_when_its_engine_drains() {
+fn a_job_waiting_for_a_connection_is_sent_to_another_engine_if_its_engine_drains() {
     let (engines, mut bus) = (EngineStandIns::start(2), EventBusStandIn::start());
     let engine = |i: usize, state: &str| endpoint(&format!("e{i}"), &engines.addresses[i], state);
     // Up to eight connections to an engine, with one job on each. The wait for a connection ends after nine seconds.
@@ -67,7 +67,7 @@
         client.submit(message + 4, "lookup", 9000);
         let stale = engines.next_line();
         let again_used = used.iter().any(|seen| seen.shares_connection_with(&stale));
-        assert!(again_used || round > 0, "idle connections are reused before one was stale");
+        assert!(again_used || round > 0, "an idle connection was not reused although none was stale");
         stale.close_connection();
         let again = engines.next_line();
         again.reply("HIT", "-", "");
@@ -81,7 +81,7 @@
         again_used && !used.iter().any(|seen| seen.shares_connection_with(&fresh))
     });
 
-    assert!(observed, "idle connections are reused after one of them was stale");
+    assert!(observed, "idle connections were reused after one of them was stale");
 }
 
 /// A machine that has vanished leaves its connections open and silent. Jobs on them would wait for an answer until
@@ -129,7 +129,7 @@
         client.submit(2, "lookup", 9000);
         let new = engines.next_line();
         trace.push(format!("{} on the old connection: {}", new.field(0), new.shares_connection_with(&old)));
-        // The same start time once more changes nothing.
+        // An event with the same start time is no further restart.
         let mut again = endpoint("e0", &engines.addresses[0], IN_SERVICE);
         again["startedAtMs"] = json!(unix.as_millis() as i64 + stepped_ms);
         bus.send_update(3, &[again]);
--- a/crates/server/tests/server/event_bus.rs
+++ b/crates/server/tests/server/event_bus.rs
@@ -110,7 +110,7 @@
 /// the protocol gives each offset to only one event. These must be ignored, or the program would revert to an older
 /// list and, above all, dispatch jobs to engines that drain.
 #[test]
-fn an_event_bus_with_lower_offsets_reverts_nothing() {
+fn events_with_lower_offsets_revert_nothing() {
     let SingleEngine { engines, mut bus, program, mut client } = SingleEngine::start();
 
     bus.send_update(2, &[endpoint("e1", "127.0.0.1:1", IN_SERVICE)]);
--- a/crates/server/tests/server/limits.rs
+++ b/crates/server/tests/server/limits.rs
@@ -1,5 +1,5 @@
-//! The program stays within its limits of descriptors, memory and threads, and evicts the state of engines and clients
-//! that are gone.
+//! The program stays within its limits of descriptors, memory and threads, and evicts the state of removed engines
+//! and disconnected clients.
 
 use crate::support::SingleEngine;
 use crate::support::client::Client;
@@ -185,10 +185,13 @@
     expect!["few|1: done |few|2: done |few"].assert_eq(&observed.join("|"));
 }
 
-/// Engines with new ids and clients on new connections come and go continually. If the state of those that are gone
-/// were kept, the number of threads and descriptors, or the memory, would grow without limit.
+/// Engines with new ids are listed and removed, and clients connect and disconnect, many times. If their state were
+/// kept, the number of threads and descriptors, or the memory, would grow without limit.
 #[test]
-fn state_of_gone_engines_and_clients_is_evicted() {
+fn state_of_removed_engines_and_disconnected_clients_is_evicted() {
+    /// How much more may be in use at the end than at the first measurement, in threads, descriptors and MiB: the state
+    /// of the last engines and clients may still be kept.
+    const MAX_GROWTH: [usize; 3] = [40, 40, 4];
     let SingleEngine { engines, mut bus, program, client: _idle } = SingleEngine::start();
 
     let usage = || [program.thread_count(), program.descriptor_count(), program.resident_kb() / 1024];
@@ -210,18 +213,17 @@
     client.submit(1, "lookup", 9000);
     engines.complete(1);
     assert_eq!(client.next_answer(), "1: done ");
-    // Threads, descriptors and MiB: the state of the last ones that are gone may still be kept.
     let [first, .., last] = seen[..] else { panic!("no usage was recorded") };
-    let most = [first[0] + 40, first[1] + 40, first[2] + 4];
+    let max: Vec<usize> = first.iter().zip(MAX_GROWTH).map(|(first, growth)| first + growth).collect();
 
-    assert!(last.iter().zip(most).all(|(last, most)| *last <= most), "{seen:?}");
+    assert!(last.iter().zip(max).all(|(last, max)| *last <= max), "{seen:?}");
 }
 
 /// Idle clients use all descriptors for clients while the event bus is disconnected. If they also used those reserved
 /// for the bus and for engines, the program could neither reconnect to the bus nor send a job to an engine that it
 /// lists.
 #[test]
-fn idle_clients_leave_descriptors_to_the_event_bus_and_engines() {
+fn idle_clients_leave_descriptors_free_for_the_event_bus_and_engines() {
     let (mut engines, mut bus) = (EngineStandIns::start(1), EventBusStandIn::start());
     let config = ProgramConfig::new(&engines, &bus.address).socket_limit(120);
     let program = Program::start_with_descriptor_limit(config, 120);
@@ -281,7 +283,7 @@
 /// After a burst of jobs, the threads that it needed must end although single jobs continue to arrive. If idle threads
 /// got these jobs in turn, none of them would reach its idle timeout.
 #[test]
-fn threads_of_a_burst_end_while_jobs_go_on() {
+fn threads_of_a_burst_end_while_jobs_continue() {
     /// The number of jobs that are open at the same time.
     const BURST: u32 = 60;
     const JOBS_PER_CLIENT: u32 = 30;
--- a/crates/server/tests/server/support/client.rs
+++ b/crates/server/tests/server/support/client.rs
@@ -66,6 +66,7 @@
         encode::write_uint(&mut bytes, message.into()).unwrap();
         self.send_raw(&bytes);
     }
+    /// Closes the connection in both directions.
     pub fn disconnect(&self) {
         let _ = self.reader.get_ref().shutdown(Shutdown::Both);
     }
--- a/crates/server/tests/server/support/config.rs
+++ b/crates/server/tests/server/support/config.rs
@@ -46,9 +46,11 @@
     pub fn known_endpoints(self, endpoints: &[Json]) -> ProgramConfig {
         self.set("/known/batch", json!([snapshot_event(1, endpoints)]))
     }
+    /// The limits of processor cores, memory and file descriptors.
     pub fn limits(self, cores: f64, memory_mb: u32, sockets: u32) -> ProgramConfig {
         self.set("/limits", json!({"cores": cores, "memory_mb": memory_mb, "sockets": sockets}))
     }
+    /// The limit of file descriptors.
     pub fn socket_limit(self, sockets: u32) -> ProgramConfig {
         self.set("/limits/sockets", json!(sockets))
     }
@@ -61,6 +63,7 @@
     pub fn jobs_per_connection(self, jobs: u32) -> ProgramConfig {
         self.set("/settings/Ceilings/StreamsPerConn", json!(jobs))
     }
+    /// The clock tick. A job without a result gets its final answer two ticks before its deadline.
     pub fn timer_tick_ms(self, tick: f64) -> ProgramConfig {
         self.set("/settings/Tick", json!(tick))
     }
--- a/crates/server/tests/server/support/event_bus.rs
+++ b/crates/server/tests/server/support/event_bus.rs
@@ -34,8 +34,8 @@
     pub fn start() -> EventBusStandIn {
         EventBusStandIn::listen("127.0.0.1:0", 1)
     }
-    /// Listens at this address. Heartbeats contain this offset as the last one, until [`EventBusStandIn::send_snapshot`]
-    /// or [`EventBusStandIn::send_update`] sends an event with a higher one.
+    /// Listens at this address. Heartbeats contain this offset as the last one, until
+    /// [`EventBusStandIn::send_snapshot`] or [`EventBusStandIn::send_update`] sends an event with a higher one.
     pub fn listen(address: &str, last_offset: u64) -> EventBusStandIn {
         let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap().to_string();
@@ -47,7 +47,7 @@
                 let mut line = String::new();
                 let _ = BufReader::new(&stream).read_line(&mut line);
                 let (mut heartbeats, offset) = (stream.try_clone().unwrap(), heartbeat_offset.clone());
-                // Sent before the test can send an event: it tells the program that its list is complete up to then.
+                // Sent before the test can send an event: it shows the program that its list is complete.
                 if send_heartbeat(&mut heartbeats, &offset) {
                     std::thread::spawn(move || send_heartbeats(heartbeats, &offset));
                 }
--- a/crates/server/tests/server/support/unread_answers.rs
+++ b/crates/server/tests/server/support/unread_answers.rs
@@ -6,21 +6,21 @@
 
 /// The number of answers that are left unread: more than the system buffers for a connection with small buffers.
 pub const UNREAD_ANSWERS: u32 = 100;
-/// How many of the jobs are open at the same time. More than one, so that all are answered quickly even on a busy
+/// How many of these jobs are open at the same time: more than one, so that all are answered quickly even on a busy
 /// machine: a client that has not read its answers for two seconds is disconnected.
-const OPEN_AT_A_TIME: u32 = 4;
+const JOBS_OPEN_AT_A_TIME: u32 = 4;
 /// The message number of the first job.
 const FIRST_MESSAGE: u32 = 100;
 const END_MESSAGE: u32 = FIRST_MESSAGE + UNREAD_ANSWERS;
 
 /// Submits and completes [`UNREAD_ANSWERS`] jobs of this client with these rows. The client reads none of the answers.
 pub fn leave_answers_unread(engines: &EngineStandIns, program: &Program, slow: &mut Client, rows: &str) {
-    for first in (FIRST_MESSAGE..END_MESSAGE).step_by(OPEN_AT_A_TIME as usize) {
-        let messages = first..first + OPEN_AT_A_TIME;
+    for first in (FIRST_MESSAGE..END_MESSAGE).step_by(JOBS_OPEN_AT_A_TIME as usize) {
+        let messages = first..first + JOBS_OPEN_AT_A_TIME;
         messages.clone().for_each(|message| slow.submit(message, "lookup", 20_000));
         messages.for_each(|_| engines.next_line().reply("HIT", "-", rows));
     }
-    wait_until_answered(engines, program, END_MESSAGE - OPEN_AT_A_TIME..END_MESSAGE);
+    wait_until_answered(engines, program, END_MESSAGE - JOBS_OPEN_AT_A_TIME..END_MESSAGE);
 }
 
 /// Waits until the program has answered the jobs with these message numbers. It rejects the id of an open request, so
