--- a/crates/server/tests/server/cancellation.rs
+++ b/crates/server/tests/server/cancellation.rs
@@ -62,9 +62,9 @@
     client.request_health(98);
     assert_eq!(client.next_answer(), "98: well true");
     other.submit(50, "load", 9000);
-    let seen = engines.next_line();
-    assert_eq!((seen.field(0), seen.field(1)), ("REQ", &*wire_id(50)));
-    seen.reply("HIT", "-", "");
+    let received = engines.next_line();
+    assert_eq!((received.field(0), received.field(1)), ("REQ", &*wire_id(50)));
+    received.reply("HIT", "-", "");
     assert_eq!(other.next_answer(), "50: done ");
     engines.expect_no_line();
 }
@@ -133,8 +133,8 @@
     });
     program.wait_for_log("endpoint list changed event=3 ");
     let mut sent = 0;
-    while let Some(seen) = engines.next_line_if_soon() {
-        sent += u32::from(seen.field(0) == "REQ");
+    while let Some(received) = engines.next_line_if_soon() {
+        sent += u32::from(received.field(0) == "REQ");
     }
 
     expect!["0 of 24 sent"].assert_eq(&format!("{sent} of {JOBS} sent"));
--- a/crates/server/tests/server/client_connections.rs
+++ b/crates/server/tests/server/client_connections.rs
@@ -19,7 +19,7 @@
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
 
     client.submit(1, "lookup", 9000);
-    let seen = engines.next_line();
+    let received = engines.next_line();
     let mut trace = String::new();
     for (what, bytes) in [
         ("text", &b"GET / HTTP/1.1\r\n\r\n"[..]),
@@ -33,7 +33,7 @@
         other.send_raw(bytes);
         writeln!(trace, "{what}: {}", other.next_answer()).unwrap();
     }
-    seen.reply("HIT", "-", "still here");
+    received.reply("HIT", "-", "still here");
     trace += &client.next_answer();
 
     expect![[r"
@@ -63,8 +63,8 @@
             }
         }
         for _ in 0..32 {
-            let Some(seen) = engines.next_line_if_soon() else { break 'full };
-            seen.reply("HIT", "-", &rows);
+            let Some(received) = engines.next_line_if_soon() else { break 'full };
+            received.reply("HIT", "-", &rows);
         }
     }
     client.submit(1, "lookup", 9000);
--- a/crates/server/tests/server/deadlines.rs
+++ b/crates/server/tests/server/deadlines.rs
@@ -27,14 +27,15 @@
         std::thread::sleep(Duration::from_millis(900));
         (sent_at, fresh)
     });
-    let seen = engines.next_line();
-    let limit = seen.line.split_once("limit=").unwrap().1;
+    let received = engines.next_line();
+    let limit = received.line.split_once("limit=").unwrap().1;
     let limit: u128 = limit[..limit.find([',', ' ']).unwrap()].parse().unwrap();
     let left = 5000 - sent_at.elapsed().as_millis();
     let bound = if limit <= left + LIMIT_TOLERANCE_MS { "within" } else { "beyond" };
     let answers = [client.next_answer(), fresh.next_answer()].join("; ");
     engines.expect_no_line();
-    let trace = format!("{} {}, limit {bound} the time left; {answers}", seen.field(0), seen.field(1));
+    let trace =
+        format!("{} {}, limit {bound} the time left; {answers}", received.field(0), received.field(1));
 
     expect!["REQ 0000000000000003, limit within the time left; 2: Busy w=1000; 4: Busy w=1000"]
         .assert_eq(&trace);
--- a/crates/server/tests/server/dispatch_outcomes.rs
+++ b/crates/server/tests/server/dispatch_outcomes.rs
@@ -15,16 +15,16 @@
 #[test]
 fn a_non_idempotent_job_is_retried_only_if_it_cannot_have_run() {
     /// Ends a dispatch in the way that `what` names.
-    fn end(what: &str, seen: &ReceivedLine) {
+    fn end(what: &str, received: &ReceivedLine) {
         match what {
-            "overloaded" => seen.reply("SHED", "-", ""),
-            "expired" => seen.reply("LATE", "-", ""),
-            "error" => seen.reply("FAULT", "-", ""),
-            "reset" => seen.close_connection(),
-            "garbage" => seen.send_raw(b"what?\r\n"),
+            "overloaded" => received.reply("SHED", "-", ""),
+            "expired" => received.reply("LATE", "-", ""),
+            "error" => received.reply("FAULT", "-", ""),
+            "reset" => received.close_connection(),
+            "garbage" => received.send_raw(b"what?\r\n"),
             _ => {
-                seen.reply("HIT", "sheets=2", "0");
-                seen.close_connection();
+                received.reply("HIT", "sheets=2", "0");
+                received.close_connection();
             }
         }
     }
@@ -37,9 +37,11 @@
             let answer = std::thread::spawn(move || client.next_answer());
             let mut sends = 0;
             while !answer.is_finished() {
-                if let Some(seen) = engines.next_line_if_soon().filter(|seen| seen.field(0) == "REQ") {
+                if let Some(received) =
+                    engines.next_line_if_soon().filter(|received| received.field(0) == "REQ")
+                {
                     sends += 1;
-                    end(what, &seen);
+                    end(what, &received);
                 }
             }
             let again = if sends > 1 { "sent again" } else { "sent once" };
@@ -200,16 +202,16 @@
     let rejections = [("LATE", "advance,val=0.4"), ("SHED", "advance,val=0.4"), ("SHED", "disk,val=20")];
     for (message, (word, note)) in (1..).zip(rejections) {
         client.submit(message, "load", 9000);
-        let seen = engines.next_line();
-        seen.reply("INFO", &format!("tell={note}"), "");
-        seen.reply(word, "-", "");
+        let received = engines.next_line();
+        received.reply("INFO", &format!("tell={note}"), "");
+        received.reply(word, "-", "");
         writeln!(trace, "{word} after {note}: {}", client.next_answer()).unwrap();
     }
     // A job that waits for memory has not begun to run.
     client.submit(4, "load", 9000);
-    let seen = engines.next_line();
-    seen.reply("INFO", "tell=stall,val=1", "");
-    seen.reply("LATE", "-", "");
+    let received = engines.next_line();
+    received.reply("INFO", "tell=stall,val=1", "");
+    received.reply("LATE", "-", "");
     writeln!(trace, "LATE after stall: {}", client.next_answer()).unwrap();
 
     expect![[r"
--- a/crates/server/tests/server/engine_connections.rs
+++ b/crates/server/tests/server/engine_connections.rs
@@ -35,9 +35,9 @@
     let next = engines.next_line();
     bus.send_update(2, &[engine(0, TERMINATING), engine(1, IN_SERVICE)]);
     let last = engines.next_line();
-    for seen in [next, last] {
-        seen.reply("HIT", "-", "");
-        ends.push((seen.engine, client.next_answer().ends_with(": done ")));
+    for received in [next, last] {
+        received.reply("HIT", "-", "");
+        ends.push((received.engine, client.next_answer().ends_with(": done ")));
     }
 
     assert_eq!(ends, [(0, true), (0, true), (1, true)]);
@@ -59,14 +59,14 @@
             client.submit(message, "lookup", 9000);
         }
         let mut used: Vec<ReceivedLine> = (1..=3).map(|_| engines.next_line()).collect();
-        for seen in &used {
-            seen.reply("HIT", "-", "");
+        for received in &used {
+            received.reply("HIT", "-", "");
             client.next_answer();
         }
         idle();
         client.submit(message + 4, "lookup", 9000);
         let stale = engines.next_line();
-        let again_used = used.iter().any(|seen| seen.shares_connection_with(&stale));
+        let again_used = used.iter().any(|received| received.shares_connection_with(&stale));
         assert!(again_used || round > 0, "an idle connection was not reused although none was stale");
         stale.close_connection();
         let again = engines.next_line();
@@ -78,7 +78,7 @@
         let fresh = engines.next_line();
         fresh.reply("HIT", "-", "");
         assert_eq!(other.next_answer(), format!("{}: done ", message + 5));
-        again_used && !used.iter().any(|seen| seen.shares_connection_with(&fresh))
+        again_used && !used.iter().any(|received| received.shares_connection_with(&fresh))
     });
 
     assert!(observed, "idle connections were reused after one of them was stale");
@@ -204,16 +204,16 @@
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
 
     client.submit(1, "load", 20_000);
-    let mut seen = engines.next_line();
+    let mut received = engines.next_line();
     for message in 2..40 {
-        seen.reply("HIT", "-", "");
+        received.reply("HIT", "-", "");
         assert_eq!(client.next_answer(), format!("{}: done ", message - 1));
         program.while_suspended(|| {
-            seen.close_connection();
+            received.close_connection();
             client.submit(message, "load", 20_000);
         });
-        seen = engines.next_line();
-        assert_eq!((seen.field(0), seen.field(1)), ("REQ", &*wire_id(message)));
+        received = engines.next_line();
+        assert_eq!((received.field(0), received.field(1)), ("REQ", &*wire_id(message)));
     }
 }
 
@@ -224,17 +224,17 @@
     let SingleEngine { engines, bus: _bus, program, mut client } = SingleEngine::start();
 
     client.submit(1, "load", 20_000);
-    let mut seen = engines.next_line();
+    let mut received = engines.next_line();
     for message in 2..20 {
-        seen.reply("HIT", "-", "");
+        received.reply("HIT", "-", "");
         assert_eq!(client.next_answer(), format!("{}: done ", message - 1));
         program.while_suspended(|| {
-            seen.send_raw(b"0000");
+            received.send_raw(b"0000");
             client.submit(message, "load", 20_000);
         });
         let next = engines.next_line();
-        assert_eq!((next.field(0), next.shares_connection_with(&seen)), ("REQ", false));
-        seen = next;
+        assert_eq!((next.field(0), next.shares_connection_with(&received)), ("REQ", false));
+        received = next;
     }
 }
 
@@ -249,15 +249,15 @@
     faults.set_rate(FaultKind::DelayRead, 1.0).unwrap();
 
     client.submit(1, "load", 20_000);
-    let mut seen = engines.next_line();
+    let mut received = engines.next_line();
     for message in 2..12 {
-        seen.reply("HIT", "-", "");
+        received.reply("HIT", "-", "");
         assert_eq!(client.next_answer(), format!("{}: done ", message - 1));
-        seen.send_raw(b"0000");
+        received.send_raw(b"0000");
         client.submit(message, "load", 20_000);
         let next = engines.next_line();
-        assert_eq!((next.field(0), next.shares_connection_with(&seen)), ("REQ", false));
-        seen = next;
+        assert_eq!((next.field(0), next.shares_connection_with(&received)), ("REQ", false));
+        received = next;
     }
 }
 
--- a/crates/server/tests/server/event_bus.rs
+++ b/crates/server/tests/server/event_bus.rs
@@ -30,10 +30,10 @@
     let mut engine_of_next_job = |engines: &EngineStandIns| {
         message += 1;
         client.submit(message, "lookup", 9000);
-        let seen = engines.next_line();
-        seen.reply("HIT", "-", "");
+        let received = engines.next_line();
+        received.reply("HIT", "-", "");
         assert_eq!(client.next_answer(), format!("{message}: done "));
-        seen.engine
+        received.engine
     };
     let mut trace = format!("at the start: engine {}\n", engine_of_next_job(&engines));
     let mut bus = EventBusStandIn::listen(&unreachable, 1);
--- a/crates/server/tests/server/limits.rs
+++ b/crates/server/tests/server/limits.rs
@@ -42,8 +42,8 @@
         };
         let clients: Vec<_> = (0..60).map(client).collect();
         while !clients.iter().all(std::thread::ScopedJoinHandle::is_finished) {
-            if let Some(seen) = engines.next_line_if_soon() {
-                seen.reply("HIT", "-", "");
+            if let Some(received) = engines.next_line_if_soon() {
+                received.reply("HIT", "-", "");
             }
         }
         for client in clients {
@@ -77,7 +77,7 @@
     let mut waiting = program.connect();
 
     waiting.submit(1, "lookup", 20_000);
-    let seen = engines.next_line();
+    let received = engines.next_line();
     let mut idle = Vec::new();
     for message in 2..100 {
         let mut client = program.connect();
@@ -92,7 +92,7 @@
         }
         idle.push(client);
     }
-    seen.reply("HIT", "-", "patient");
+    received.reply("HIT", "-", "patient");
     expect![[r"1: done patient\tb\tc\n"]].assert_eq(&waiting.next_answer());
     // The connections that were not closed for others are closed by the idle timeout.
     let ends = idle.iter_mut().map(Client::next_answer);
@@ -195,7 +195,7 @@
     let SingleEngine { engines, mut bus, program, client: _idle } = SingleEngine::start();
 
     let usage = || [program.thread_count(), program.descriptor_count(), program.resident_kb() / 1024];
-    let mut seen = Vec::new();
+    let mut measurements = Vec::new();
     for number in 2..600 {
         let endpoints = [(number, IN_SERVICE), (number - 1, TERMINATED)];
         let endpoints =
@@ -206,17 +206,17 @@
         engines.complete(number);
         assert_eq!(passing.next_answer(), format!("{number}: done "));
         if number % 199 == 0 {
-            seen.push(usage());
+            measurements.push(usage());
         }
     }
     let mut client = program.connect();
     client.submit(1, "lookup", 9000);
     engines.complete(1);
     assert_eq!(client.next_answer(), "1: done ");
-    let [first, .., last] = seen[..] else { panic!("no usage was recorded") };
+    let [first, .., last] = measurements[..] else { panic!("no usage was recorded") };
     let max: Vec<usize> = first.iter().zip(MAX_GROWTH).map(|(first, growth)| first + growth).collect();
 
-    assert!(last.iter().zip(max).all(|(last, max)| *last <= max), "{seen:?}");
+    assert!(last.iter().zip(max).all(|(last, max)| *last <= max), "{measurements:?}");
 }
 
 /// Idle clients use all descriptors for clients while the event bus is disconnected. If they also used those reserved
@@ -242,9 +242,9 @@
     // Idle clients are closed for one that submits a job, and there is a descriptor for the connection to its engine.
     let mut client = program.connect();
     client.submit(1, "lookup", 20_000);
-    let seen = engines.next_line();
-    seen.reply("HIT", "-", "");
-    assert_eq!((seen.engine, client.next_answer()), (1, "1: done ".to_string()));
+    let received = engines.next_line();
+    received.reply("HIT", "-", "");
+    assert_eq!((received.engine, client.next_answer()), (1, "1: done ".to_string()));
     drop(idle);
 }
 
@@ -294,10 +294,10 @@
     for message in 1..=BURST {
         clients[(message % (BURST / JOBS_PER_CLIENT)) as usize].submit(message, "lookup", 20_000);
     }
-    let seen: Vec<ReceivedLine> = (0..BURST).map(|_| engines.next_line()).collect();
+    let received: Vec<ReceivedLine> = (0..BURST).map(|_| engines.next_line()).collect();
     let burst_threads = program.thread_count();
-    for seen in &seen {
-        seen.reply("HIT", "-", "");
+    for received in &received {
+        received.reply("HIT", "-", "");
     }
     let began = Instant::now();
     let mut message = 1000;
--- a/crates/server/tests/server/requests.rs
+++ b/crates/server/tests/server/requests.rs
@@ -15,18 +15,22 @@
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
 
     client.submit(7, "lookup", 5000);
-    let seen = engines.next_line();
-    let (head, limit) = seen.line.split_once("limit=").unwrap();
+    let received = engines.next_line();
+    let (head, limit) = received.line.split_once("limit=").unwrap();
     let (limit, tail) = limit.split_once(',').unwrap();
     assert!((2000..=5000).contains(&limit.parse().unwrap()), "{limit}");
-    seen.reply("INFO", "tell=advance,val=0.5", "");
-    seen.reply("HIT", "sheets=1,toil=12.5,room=64", "a");
+    received.reply("INFO", "tell=advance,val=0.5", "");
+    received.reply("HIT", "sheets=1,toil=12.5,room=64", "a");
 
     expect![[r"
         REQ 0000000000000007 cls=lookup,|urgency=3 29
         select * from sales_17.orders
         7: done a\tb\tc\n"]]
-    .assert_eq(&format!("{head}|{tail}\n{}\n{}", String::from_utf8_lossy(&seen.body), client.next_answer()));
+    .assert_eq(&format!(
+        "{head}|{tail}\n{}\n{}",
+        String::from_utf8_lossy(&received.body),
+        client.next_answer()
+    ));
 }
 
 /// The bytes of requests may arrive in any pieces, and engines may answer in any order. Each request must get one
@@ -41,12 +45,12 @@
     engines.next_line().reply("HIT", "-", "one");
     let mut trace = vec![client.next_answer()];
     client.send_raw(&(2..=32).flat_map(request).collect::<Vec<u8>>());
-    let mut seen: Vec<ReceivedLine> = (2..=32).map(|_| engines.next_line()).collect();
-    assert!(seen.iter().all(|seen| seen.field(0) == "REQ"));
+    let mut received: Vec<ReceivedLine> = (2..=32).map(|_| engines.next_line()).collect();
+    assert!(received.iter().all(|received| received.field(0) == "REQ"));
     // The engine answers in the reverse order.
-    seen.reverse();
-    for seen in &seen {
-        seen.reply("HIT", "-", "");
+    received.reverse();
+    for received in &received {
+        received.reply("HIT", "-", "");
     }
     let mut answers: Vec<String> = (2..=32).map(|_| client.next_answer()).collect();
     assert!(answers.iter().all(|answer| answer.ends_with(": done ")));
@@ -108,7 +112,7 @@
     let mut client = program.connect();
 
     client.submit(1, "lookup", 9000);
-    let seen = engines.next_line();
+    let received = engines.next_line();
     let (mut same_id, mut same_number) = (program.connect(), program.connect());
     let open_id = wire_id(1);
     same_id.send_raw(&encode_request(
@@ -123,7 +127,7 @@
     same_number.request_health(7);
     writeln!(trace, "{}", same_number.next_answer()).unwrap();
     assert_eq!(engines.next_line().field(0), "STOP");
-    seen.reply("HIT", "-", "own");
+    received.reply("HIT", "-", "own");
     writeln!(trace, "{}", client.next_answer()).unwrap();
     // Once the request is answered, its id may be used again.
     client.submit(1, "lookup", 9000);
@@ -155,10 +159,10 @@
             &[("i", &wire_id(message)), ("d", "9000")],
             &statement,
         ));
-        let seen = engines.next_line();
-        seen.reply("HIT", "-", "");
+        let received = engines.next_line();
+        received.reply("HIT", "-", "");
         client.next_answer();
-        *engines_used.entry(seen.engine).or_default() += 1;
+        *engines_used.entry(received.engine).or_default() += 1;
     }
 
     assert!(engines_used.len() <= 2, "a hashed pair has two engines: {engines_used:?}");
--- a/crates/server/tests/server/results.rs
+++ b/crates/server/tests/server/results.rs
@@ -16,7 +16,7 @@
     let request = engines.next_line();
     request.reply("HIT", "sheets=4", "0");
     let fetches: Vec<ReceivedLine> = (0..3).map(|_| engines.next_line()).collect();
-    let mut trace: Vec<String> = fetches.iter().map(|seen| seen.line.clone()).collect();
+    let mut trace: Vec<String> = fetches.iter().map(|received| received.line.clone()).collect();
     fetches[2].reply("PART", "sheet=3", "3");
     fetches[2].reply("PART", "sheet=9", "9");
     fetches[0].reply("PART", "sheet=1", "1");
@@ -102,12 +102,12 @@
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
 
     client.submit(1, "lookup", 9000);
-    let seen = engines.next_line();
-    seen.reply_as("ffffffffffffffff", "HIT", "-", "not asked for");
-    seen.reply_as("p99", "PONG", "-", "");
-    seen.reply("HIT", "-", "right");
-    seen.reply("HIT", "-", "again");
-    seen.reply("FAULT", "-", "");
+    let received = engines.next_line();
+    received.reply_as("ffffffffffffffff", "HIT", "-", "not asked for");
+    received.reply_as("p99", "PONG", "-", "");
+    received.reply("HIT", "-", "right");
+    received.reply("HIT", "-", "again");
+    received.reply("FAULT", "-", "");
     let mut trace = vec![client.next_answer()];
     client.submit(2, "lookup", 9000);
     engines.next_line().reply("HIT", "-", "second");
--- a/crates/server/tests/server/shutdown.rs
+++ b/crates/server/tests/server/shutdown.rs
@@ -74,12 +74,12 @@
         new.submit(3, "lookup", 20_000);
         new
     });
-    let mut seen = [engines.next_line(), engines.next_line()];
+    let mut received = [engines.next_line(), engines.next_line()];
     // The connection without an open request is closed while the others wait for their answers.
     assert_eq!(idle.next_answer(), "closed");
-    seen.sort_by_key(|seen| seen.field(1).to_string());
-    seen[0].reply("HIT", "-", "old");
-    seen[1].reply("HIT", "-", "new");
+    received.sort_by_key(|received| received.field(1).to_string());
+    received[0].reply("HIT", "-", "old");
+    received[1].reply("HIT", "-", "new");
     let mut trace = vec![old.next_answer(), old.next_answer(), new.next_answer(), new.next_answer()];
     trace.push(program.wait_for_exit().to_string());
 
@@ -108,8 +108,8 @@
     std::thread::sleep(Duration::from_millis(100));
     fresh.submit(2, "lookup", 20_000);
     let mut trace = vec![match engines.next_line_if_soon() {
-        Some(seen) => {
-            seen.reply("HIT", "-", "taken");
+        Some(received) => {
+            received.reply("HIT", "-", "taken");
             fresh.next_answer()
         }
         None => "never sent".to_string(),
@@ -177,7 +177,7 @@
 
     assert_eq!(bus.next_subscription(), "from 1");
     client.submit(1, "lookup", 20_000);
-    let seen = engines.next_line();
+    let received = engines.next_line();
     program.signal("TERM");
     program.wait_for_log("graceful shutdown started");
     let good = std::fs::read_to_string(&program.config_file).unwrap();
@@ -186,7 +186,7 @@
     assert_eq!(new_bus.next_subscription(), "from 1");
     program.signal("TERM");
     program.signal("INT");
-    seen.reply("HIT", "-", "still here");
+    received.reply("HIT", "-", "still here");
     assert_eq!(client.next_answer(), "1: done still here\\tb\\tc\\n");
     client.read_to_end().unwrap();
     client.disconnect();
