--- a/crates/server/tests/server/cancellation.rs
+++ b/crates/server/tests/server/cancellation.rs
@@ -96,8 +96,9 @@
 }
 
 /// Jobs wait for an engine. While the program is suspended, their clients cancel or disconnect, and an engine is
-/// listed. The program has many other requests to read first, so it places the jobs before it has read that. Each
-/// dispatch needs a peek at its client's unread bytes, or it would be sent for a client that no longer waits.
+/// listed. The program has many other requests to read first, so it places the jobs before it has read the
+/// cancellations and disconnects. Each dispatch needs a peek at its client's unread bytes, or it would be sent for a
+/// client that no longer waits.
 #[test]
 fn a_job_is_not_dispatched_while_its_cancellation_or_disconnect_is_unread() {
     const JOBS: u32 = 24;
--- a/crates/server/tests/server/dispatch_outcomes.rs
+++ b/crates/server/tests/server/dispatch_outcomes.rs
@@ -193,7 +193,7 @@
 }
 
 /// An engine that has reported progress has begun to run the job. A rejection after that does not prove that nothing
-/// ran, so the job must not be rejected: its client would submit it again.
+/// ran, so the program must not reject the job: its client would submit it again.
 #[test]
 fn a_rejection_by_the_engine_after_progress_does_not_prove_that_nothing_ran() {
     let SingleEngine { engines, bus: _bus, program: _program, mut client } = SingleEngine::start();
--- a/crates/server/tests/server/start_time_converter.rs
+++ b/crates/server/tests/server/start_time_converter.rs
@@ -17,10 +17,11 @@
 /// The monotonic time at which start times are converted.
 const NOW_US: i64 = 500 * SECOND_US;
 
-/// The age, in seconds, of an engine that started `ago` seconds before second 500 of the monotonic clock, when its
-/// start time is converted. The start time was taken with a wall clock that was `engine_step` seconds ahead of this
-/// machine's at second 400. This machine's wall clock has these offsets from second 497 on, one each second, in
-/// seconds. The endpoint list was last complete without the start at second `complete`.
+/// The age, in seconds, that the converter gives an engine which started `ago` seconds before [`NOW_US`].
+///
+/// The start time was taken with a wall clock that is `engine_step` seconds ahead of this machine's before any step.
+/// From second 497 of the monotonic clock on, this machine's wall clock is recorded once a second, ahead by each of
+/// `own_steps` in turn. The endpoint list was last complete without the start at second `complete`.
 fn age(own_steps: &[i64], engine_step: i64, ago: i64, complete: Option<i64>) -> f64 {
     let mut converter = StartTimeConverter::default();
     converter.record_clocks(Timestamp(400 * SECOND_US), UnixTime(WALL_OFFSET_US + 400 * SECOND_US));
