--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -48,20 +48,20 @@
     harness.advance(5000.0);
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running]:
-            0     take 0: send 0 to 0
+            0     endpoints [0 Running, 1 Running]:
+            0     submit 0: dispatch 0 to 0
             50    Completed 0.0:
-            50    take 1: throttle 1
+            50    submit 1: reject 1
             100   Completed 1.0:
-            100   take 2: send 2 to 1
+            100   submit 2: dispatch 2 to 1
             150   Completed 2.0:
-            150   take 3: throttle 3
+            150   submit 3: reject 3
             200   Completed 3.0:
-            200   take 4: send 4 to 1
+            200   submit 4: dispatch 4 to 1
             250   Completed 4.0:
-            250   list []:
-            250   take 5:
-            4240  : throttle 5
+            250   endpoints []:
+            250   submit 5:
+            4240  : reject 5
         "]]);
 }
 
@@ -74,8 +74,8 @@
     harness.submit(lookup(1));
 
     harness.expect_trace(&expect![[r"
-        0     list [0 Running]:
-        0     take 0: send 0 to 0
-        0     take 1: send 1 to 0
+        0     endpoints [0 Running]:
+        0     submit 0: dispatch 0 to 0
+        0     submit 1: dispatch 1 to 0
     "]]);
 }
--- a/tests/decisions/bulk_loads.rs
+++ b/tests/decisions/bulk_loads.rs
@@ -20,19 +20,19 @@
     harness.complete(first, 2000.0);
 
     harness.expect_trace(&expect![[r"
-        0     list [0 Running, 1 Running, 2 Running]:
-        0     take 0: send 0 to 2
-        0     take 1: send 1 to 1
+        0     endpoints [0 Running, 1 Running, 2 Running]:
+        0     submit 0: dispatch 0 to 2
+        0     submit 1: dispatch 1 to 1
         0     Completed 1.0:
-        0     take 2: send 2 to 1
+        0     submit 2: dispatch 2 to 1
         0     Completed 2.0:
-        0     take 3: send 3 to 1
+        0     submit 3: dispatch 3 to 1
         0     Completed 3.0:
-        0     take 4: send 4 to 1
+        0     submit 4: dispatch 4 to 1
         0     Completed 4.0:
-        0     take 5: send 5 to 1
-        0     WaitingForBulkLoad 5.0: recall 5.0
-        0     take 6: send 6 to 0
+        0     submit 5: dispatch 5 to 1
+        0     WaitingForBulkLoad 5.0: cancel dispatch 5.0
+        0     submit 6: dispatch 6 to 0
         0     Completed 0.0:
     "]]);
 }
@@ -71,13 +71,13 @@
     harness.complete(second, 50.0);
 
     harness.expect_trace(&expect![[r"
-        0     list [0 Running, 1 Running]:
-        0     take 0: send 0 to 0
-        0     WaitingForBulkLoad 0.0: recall 0.0
-        0     Cancelled 0.0: send 0 to 1
+        0     endpoints [0 Running, 1 Running]:
+        0     submit 0: dispatch 0 to 0
+        0     WaitingForBulkLoad 0.0: cancel dispatch 0.0
+        0     Cancelled 0.0: dispatch 0 to 1
         0     WaitingForBulkLoad 0.1:
         100   Completed 0.1:
-        100   take 1: send 1 to 1
+        100   submit 1: dispatch 1 to 1
         100   Completed 1.0:
     "]]);
 }
@@ -96,15 +96,15 @@
     }
 
     harness.expect_trace(&expect![[r"
-        0     list [0 Running, 1 Running, 2 Running, 3 Running]:
-        0     take 0: send 0 to 2
-        0     take 1: send 1 to 0
-        0     take 2: send 2 to 3
-        0     take 3: send 3 to 0
-        0     take 4: send 4 to 2
-        0     take 5: send 5 to 1
-        0     take 6: send 6 to 1
-        0     take 7: send 7 to 1
-        0     take 8: send 8 to 1
+        0     endpoints [0 Running, 1 Running, 2 Running, 3 Running]:
+        0     submit 0: dispatch 0 to 2
+        0     submit 1: dispatch 1 to 0
+        0     submit 2: dispatch 2 to 3
+        0     submit 3: dispatch 3 to 0
+        0     submit 4: dispatch 4 to 2
+        0     submit 5: dispatch 5 to 1
+        0     submit 6: dispatch 6 to 1
+        0     submit 7: dispatch 7 to 1
+        0     submit 8: dispatch 8 to 1
     "]]);
 }
--- a/tests/decisions/cancellation.rs
+++ b/tests/decisions/cancellation.rs
@@ -19,12 +19,12 @@
     harness.finish(attempt(stuck, 0), DispatchStatus::Cancelled, 200.0);
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running, 2 Running]:
-            0     take 0: send 0 to 2
+            0     endpoints [0 Running, 1 Running, 2 Running]:
+            0     submit 0: dispatch 0 to 2
             100   Completed 0.0:
-            100   take 1: send 1 to 1
-            300   CompletedFraction(0.05) 1.0: recall 1.0
-            300   Cancelled 1.0: send 1 to 2
+            100   submit 1: dispatch 1 to 1
+            300   CompletedFraction(0.05) 1.0: cancel dispatch 1.0
+            300   Cancelled 1.0: dispatch 1 to 2
         "]]);
 }
 
--- a/tests/decisions/endpoint_list.rs
+++ b/tests/decisions/endpoint_list.rs
@@ -16,13 +16,13 @@
     }
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running, 2 Running]:
-            0     list [0 Draining]:
-            0     list [1 Running]:
-            0     take 0: send 0 to 1
-            0     take 1: send 1 to 1
-            0     take 2: send 2 to 1
-            0     take 3: send 3 to 1
+            0     endpoints [0 Running, 1 Running, 2 Running]:
+            0     endpoints [0 Draining]:
+            0     endpoints [1 Running]:
+            0     submit 0: dispatch 0 to 1
+            0     submit 1: dispatch 1 to 1
+            0     submit 2: dispatch 2 to 1
+            0     submit 3: dispatch 3 to 1
         "]]);
 }
 
@@ -40,13 +40,13 @@
     harness.advance(1500.0);
 
     harness.expect_trace(&expect![[r"
-            0     list []:
-            0     take 0:
-            0     list [0 Running]: send 0 to 0
-            0     Unreachable 0.0: send 0 to 0
-            250   list [1 Running]:
-            250   list []:
-            250   take 1:
-            1250  : throttle 1
+            0     endpoints []:
+            0     submit 0:
+            0     endpoints [0 Running]: dispatch 0 to 0
+            0     Unreachable 0.0: dispatch 0 to 0
+            250   endpoints [1 Running]:
+            250   endpoints []:
+            250   submit 1:
+            1250  : reject 1
         "]]);
 }
--- a/tests/decisions/engine_selection.rs
+++ b/tests/decisions/engine_selection.rs
@@ -18,22 +18,22 @@
     }
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
-            0     take 0: send 0 to 5
+            0     endpoints [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
+            0     submit 0: dispatch 0 to 5
             50    Completed 0.0:
-            50    take 1: send 1 to 1
+            50    submit 1: dispatch 1 to 1
             100   Completed 1.0:
-            100   take 2: send 2 to 1
+            100   submit 2: dispatch 2 to 1
             150   Completed 2.0:
-            150   take 3: send 3 to 1
+            150   submit 3: dispatch 3 to 1
             200   Completed 3.0:
-            200   take 4: send 4 to 1
+            200   submit 4: dispatch 4 to 1
             250   Completed 4.0:
-            250   take 5: send 5 to 1
+            250   submit 5: dispatch 5 to 1
             300   Completed 5.0:
-            300   take 6: send 6 to 5
+            300   submit 6: dispatch 6 to 5
             350   Completed 6.0:
-            350   take 7: send 7 to 1
+            350   submit 7: dispatch 7 to 1
             400   Completed 7.0:
         "]]);
 }
--- a/tests/decisions/final_answer.rs
+++ b/tests/decisions/final_answer.rs
@@ -17,10 +17,10 @@
     harness.complete(post, 4000.0);
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running]:
-            0     take 0: send 0 to 0
-            0     take 1: send 1 to 1
-            3990  : recall 0.0, recall 1.0, throttle 0, cancel 1
+            0     endpoints [0 Running, 1 Running]:
+            0     submit 0: dispatch 0 to 0
+            0     submit 1: dispatch 1 to 1
+            3990  : cancel dispatch 0.0, cancel dispatch 1.0, reject 0, cancel job 1
             4000  Cancelled 0.0:
             4000  Completed 1.0:
             4000  Completed 1.0:
--- a/tests/decisions/harness.rs
+++ b/tests/decisions/harness.rs
@@ -1,9 +1,23 @@
 //! Drives an [`AdmissionController`] by hand: a test submits jobs, reports what engines did and advances the clock, and
 //! the harness records every event with the controller's actions as a line of a trace.
 //!
-//! A line reads `time in ms, event: actions`. The words of the trace are `take` (a job is submitted), `send`
-//! (dispatched), `recall` (a dispatch is cancelled), `throttle` (the job is rejected and may be tried again), `cancel`
-//! (the job has failed), `probe` (a health check is sent) and `told` (a health check reports an engine's load).
+//! A line of the trace consists of the time in ms, the event, a colon and the actions that follow from the event.
+//! Timer events have no name and appear only if actions follow.
+//!
+//! Events:
+//! - `endpoints [0 Running, 1 Gone]`: the endpoint list changes
+//! - `submit 3`: a client submits job 3
+//! - `Completed 3.0`, or another [`DispatchStatus`]: dispatch 0 of job 3 ends
+//! - `WaitingForBulkLoad 3.0`, or another [`ProgressUpdate`]: the engine reports progress of that dispatch
+//! - `load report 1: 40`: a health check of engine 1 returns its load
+//! - `begin shutdown`: the gateway's process begins to shut down
+//!
+//! Actions:
+//! - `dispatch 3 to 1`, with a memory grant `dispatch 3 to 1 with 800 MB`: job 3 is sent to engine 1
+//! - `cancel dispatch 3.0`: dispatch 0 of job 3 is cancelled at its engine
+//! - `reject 3`: job 3 gets the final answer [`FinalAnswer::Rejected`]
+//! - `cancel job 3`: job 3 gets the final answer [`FinalAnswer::Cancelled`]
+//! - `health check 1`: a health check is sent to engine 1
 
 use crate::builder::HarnessBuilder;
 use crate::jobs::{DEFAULT_MEMORY_MB, JobSpec};
@@ -139,14 +153,14 @@
             .map(|endpoint| format!("{} {:?}", endpoint.engine.0, endpoint.lifecycle))
             .collect();
         let actions = self.controller.endpoints_changed(self.timestamp(), scope, endpoints);
-        self.record(&format!("list [{}]", entries.join(", ")), actions);
+        self.record(&format!("endpoints [{}]", entries.join(", ")), actions);
     }
     /// A client's job arrives. Jobs are numbered from 0.
     pub fn submit(&mut self, spec: JobSpec) -> JobId {
         let id = JobId(self.next_job);
         self.next_job += 1;
         let actions = self.controller.submit(self.timestamp(), id, spec.into());
-        self.record(&format!("take {}", id.0), actions);
+        self.record(&format!("submit {}", id.0), actions);
         id
     }
     /// The first dispatch of a job completes.
@@ -180,7 +194,7 @@
     pub fn begin_shutdown(&mut self, within_ms: f64) {
         let deadline = Timestamp::from_millis_f64(self.now_ms + within_ms);
         let actions = self.controller.begin_shutdown(self.timestamp(), deadline);
-        self.record("stopping", actions);
+        self.record("begin shutdown", actions);
     }
     /// Lets time pass: the timer fires every [`TIMER_INTERVAL_MS`], and health checks are answered.
     pub fn advance(&mut self, ms: f64) {
@@ -206,7 +220,7 @@
             load_report: Some(self.load_reports.report(value)),
         };
         let actions = self.controller.health_check_finished(self.timestamp(), engine, result);
-        self.record(&format!("told {}: {value}", engine.0), actions);
+        self.record(&format!("load report {}: {value}", engine.0), actions);
     }
     fn timestamp(&self) -> Timestamp {
         Timestamp::from_millis_f64(self.now_ms)
@@ -234,19 +248,21 @@
 
 fn describe(actions: &Actions) -> Vec<String> {
     let mut parts: Vec<String> = Vec::new();
-    parts.extend(actions.cancellations.iter().map(|id| format!("recall {}.{}", id.job.0, id.attempt)));
+    parts.extend(
+        actions.cancellations.iter().map(|id| format!("cancel dispatch {}.{}", id.job.0, id.attempt)),
+    );
     parts.extend(actions.answers.iter().map(|(job, answer)| match answer {
-        FinalAnswer::Rejected { .. } => format!("throttle {}", job.0),
-        FinalAnswer::Cancelled => format!("cancel {}", job.0),
+        FinalAnswer::Rejected { .. } => format!("reject {}", job.0),
+        FinalAnswer::Cancelled => format!("cancel job {}", job.0),
     }));
     parts.extend(actions.dispatches.iter().map(|dispatch| {
         let grant = dispatch
             .options
             .map(|options| format!(" with {} MB", options.memory_grant_mb))
             .unwrap_or_default();
-        format!("send {} to {}{grant}", dispatch.job.0, dispatch.engine.0)
+        format!("dispatch {} to {}{grant}", dispatch.job.0, dispatch.engine.0)
     }));
-    parts.extend(actions.health_checks.iter().map(|engine| format!("probe {}", engine.0)));
+    parts.extend(actions.health_checks.iter().map(|engine| format!("health check {}", engine.0)));
     parts
 }
 
--- a/tests/decisions/health_checks.rs
+++ b/tests/decisions/health_checks.rs
@@ -21,12 +21,12 @@
     harness.advance(400.0);
 
     harness.expect_trace(&expect![[r"
-        0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running]:
-        1000  take 0: probe 1, probe 3
-        1005  told 1: 40:
-        1005  told 3: 1: send 0 to 3
-        1010  take 1: probe 0
-        1015  told 0: 40: send 1 to 3
+        0     endpoints [0 Running, 1 Running, 2 Running, 3 Running, 4 Running]:
+        1000  submit 0: health check 1, health check 3
+        1005  load report 1: 40:
+        1005  load report 3: 1: dispatch 0 to 3
+        1010  submit 1: health check 0
+        1015  load report 0: 40: dispatch 1 to 3
     "]]);
 }
 
--- a/tests/decisions/idempotency.rs
+++ b/tests/decisions/idempotency.rs
@@ -17,12 +17,12 @@
     harness.advance(5000.0);
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running, 2 Running, 3 Running]:
-            0     take 0: send 0 to 3
-            0     take 1: send 1 to 1
-            10    ConnectionLost 0.0: cancel 0
-            10    Unreachable 1.0: send 1 to 0
-            3990  : recall 1.1, cancel 1
+            0     endpoints [0 Running, 1 Running, 2 Running, 3 Running]:
+            0     submit 0: dispatch 0 to 3
+            0     submit 1: dispatch 1 to 1
+            10    ConnectionLost 0.0: cancel job 0
+            10    Unreachable 1.0: dispatch 1 to 0
+            3990  : cancel dispatch 1.1, cancel job 1
         "]]);
 }
 
@@ -38,11 +38,11 @@
     harness.finish(attempt(late, 0), DispatchStatus::TimedOut, 2100.0);
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
-            0     take 0: send 0 to 5
-            10    ConnectionLost 0.0: send 0 to 1
-            10    take 1: send 1 to 0
-            2110  TimedOut 1.0: cancel 1
+            0     endpoints [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
+            0     submit 0: dispatch 0 to 5
+            10    ConnectionLost 0.0: dispatch 0 to 1
+            10    submit 1: dispatch 1 to 0
+            2110  TimedOut 1.0: cancel job 1
         "]]);
 }
 
@@ -59,10 +59,10 @@
     }
 
     harness.expect_trace(&expect![[r"
-        0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
-        0     take 0: send 0 to 5
-        1900  ConnectionLost 0.0: send 0 to 1
-        2000  take 1: send 1 to 5
-        4000  ConnectionLost 1.0: cancel 1
+        0     endpoints [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
+        0     submit 0: dispatch 0 to 5
+        1900  ConnectionLost 0.0: dispatch 0 to 1
+        2000  submit 1: dispatch 1 to 5
+        4000  ConnectionLost 1.0: cancel job 1
     "]]);
 }
--- a/tests/decisions/key_order.rs
+++ b/tests/decisions/key_order.rs
@@ -22,16 +22,16 @@
     harness.advance(1000.0);
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running, 2 Running, 3 Running]:
-            0     take 0: send 0 to 3
-            0     take 1:
-            0     take 2:
-            0     take 3: send 3 to 1
+            0     endpoints [0 Running, 1 Running, 2 Running, 3 Running]:
+            0     submit 0: dispatch 0 to 3
+            0     submit 1:
+            0     submit 2:
+            0     submit 3: dispatch 3 to 1
             50    Completed 0.0:
-            55    : send 1 to 3
-            350   TimedOut 1.0: send 1 to 2
+            55    : dispatch 1 to 3
+            350   TimedOut 1.0: dispatch 1 to 2
             400   Completed 1.1:
-            650   : send 2 to 3
+            650   : dispatch 2 to 3
         "]]);
 }
 
@@ -54,19 +54,19 @@
     harness.complete(alone, 900.0);
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running, 2 Running, 3 Running]:
-            0     take 0: send 0 to 3
-            0     take 1:
-            0     take 2:
-            0     take 3:
-            0     take 4:
-            0     take 5: send 5 to 1
+            0     endpoints [0 Running, 1 Running, 2 Running, 3 Running]:
+            0     submit 0: dispatch 0 to 3
+            0     submit 1:
+            0     submit 2:
+            0     submit 3:
+            0     submit 4:
+            0     submit 5: dispatch 5 to 1
             100   Completed 0.0:
-            105   : throttle 1, send 2 to 3
+            105   : reject 1, dispatch 2 to 3
             300   Completed 2.0:
-            305   : send 3 to 3
+            305   : dispatch 3 to 3
             500   Completed 3.0:
-            505   : send 4 to 3
+            505   : dispatch 4 to 3
             700   Completed 4.0:
             710   Completed 5.0:
         "]]);
@@ -108,11 +108,11 @@
     harness.replace_endpoints(vec![running(0)]);
 
     harness.expect_trace(&expect![[r"
-            0     list []:
-            0     take 0:
-            0     take 1:
-            0     take 2:
-            0     take 3:
-            0     list [0 Running]: send 0 to 0, send 2 to 0, send 3 to 0
+            0     endpoints []:
+            0     submit 0:
+            0     submit 1:
+            0     submit 2:
+            0     submit 3:
+            0     endpoints [0 Running]: dispatch 0 to 0, dispatch 2 to 0, dispatch 3 to 0
         "]]);
 }
--- a/tests/decisions/memory_grants.rs
+++ b/tests/decisions/memory_grants.rs
@@ -22,14 +22,14 @@
     }
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running]:
-            0     take 0: send 0 to 0 with 800 MB
+            0     endpoints [0 Running, 1 Running]:
+            0     submit 0: dispatch 0 to 0 with 800 MB
             50    SpillingToDisk(200.0) 0.0:
             50    Completed 0.0:
-            50    take 1: send 1 to 1 with 800 MB
+            50    submit 1: dispatch 1 to 1 with 800 MB
             100   SpillingToDisk(200.0) 1.0:
             100   Completed 1.0:
-            100   take 2: send 2 to 1 with 800 MB
+            100   submit 2: dispatch 2 to 1 with 800 MB
             150   SpillingToDisk(200.0) 2.0:
             150   Completed 2.0:
         "]]);
--- a/tests/decisions/outlier_ejection.rs
+++ b/tests/decisions/outlier_ejection.rs
@@ -22,16 +22,16 @@
     harness.submit(lookup(11));
 
     harness.expect_trace(&expect![[r"
-        0     list [0 Running, 1 Running]:
-        0     take 0: send 0 to 0
-        0     ConnectionLost 0.0: send 0 to 1
-        0     take 1: send 1 to 0
-        0     ConnectionLost 1.0: send 1 to 1
-        0     take 2: send 2 to 1
+        0     endpoints [0 Running, 1 Running]:
+        0     submit 0: dispatch 0 to 0
+        0     ConnectionLost 0.0: dispatch 0 to 1
+        0     submit 1: dispatch 1 to 0
+        0     ConnectionLost 1.0: dispatch 1 to 1
+        0     submit 2: dispatch 2 to 1
         0     Completed 2.0:
-        0     take 3: send 3 to 1
+        0     submit 3: dispatch 3 to 1
         0     Completed 3.0:
-        600   take 4: send 4 to 0
+        600   submit 4: dispatch 4 to 0
     "]]);
 }
 
@@ -48,17 +48,17 @@
     harness.submit(lookup(11));
 
     harness.expect_trace(&expect![[r"
-        0     list [0 Running, 1 Running]:
-        0     take 0: send 0 to 0
-        0     ConnectionLost 0.0: send 0 to 1
+        0     endpoints [0 Running, 1 Running]:
+        0     submit 0: dispatch 0 to 0
+        0     ConnectionLost 0.0: dispatch 0 to 1
         0     Completed 0.1:
-        0     take 1: send 1 to 1
-        0     ConnectionLost 1.0: send 1 to 0
+        0     submit 1: dispatch 1 to 1
+        0     ConnectionLost 1.0: dispatch 1 to 0
         0     Completed 1.1:
-        0     take 2: send 2 to 1
-        0     ConnectionLost 2.0: send 2 to 0
+        0     submit 2: dispatch 2 to 1
+        0     ConnectionLost 2.0: dispatch 2 to 0
         0     Completed 2.1:
-        0     take 3: send 3 to 1
+        0     submit 3: dispatch 3 to 1
     "]]);
 }
 
--- a/tests/decisions/placement.rs
+++ b/tests/decisions/placement.rs
@@ -15,11 +15,11 @@
     harness.update_endpoints(vec![running(5)]);
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running, 2 Running, 3 Running]:
-            0     list [1 Gone, 3 Draining]:
-            0     take 0:
-            1000  : throttle 0
-            2000  take 1:
-            2000  list [5 Running]: send 1 to 5
+            0     endpoints [0 Running, 1 Running, 2 Running, 3 Running]:
+            0     endpoints [1 Gone, 3 Draining]:
+            0     submit 0:
+            1000  : reject 0
+            2000  submit 1:
+            2000  endpoints [5 Running]: dispatch 1 to 5
         "]]);
 }
--- a/tests/decisions/retry_budget.rs
+++ b/tests/decisions/retry_budget.rs
@@ -19,16 +19,16 @@
     }
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
-            0     take 0: send 0 to 0
-            0     Failed 0.0: send 0 to 2
-            0     take 1: send 1 to 1
+            0     endpoints [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
+            0     submit 0: dispatch 0 to 0
+            0     Failed 0.0: dispatch 0 to 2
+            0     submit 1: dispatch 1 to 1
             0     Failed 1.0:
-            0     take 2: send 2 to 1
+            0     submit 2: dispatch 2 to 1
             0     Failed 2.0:
-            0     take 3: send 3 to 0
-            0     Failed 3.0: send 3 to 1
-            0     take 4: send 4 to 3
+            0     submit 3: dispatch 3 to 0
+            0     Failed 3.0: dispatch 3 to 1
+            0     submit 4: dispatch 4 to 3
             0     Failed 4.0:
         "]]);
 }
@@ -47,12 +47,12 @@
     harness.advance(100.0);
 
     harness.expect_trace(&expect![[r"
-            0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
-            0     take 0: send 0 to 0
-            0     Failed 0.0: send 0 to 1
-            900   take 1: send 1 to 4
+            0     endpoints [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
+            0     submit 0: dispatch 0 to 0
+            0     Failed 0.0: dispatch 0 to 1
+            900   submit 1: dispatch 1 to 4
             1000  Failed 1.0:
-            1010  : send 1 to 3
+            1010  : dispatch 1 to 3
         "]]);
 }
 
@@ -72,13 +72,13 @@
     harness.advance(100.0);
 
     harness.expect_trace(&expect![[r"
-        0     list [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
-        0     take 0: send 0 to 0
-        0     Failed 0.0: send 0 to 1
-        1000  take 1: send 1 to 4
-        1000  take 2: send 2 to 2
-        1000  Failed 1.0: send 1 to 3
+        0     endpoints [0 Running, 1 Running, 2 Running, 3 Running, 4 Running, 5 Running]:
+        0     submit 0: dispatch 0 to 0
+        0     Failed 0.0: dispatch 0 to 1
+        1000  submit 1: dispatch 1 to 4
+        1000  submit 2: dispatch 2 to 2
+        1000  Failed 1.0: dispatch 1 to 3
         1000  Failed 2.0:
-        1010  : send 2 to 0
+        1010  : dispatch 2 to 0
     "]]);
 }
--- a/tests/decisions/shutdown.rs
+++ b/tests/decisions/shutdown.rs
@@ -18,12 +18,12 @@
     harness.advance(50.0);
 
     harness.expect_trace(&expect![[r"
-        0     list [0 Running]:
-        0     take 0: send 0 to 0
-        0     take 1: send 1 to 0
-        0     stopping:
-        0     take 2: send 2 to 0
-        250   take 3: throttle 3
-        290   : recall 0.0, recall 1.0, recall 2.0, throttle 0, cancel 1, throttle 2
+        0     endpoints [0 Running]:
+        0     submit 0: dispatch 0 to 0
+        0     submit 1: dispatch 1 to 0
+        0     begin shutdown:
+        0     submit 2: dispatch 2 to 0
+        250   submit 3: reject 3
+        290   : cancel dispatch 0.0, cancel dispatch 1.0, cancel dispatch 2.0, reject 0, cancel job 1, reject 2
     "]]);
 }
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -21,21 +21,21 @@
     harness.advance(600.0);
 
     harness.expect_trace(&expect![[r"
-            0     list []:
-            1000  list [0 Running]:
-            1000  take 0: send 0 to 0
-            1000  take 1: send 1 to 0
-            1000  take 2: send 2 to 0
-            1000  take 3: send 3 to 0
-            1000  take 4: send 4 to 0
-            1000  take 5: send 5 to 0
-            1000  take 6: send 6 to 0
-            1000  take 7:
-            1000  take 8:
-            1000  take 9:
-            1000  take 10:
-            1000  take 11:
-            1505  : send 7 to 0, send 8 to 0, send 9 to 0, send 10 to 0, send 11 to 0
+            0     endpoints []:
+            1000  endpoints [0 Running]:
+            1000  submit 0: dispatch 0 to 0
+            1000  submit 1: dispatch 1 to 0
+            1000  submit 2: dispatch 2 to 0
+            1000  submit 3: dispatch 3 to 0
+            1000  submit 4: dispatch 4 to 0
+            1000  submit 5: dispatch 5 to 0
+            1000  submit 6: dispatch 6 to 0
+            1000  submit 7:
+            1000  submit 8:
+            1000  submit 9:
+            1000  submit 10:
+            1000  submit 11:
+            1505  : dispatch 7 to 0, dispatch 8 to 0, dispatch 9 to 0, dispatch 10 to 0, dispatch 11 to 0
         "]]);
 }
 
