--- a/tests/decisions/bulk_loads.rs
+++ b/tests/decisions/bulk_loads.rs
@@ -43,7 +43,7 @@
     for ordinal in 0..40 {
         let mut harness = ControllerHarness::builder()
             .engines(8)
-            .large_fleet()
+            .large_gateway_fleet()
             .gateway_ordinal(ordinal)
             .reported_jobs_in_flight(0.0, 8)
             .build();
--- a/tests/decisions/concurrency_limit.rs
+++ b/tests/decisions/concurrency_limit.rs
@@ -12,7 +12,7 @@
 fn without_load_reports_concurrency_shrinks_under_congestion_and_recovers() {
     let mut harness = ControllerHarness::builder()
         .engines(20)
-        .large_fleet()
+        .large_gateway_fleet()
         .health_check_price(1.0)
         .latency_objective_ms(LOOKUP, 30_000.0)
         .reported_utilization(0.2, 20)
@@ -49,7 +49,7 @@
 fn a_busy_gateway_keeps_its_quota_under_congestion() {
     let mut harness = ControllerHarness::builder()
         .engines(12)
-        .large_fleet()
+        .large_gateway_fleet()
         .health_check_price(1.0)
         .latency_objective_ms(LOOKUP, 30_000.0)
         .reported_utilization(0.2, 12)
@@ -79,7 +79,7 @@
 fn congestion_of_one_engine_does_not_reduce_dispatches_to_the_others() {
     let mut harness = ControllerHarness::builder()
         .engines(12)
-        .large_fleet()
+        .large_gateway_fleet()
         .health_check_price(1.0)
         .threads_per_job(BULK_LOAD, 4.0)
         .latency_objective_ms(BULK_LOAD, 30_000.0)
@@ -107,7 +107,7 @@
 fn jobs_in_flight_are_limited_by_the_work_that_arrives() {
     let mut harness = ControllerHarness::builder()
         .engines(40)
-        .large_fleet()
+        .large_gateway_fleet()
         .health_check_price(1.0)
         .reported_utilization(0.2, 40)
         .build();
@@ -133,11 +133,11 @@
     for slow in [1.0, 4.0] {
         let mut harness = ControllerHarness::builder()
             .engines(40)
-            .large_fleet()
+            .large_gateway_fleet()
             .health_check_price(1.0)
             .progress_interval_ms(500.0)
             .reported_utilization(0.2, 40)
-            .billed_work_ms(100.0)
+            .actual_work_ms(100.0)
             .build();
         let mut in_flight: Vec<(JobId, f64)> = Vec::new();
         let mut at_once = Vec::new();
--- a/tests/decisions/engine_selection.rs
+++ b/tests/decisions/engine_selection.rs
@@ -64,7 +64,7 @@
         for ordinal in 0..40 {
             let mut harness = ControllerHarness::builder()
                 .engines(8)
-                .large_fleet()
+                .large_gateway_fleet()
                 .health_check_price(1.0)
                 .gateway_ordinal(ordinal)
                 .build();
--- a/tests/decisions/harness.rs
+++ b/tests/decisions/harness.rs
@@ -30,15 +30,17 @@
 use pebblevane::time::{TimeDelta, Timestamp};
 use std::fmt::Write;
 
-/// How often the controller's timer fires while time advances.
+/// Interval at which the harness fires the controller's timer while time advances.
 const TIMER_INTERVAL_MS: f64 = 5.0;
-/// How long a health check takes unless a test says otherwise.
-const HEALTH_CHECK_MS: f64 = 1.0;
+/// Elapsed time of a health check unless a test sets another one.
+const DEFAULT_HEALTH_CHECK_MS: f64 = 1.0;
 
-/// What engines' health checks report, one value for each engine by its number. Engines past the end of the list don't
-/// answer.
+/// The load that engines report in answer to health checks: one value for each engine, by its number. Engines beyond
+/// the end of the list do not answer health checks.
 pub enum LoadReports {
+    /// Jobs in flight from all gateways.
     JobsInFlight(Vec<f64>),
+    /// Processor utilization, 1 at full use.
     Utilization(Vec<f64>),
 }
 
@@ -59,39 +61,41 @@
     }
 }
 
-/// A dispatch that the controller has ordered.
+/// A dispatch that the controller has sent.
 pub struct SentDispatch {
     pub at_ms: f64,
     pub job: JobId,
     pub engine: u32,
 }
 
-/// A controller with a clock of its own, a trace, and what it has ordered so far.
+/// An admission controller with a simulated clock, and a record of its events and actions.
 pub struct ControllerHarness {
     controller: AdmissionController,
     now_ms: f64,
     trace: String,
     load_reports: LoadReports,
-    /// How long each engine's health checks take; [`HEALTH_CHECK_MS`] past the end of the list.
+    /// Elapsed time of each engine's health checks, by its number; [`DEFAULT_HEALTH_CHECK_MS`] for engines beyond the
+    /// end of the list.
     pub health_check_ms: Vec<f64>,
-    open_health_checks: Vec<EngineId>,
-    /// All dispatches in their order.
+    /// Engines with a health check in flight, which is answered after the next timer event.
+    health_checks_in_flight: Vec<EngineId>,
+    /// All dispatches, in the order in which they were sent.
     pub dispatches: Vec<SentDispatch>,
-    /// Jobs that were rejected, in their order.
+    /// Rejected jobs, in the order of their rejection.
     pub rejections: Vec<JobId>,
-    /// How many health checks were sent.
+    /// Number of health checks that were sent.
     pub health_checks_sent: usize,
     next_job: u32,
     engines_reachable: bool,
-    billed_work_ms: Option<f64>,
+    actual_work_ms: Option<f64>,
 }
 
 impl ControllerHarness {
-    /// Sets up a harness; without more it is one of two gateways, with no engines.
+    /// A builder with the default settings: the gateway is one of two that share a pool without engines.
     pub fn builder() -> HarnessBuilder {
         HarnessBuilder::new()
     }
-    /// Takes over what the builder has gathered, at the time 0.
+    /// Creates the harness from the builder's values; its clock starts at 0.
     pub(crate) fn new(controller: AdmissionController, builder: HarnessBuilder) -> ControllerHarness {
         ControllerHarness {
             controller,
@@ -99,13 +103,13 @@
             trace: String::new(),
             load_reports: builder.load_reports,
             health_check_ms: Vec::new(),
-            open_health_checks: Vec::new(),
+            health_checks_in_flight: Vec::new(),
             dispatches: Vec::new(),
             rejections: Vec::new(),
             health_checks_sent: 0,
             next_job: 0,
             engines_reachable: builder.engines_reachable,
-            billed_work_ms: builder.billed_work_ms,
+            actual_work_ms: builder.actual_work_ms,
         }
     }
     pub fn now_ms(&self) -> f64 {
@@ -118,9 +122,9 @@
     pub fn set_load_reports(&mut self, reports: LoadReports) {
         self.load_reports = reports;
     }
-    /// From now on engines report this much work for each finished dispatch.
-    pub fn set_billed_work_ms(&mut self, work: f64) {
-        self.billed_work_ms = Some(work);
+    /// Sets the actual work that engines report for each dispatch that ends from now on.
+    pub fn set_actual_work_ms(&mut self, work: f64) {
+        self.actual_work_ms = Some(work);
     }
     /// Number of entries that the controller holds in its state.
     pub fn retained_entries(&self) -> usize {
@@ -134,16 +138,16 @@
     pub fn was_sent_to(&self, job: JobId, engine: u32) -> bool {
         self.last_dispatch(job).is_some_and(|dispatch| dispatch.engine == engine)
     }
-    /// Compares all that has happened.
+    /// Compares the whole trace with the expected one.
     pub fn expect_trace(&self, trace: &Expect) {
         trace.assert_eq(&self.trace);
     }
 
-    /// The endpoint list becomes this one.
+    /// Delivers a complete endpoint list; engines that it does not contain are gone.
     pub fn replace_endpoints(&mut self, endpoints: Vec<Endpoint>) {
         self.endpoints_changed(ListScope::Complete, endpoints);
     }
-    /// Some endpoints have changed.
+    /// Delivers the entries of changed endpoints only.
     pub fn update_endpoints(&mut self, endpoints: Vec<Endpoint>) {
         self.endpoints_changed(ListScope::Changes, endpoints);
     }
@@ -155,7 +159,7 @@
         let actions = self.controller.endpoints_changed(self.timestamp(), scope, endpoints);
         self.record(&format!("endpoints [{}]", entries.join(", ")), actions);
     }
-    /// A client's job arrives. Jobs are numbered from 0.
+    /// Submits a job. Jobs are numbered from 0.
     pub fn submit(&mut self, spec: JobSpec) -> JobId {
         let id = JobId(self.next_job);
         self.next_job += 1;
@@ -163,11 +167,11 @@
         self.record(&format!("submit {}", id.0), actions);
         id
     }
-    /// The first dispatch of a job completes.
+    /// Reports that the first dispatch of a job has completed.
     pub fn complete(&mut self, job: JobId, elapsed_ms: f64) {
         self.finish(attempt(job, 0), DispatchStatus::Completed, elapsed_ms);
     }
-    /// A dispatch ends.
+    /// Reports the end of a dispatch.
     pub fn finish(&mut self, dispatch: DispatchId, status: DispatchStatus, elapsed_ms: f64) {
         let DispatchId { job, attempt } = dispatch;
         let result = DispatchResult {
@@ -175,7 +179,7 @@
             elapsed: TimeDelta::from_millis_f64(elapsed_ms),
             job_finished: status == DispatchStatus::Completed,
             engine_reachable: self.engines_reachable,
-            actual_cost: self.billed_work_ms.map(|work| ActualCost {
+            actual_cost: self.actual_work_ms.map(|work| ActualCost {
                 work: TimeDelta::from_millis_f64(work),
                 memory_mb: DEFAULT_MEMORY_MB,
             }),
@@ -184,33 +188,35 @@
         let actions = self.controller.dispatch_finished(self.timestamp(), job, attempt, result);
         self.record(&format!("{status:?} {}.{attempt}", job.0), actions);
     }
-    /// An engine tells how a dispatch is going.
+    /// Reports an engine's progress update for a dispatch.
     pub fn progress(&mut self, dispatch: DispatchId, update: ProgressUpdate) {
         let DispatchId { job, attempt } = dispatch;
         let actions = self.controller.dispatch_progress(self.timestamp(), job, attempt, update);
         self.record(&format!("{update:?} {}.{attempt}", job.0), actions);
     }
-    /// The program is told to stop and has to have answered everything within this time.
+    /// Begins a planned shutdown: the process ends after this time.
     pub fn begin_shutdown(&mut self, within_ms: f64) {
         let deadline = Timestamp::from_millis_f64(self.now_ms + within_ms);
         let actions = self.controller.begin_shutdown(self.timestamp(), deadline);
         self.record("begin shutdown", actions);
     }
-    /// Lets time pass: the timer fires every [`TIMER_INTERVAL_MS`], and health checks are answered.
+    /// Advances the clock. The controller's timer fires every [`TIMER_INTERVAL_MS`], and the health checks in flight are
+    /// answered after it.
     pub fn advance(&mut self, ms: f64) {
         let until = self.now_ms + ms;
         while self.now_ms < until {
             self.now_ms += TIMER_INTERVAL_MS;
             let actions = self.controller.timer_fired(self.timestamp());
             self.record("", actions);
-            for engine in std::mem::take(&mut self.open_health_checks) {
+            for engine in std::mem::take(&mut self.health_checks_in_flight) {
                 self.answer_health_check(engine);
             }
         }
     }
     fn answer_health_check(&mut self, engine: EngineId) {
         let Some(value) = self.load_reports.value(engine) else { return };
-        let elapsed_ms = self.health_check_ms.get(engine.0 as usize).copied().unwrap_or(HEALTH_CHECK_MS);
+        let elapsed_ms =
+            self.health_check_ms.get(engine.0 as usize).copied().unwrap_or(DEFAULT_HEALTH_CHECK_MS);
         let result = DispatchResult {
             status: DispatchStatus::Completed,
             elapsed: TimeDelta::from_millis_f64(elapsed_ms),
@@ -226,6 +232,7 @@
         Timestamp::from_millis_f64(self.now_ms)
     }
 
+    /// Adds an event with its actions to the trace; a timer event has an empty name.
     fn record(&mut self, event: &str, actions: Actions) {
         let parts = describe(&actions);
         if !event.is_empty() || !parts.is_empty() {
@@ -242,10 +249,11 @@
         };
         self.rejections.extend(actions.answers.iter().filter_map(rejected));
         self.health_checks_sent += actions.health_checks.len();
-        self.open_health_checks.extend(actions.health_checks);
+        self.health_checks_in_flight.extend(actions.health_checks);
     }
 }
 
+/// The actions in the form in which the trace shows them.
 fn describe(actions: &Actions) -> Vec<String> {
     let mut parts: Vec<String> = Vec::new();
     parts.extend(
@@ -266,31 +274,32 @@
     parts
 }
 
-/// One dispatch of a job, counted from 0.
+/// Identifies a dispatch of a job by its number, from 0.
 pub fn attempt(job: JobId, attempt: u32) -> DispatchId {
     DispatchId { job, attempt }
 }
 
-/// An engine that runs and has done so for long.
+/// An entry for a running engine without a recent start, which is warm.
 pub fn running(engine: u32) -> Endpoint {
     endpoint(engine, LifecycleState::Running)
 }
 
-/// An engine that started at this time.
+/// An entry for a running engine that started at this time.
 pub fn running_since(engine: u32, started_at_ms: f64) -> Endpoint {
     Endpoint { started_at: Some(Timestamp::from_millis_f64(started_at_ms)), ..running(engine) }
 }
 
-/// An engine that finishes what it has and takes nothing new.
+/// An entry for an engine that finishes its dispatches in flight and accepts no new ones.
 pub fn draining(engine: u32) -> Endpoint {
     endpoint(engine, LifecycleState::Draining)
 }
 
-/// An engine that has left.
+/// An entry for an engine that has been shut down.
 pub fn gone(engine: u32) -> Endpoint {
     endpoint(engine, LifecycleState::Gone)
 }
 
+/// An endpoint list entry. Engines with even numbers are in location 0, those with odd numbers in location 1.
 fn endpoint(engine: u32, lifecycle: LifecycleState) -> Endpoint {
     Endpoint {
         engine: EngineId(engine),
--- a/tests/decisions/health_checks.rs
+++ b/tests/decisions/health_checks.rs
@@ -9,7 +9,7 @@
 fn a_gateway_of_a_large_fleet_health_checks_the_pair_before_it_dispatches() {
     let mut harness = ControllerHarness::builder()
         .engines(5)
-        .large_fleet()
+        .large_gateway_fleet()
         .load_reports(LoadReports::JobsInFlight(vec![2.0, 40.0, 40.0, 1.0, 40.0]))
         .build();
 
@@ -38,7 +38,7 @@
     for price in [0.1, 1.0] {
         let mut harness = ControllerHarness::builder()
             .engines(12)
-            .large_fleet()
+            .large_gateway_fleet()
             .health_check_price(price)
             .reported_utilization(0.2, 12)
             .build();
@@ -73,7 +73,7 @@
     for slow_ms in [1.0, 4.0] {
         let mut harness = ControllerHarness::builder()
             .engines(4)
-            .large_fleet()
+            .large_gateway_fleet()
             .health_check_price(0.01)
             .reported_utilization(0.2, 4)
             .build();
--- a/tests/decisions/jobs.rs
+++ b/tests/decisions/jobs.rs
@@ -1,9 +1,10 @@
-//! The job classes of these tests, and the jobs that are submitted to the controller.
+//! The job classes of the tests, and the jobs that tests submit to the controller.
 
 use pebblevane::interface::Job;
 use pebblevane::settings::{Settings, Value};
 use pebblevane::time::TimeDelta;
 
+// Positions of the job classes in the settings.
 pub const LOOKUP: usize = 0;
 pub const NON_IDEMPOTENT: usize = 1;
 pub const KEYED: usize = 2;
@@ -11,27 +12,32 @@
 pub const CONFINED: usize = 4;
 pub const BULK_LOAD: usize = 5;
 
+/// Memory that a client estimates unless a test sets another value, and that engines report as used.
 pub const DEFAULT_MEMORY_MB: f64 = 200.0;
+/// Work that a client estimates unless a test sets another value.
 const DEFAULT_COST_MS: f64 = 100.0;
+/// How long a client waits unless a test sets another value.
 const DEFAULT_CLIENT_TIMEOUT_MS: f64 = 4000.0;
+/// Latency objective of each class unless a test sets another value.
 const LATENCY_OBJECTIVE_MS: f64 = 1000.0;
+/// How long engines remember an idempotency key.
 const DEDUPLICATION_WINDOW_MS: f64 = 2000.0;
-/// The location that jobs of the class [`CONFINED`] may use; engines with odd numbers are there.
+/// The only location in which jobs of the class [`CONFINED`] may run: that of the engines with odd numbers.
 const CONFINED_TO_LOCATION: f64 = 1.0;
 
-/// A class by its place in the settings, and how its jobs may be retried.
+/// A job class: its position in the settings and, as the settings name it, its retry safety.
 pub struct JobClass {
     index: usize,
-    semantics: &'static str,
+    retry_safety: &'static str,
 }
 
 pub const ALL_CLASSES: [JobClass; 6] = [
-    JobClass { index: LOOKUP, semantics: "read_like" },
-    JobClass { index: NON_IDEMPOTENT, semantics: "non_idempotent" },
-    JobClass { index: KEYED, semantics: "idempotency_key" },
-    JobClass { index: ORDERED, semantics: "read_like" },
-    JobClass { index: CONFINED, semantics: "read_like" },
-    JobClass { index: BULK_LOAD, semantics: "non_idempotent" },
+    JobClass { index: LOOKUP, retry_safety: "read_like" },
+    JobClass { index: NON_IDEMPOTENT, retry_safety: "non_idempotent" },
+    JobClass { index: KEYED, retry_safety: "idempotency_key" },
+    JobClass { index: ORDERED, retry_safety: "read_like" },
+    JobClass { index: CONFINED, retry_safety: "read_like" },
+    JobClass { index: BULK_LOAD, retry_safety: "non_idempotent" },
 ];
 
 impl JobClass {
@@ -41,7 +47,7 @@
         set(format!("Classes.{index}.Aim"), Value::Number(LATENCY_OBJECTIVE_MS));
         set(format!("Classes.{index}.Worth"), Value::Number(1.0));
         set(format!("Classes.{index}.DedupWindow"), Value::Number(DEDUPLICATION_WINDOW_MS));
-        set(format!("Classes.{index}.Semantics"), Value::Text(self.semantics.to_string()));
+        set(format!("Classes.{index}.Semantics"), Value::Text(self.retry_safety.to_string()));
         set(format!("Classes.{index}.Group"), Value::Text("zone".to_string()));
         set(format!("Classes.{index}.ByArrival"), Value::Flag(index == ORDERED));
         set(format!("Extra.ClassThreads.{index}"), Value::Number(1.0));
@@ -75,23 +81,23 @@
             memory_mb: DEFAULT_MEMORY_MB,
         }
     }
-    /// The work that the client estimates.
+    /// Sets the work that the client estimates.
     pub fn cost_ms(self, cost: f64) -> JobSpec {
         JobSpec { cost_ms: Some(cost), ..self }
     }
-    /// The key of the job, which orders it only if its class is ordered.
+    /// Sets the ordering key, which is used only if the class is ordered by key.
     pub fn key(self, key: u64) -> JobSpec {
         JobSpec { key: Some(key), ..self }
     }
-    /// The client estimates no work.
+    /// Removes the client's estimate of the work.
     pub fn without_cost(self) -> JobSpec {
         JobSpec { cost_ms: None, ..self }
     }
-    /// How long the client waits.
+    /// Sets how long the client waits.
     pub fn client_timeout_ms(self, timeout: f64) -> JobSpec {
         JobSpec { client_timeout_ms: timeout, ..self }
     }
-    /// The memory that the client estimates.
+    /// Sets the memory that the client estimates.
     pub fn memory_mb(self, memory: f64) -> JobSpec {
         JobSpec { memory_mb: memory, ..self }
     }
@@ -111,7 +117,7 @@
     }
 }
 
-/// A read, which may be retried and waits for bulk loads of its tables.
+/// A read. It is restartable and waits at the engine while a bulk load locks its tables.
 pub fn lookup(table_group: u64) -> JobSpec {
     JobSpec::new(LOOKUP, table_group)
 }
@@ -121,12 +127,12 @@
     JobSpec::new(NON_IDEMPOTENT, table_group)
 }
 
-/// A write with an idempotency key: engines of one location drop duplicates within the deduplication window.
+/// A write with an idempotency key: the engines of one location recognize duplicates within the deduplication window.
 pub fn keyed(table_group: u64) -> JobSpec {
     JobSpec::new(KEYED, table_group)
 }
 
-/// A job that runs after those of the same key that arrived before it.
+/// A read of a class that is ordered by key: it runs after the jobs of its key that arrived before it.
 pub fn ordered(table_group: u64, key: u64) -> JobSpec {
     JobSpec { key: Some(key), ..JobSpec::new(ORDERED, table_group) }
 }
--- a/tests/decisions/key_order.rs
+++ b/tests/decisions/key_order.rs
@@ -78,7 +78,7 @@
     let mut harness = ControllerHarness::builder().engines(2).latency_objective_ms(ORDERED, 60_000.0).build();
 
     harness.submit(ordered(11, 5).client_timeout_ms(60_000.0).cost_ms(30_000.0));
-    harness.set_billed_work_ms(100.0);
+    harness.set_actual_work_ms(100.0);
     harness.submit(ordered(11, 5).client_timeout_ms(60_000.0));
     // Congestion, and then quiet for long enough that it says nothing any more.
     for group in 0..20 {
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,5 +1,6 @@
-//! The decisions of the admission controller, without a network: one file for each concern, one test for each rule.
-//! The traces that tests compare are described in [`harness`].
+//! Tests of the admission controller's decisions, without a network. Each file covers one concern.
+//!
+//! Rules are numbered as in `src/rules.rs`. The module [`harness`] describes the traces that tests compare.
 
 mod admission;
 mod builder;
--- a/tests/decisions/outlier_ejection.rs
+++ b/tests/decisions/outlier_ejection.rs
@@ -68,7 +68,7 @@
 fn an_engine_where_a_small_job_was_stuck_is_avoided_for_a_while() {
     let mut harness = ControllerHarness::builder()
         .engines(12)
-        .large_fleet()
+        .large_gateway_fleet()
         .health_check_price(1.0)
         .late_value_ratio(LOOKUP, 1.0)
         .reported_utilization(0.2, 12)
--- a/tests/decisions/retry_budget.rs
+++ b/tests/decisions/retry_budget.rs
@@ -10,7 +10,7 @@
 fn retries_stay_within_their_budget() {
     let mut harness = ControllerHarness::builder()
         .engines(6)
-        .retry_budget(&RetryBudget { window_ms: 10_000.0, spare_attempts: 1.0, extra_ratio: 0.25 })
+        .retry_budget(&RetryBudget { window_ms: 10_000.0, min_retries: 1.0, retries_per_job: 0.25 })
         .build();
 
     for group in 0..5 {
@@ -35,7 +35,7 @@
 
 #[test]
 fn the_retry_budget_holds_at_both_ends_of_its_window() {
-    let budget = RetryBudget { window_ms: 1000.0, spare_attempts: 1.0, extra_ratio: 0.0 };
+    let budget = RetryBudget { window_ms: 1000.0, min_retries: 1.0, retries_per_job: 0.0 };
     let mut harness = ControllerHarness::builder().engines(6).retry_budget(&budget).build();
 
     let first = harness.submit(lookup(1));
@@ -59,7 +59,7 @@
 /// A dispatch at the far end of the window is still known when the next one is counted.
 #[test]
 fn a_retry_at_the_start_of_the_window_still_counts_at_its_end() {
-    let budget = RetryBudget { window_ms: 1000.0, spare_attempts: 2.0, extra_ratio: 0.0 };
+    let budget = RetryBudget { window_ms: 1000.0, min_retries: 2.0, retries_per_job: 0.0 };
     let mut harness = ControllerHarness::builder().engines(6).retry_budget(&budget).build();
 
     let first = harness.submit(lookup(1));
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -10,7 +10,11 @@
 #[test]
 fn a_warming_engine_gets_no_more_than_the_gateways_quota() {
     let mut harness = ControllerHarness::builder()
-        .slow_start(&SlowStart { start_capacity: 0.3, warm_up_ms: 10000.0, overload_window_ms: 500.0 })
+        .slow_start(&SlowStart {
+            initial_capacity_fraction: 0.3,
+            warm_up_ms: 10000.0,
+            warm_up_window_ms: 500.0,
+        })
         .build();
 
     harness.jump_to(1000.0);
@@ -47,9 +51,9 @@
         for ordinal in 0..gateways {
             let mut harness = ControllerHarness::builder()
                 .slow_start(&SlowStart {
-                    start_capacity: 0.3,
+                    initial_capacity_fraction: 0.3,
                     warm_up_ms: 10000.0,
-                    overload_window_ms: 500.0,
+                    warm_up_window_ms: 500.0,
                 })
                 .gateways(gateways)
                 .gateway_ordinal(ordinal)
@@ -93,9 +97,9 @@
         for ordinal in 0..gateways {
             let mut harness = ControllerHarness::builder()
                 .slow_start(&SlowStart {
-                    start_capacity: 0.4,
+                    initial_capacity_fraction: 0.4,
                     warm_up_ms: 12000.0,
-                    overload_window_ms: 1000.0,
+                    warm_up_window_ms: 1000.0,
                 })
                 .gateways(gateways)
                 .gateway_ordinal(ordinal)
@@ -154,7 +158,11 @@
     let mut sent = [0, 0];
     for ordinal in 0..300 {
         let mut harness = ControllerHarness::builder()
-            .slow_start(&SlowStart { start_capacity: 0.4, warm_up_ms: 40000.0, overload_window_ms: 1000.0 })
+            .slow_start(&SlowStart {
+                initial_capacity_fraction: 0.4,
+                warm_up_ms: 40000.0,
+                warm_up_window_ms: 1000.0,
+            })
             .threads_per_job(BULK_LOAD, 4.0)
             .latency_objective_ms(BULK_LOAD, 2500.0)
             .health_checks(true)
@@ -188,9 +196,9 @@
         for ordinal in 0..300 {
             let fleet = ControllerHarness::builder()
                 .slow_start(&SlowStart {
-                    start_capacity: 0.4,
+                    initial_capacity_fraction: 0.4,
                     warm_up_ms: 20000.0,
-                    overload_window_ms: 1000.0,
+                    warm_up_window_ms: 1000.0,
                 })
                 .gateways(300)
                 .gateway_ordinal(ordinal);
@@ -238,9 +246,13 @@
     for (congested, duration) in [(false, 100.0), (true, 100.0), (true, 600.0)] {
         let mut harness = ControllerHarness::builder()
             .engines(4)
-            .slow_start(&SlowStart { start_capacity: 0.4, warm_up_ms: 20000.0, overload_window_ms: 2000.0 })
+            .slow_start(&SlowStart {
+                initial_capacity_fraction: 0.4,
+                warm_up_ms: 20000.0,
+                warm_up_window_ms: 2000.0,
+            })
             .gateways(20)
-            .billed_work_ms(100.0)
+            .actual_work_ms(100.0)
             .build();
         for group in 0..30 {
             let id = harness.submit(lookup(group));
@@ -281,7 +293,11 @@
 fn congestion_elsewhere_does_not_withhold_jobs_from_a_slow_start_slot() {
     let mut harness = ControllerHarness::builder()
         .engines(4)
-        .slow_start(&SlowStart { start_capacity: 0.4, warm_up_ms: 20000.0, overload_window_ms: 2000.0 })
+        .slow_start(&SlowStart {
+            initial_capacity_fraction: 0.4,
+            warm_up_ms: 20000.0,
+            warm_up_window_ms: 2000.0,
+        })
         .gateways(20)
         .health_checks(true)
         .health_check_price(1.0)
@@ -310,8 +326,12 @@
     for before in [2.0, 9.0] {
         let mut harness = ControllerHarness::builder()
             .engines(2)
-            .slow_start(&SlowStart { start_capacity: 0.3, warm_up_ms: 10000.0, overload_window_ms: 500.0 })
-            .large_fleet()
+            .slow_start(&SlowStart {
+                initial_capacity_fraction: 0.3,
+                warm_up_ms: 10000.0,
+                warm_up_window_ms: 500.0,
+            })
+            .large_gateway_fleet()
             .load_reports(LoadReports::JobsInFlight(vec![40.0, before]))
             .build();
         harness.advance(1000.0);
