--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which jobs wait at the gateway for capacity, and which estimates of clients are believed.
+//! Admission: which jobs wait at the gateway for capacity, and which estimates of clients are plausible.
 
 use crate::harness::ControllerHarness;
 use crate::jobs::{LOOKUP, lookup};
@@ -7,8 +7,10 @@
 
 const DAY_MS: f64 = 86_400_000.0;
 
+/// Guards against overfilling the engines when waiting jobs are placed after a result: the two engines run 32 threads,
+/// and each completed job frees one. The job that is left is rejected when it can no longer meet its objective.
 #[test]
-fn queued_jobs_are_released_one_by_one_as_capacity_returns() {
+fn each_completed_job_frees_capacity_for_one_waiting_job() {
     let mut harness = ControllerHarness::builder().engines(2).build();
 
     (0..36).for_each(|group| assert_eq!(harness.submit(lookup(u64::from(group))), JobId(group)));
@@ -24,25 +26,26 @@
     expect!["sent [32, 33, 34, 35], throttled 1"].assert_eq(&format!("sent {sent:?}, throttled {rejected}"));
 }
 
-/// Estimates may be hostile. A job of more work than any client waits for is rejected, and later jobs are judged as if it
-/// had not come; so is a job whose client claims to wait for a day.
+/// Guards against a client that has the jobs of others rejected: if the mean estimate of the class included an
+/// implausible one, jobs without an estimate would be presumed to be as large. To claim a client timeout of a day does
+/// not make such an estimate plausible.
 #[test]
-fn an_absurd_cost_estimate_is_rejected_and_not_learned_from() {
+fn a_job_with_an_implausible_cost_estimate_is_rejected_and_not_learned_from() {
     let mut harness = ControllerHarness::builder()
         .engines(2)
         .client_timeout_ms(LOOKUP, 4000.0)
         .objective_stretch(LOOKUP, 10.0)
         .build();
 
-    let unbelievable = lookup(1).cost_ms(9e10);
+    let implausible = lookup(1).cost_ms(9e10);
     let day_long = lookup(1).cost_ms(5e7).client_timeout_ms(DAY_MS);
     let without_cost = lookup(1).without_cost();
-    for spec in [lookup(1).cost_ms(100.0), unbelievable, without_cost, day_long, without_cost] {
+    for spec in [lookup(1).cost_ms(100.0), implausible, without_cost, day_long, without_cost] {
         let job = harness.submit(spec);
         harness.advance(50.0);
         harness.complete(job, 50.0);
     }
-    // Nor does a job wait for longer than the settings say that clients do.
+    // The maximum client timeout of the settings also limits how long a job waits.
     harness.replace_endpoints(vec![]);
     harness.submit(lookup(1).cost_ms(3000.0).client_timeout_ms(DAY_MS));
     harness.advance(5000.0);
@@ -65,9 +68,10 @@
         "]]);
 }
 
-/// A job that claims more memory than any running engine has does not fill its engine for the others.
+/// Guards against a client that blocks an engine for others by a memory estimate that exceeds the memory of every
+/// running engine.
 #[test]
-fn a_memory_estimate_beyond_any_engine_is_disregarded() {
+fn a_memory_estimate_beyond_any_engine_is_ignored() {
     let mut harness = ControllerHarness::builder().engines(1).engine_memory_mb(1000.0).build();
 
     harness.submit(lookup(1).memory_mb(1e9));
--- a/tests/decisions/builder.rs
+++ b/tests/decisions/builder.rs
@@ -70,8 +70,8 @@
     pub fn gateway_ordinal(self, ordinal: u32) -> Self {
         HarnessBuilder { ordinal, ..self }.setting("Ordinal", f64::from(ordinal))
     }
-    /// A large gateway fleet: 40 gateways, which may send health checks. The equal share of a gateway in the 16 threads of
-    /// an engine is less than one thread.
+    /// A large gateway fleet: 40 gateways, which may send health checks. The equal share of a gateway in the 16 threads
+    /// of an engine is less than one thread.
     pub fn large_gateway_fleet(self) -> Self {
         self.gateways(40).health_checks(true)
     }
@@ -79,8 +79,8 @@
     pub fn health_checks(self, allowed: bool) -> Self {
         self.flag("Ceilings.Probes", allowed)
     }
-    /// Price of a health check, in points. If it exceeds 0.0125, a large gateway fleet lacks load reports: checks are too
-    /// expensive for both engines of each job's pair.
+    /// Price of a health check, in points. If it exceeds 0.0125, a large gateway fleet lacks load reports: checks are
+    /// too expensive for both engines of each job's pair.
     pub fn health_check_price(self, price: f64) -> Self {
         self.setting("Deductions.Probe", price)
     }
@@ -108,8 +108,8 @@
     pub fn client_timeout_ms(self, class: usize, timeout: f64) -> Self {
         self.setting(&format!("Classes.{class}.GiveUp"), timeout)
     }
-    /// How much the latency objective of the class grows with a job's estimated work: its run time, times this factor, is
-    /// added.
+    /// How much the latency objective of the class grows with a job's estimated work: its run time, times this factor,
+    /// is added.
     pub fn objective_stretch(self, class: usize, stretch: f64) -> Self {
         self.setting(&format!("Classes.{class}.AimStretch"), stretch)
     }
@@ -170,8 +170,8 @@
     }
 }
 
-/// Engines have 8 cores, i.e. 16 threads. A clock tick is 5 ms, so that a job without a result gets its final answer 10 ms
-/// before its deadline. A job is dispatched no more than 4 times.
+/// Engines have 8 cores, i.e. 16 threads. A clock tick is 5 ms, so that a job without a result gets its final answer
+/// 10 ms before its deadline. A job is dispatched no more than 4 times.
 fn default_settings() -> Settings {
     let mut settings = Settings::default();
     for class in ALL_CLASSES {
--- a/tests/decisions/bulk_loads.rs
+++ b/tests/decisions/bulk_loads.rs
@@ -1,12 +1,15 @@
-//! Bulk loads lock the tables of their group on an engine: where they go, and how readers of the same tables avoid them.
+//! Bulk loads lock the tables of their group on an engine: where they are sent, and how readers of the same tables
+//! avoid them.
 
 use crate::harness::{ControllerHarness, attempt};
 use crate::jobs::{bulk_load, lookup};
 use expect_test::expect;
 use pebblevane::interface::{DispatchStatus, ProgressUpdate};
 
+/// Guards against readers that wait at an engine for a bulk load although other engines are free. The gateway knows of
+/// its own bulk loads, and of those of other gateways by readers that report that they wait.
 #[test]
-fn readers_avoid_engines_whose_tables_a_bulk_load_locks() {
+fn readers_avoid_engines_where_a_bulk_load_locks_their_tables() {
     let mut harness = ControllerHarness::builder().engines(3).build();
 
     let first = harness.submit(bulk_load(11));
@@ -14,8 +17,9 @@
         let job = harness.submit(lookup(11));
         harness.complete(job, 100.0);
     }
-    let other = harness.submit(lookup(12));
-    harness.progress(attempt(other, 0), ProgressUpdate::WaitingForBulkLoad);
+    // Another gateway's bulk load locks the tables of group 12.
+    let blocked = harness.submit(lookup(12));
+    harness.progress(attempt(blocked, 0), ProgressUpdate::WaitingForBulkLoad);
     harness.submit(lookup(12));
     harness.complete(first, 2000.0);
 
@@ -37,6 +41,8 @@
     "]]);
 }
 
+/// Guards against bulk loads of all gateways that queue at one engine: the gateways learn of each other's loads too
+/// late and walk the engines in the same order. So each starts at a random position.
 #[test]
 fn bulk_loads_of_many_gateways_spread_over_the_engines() {
     let mut loads_at = [0; 8];
@@ -54,8 +60,9 @@
     expect!["[3, 4, 6, 6, 6, 10, 5, 0]"].assert_eq(&format!("{loads_at:?}"));
 }
 
-/// Where bulk loads lock the tables on all engines, a reader that is moved from one to the next uses up its attempts and
-/// then waits until its client leaves. So it is cancelled only while another engine is not known to be locked.
+/// Guards against a reader that is moved from engine to engine while bulk loads lock its tables on all of them: it
+/// would use up its dispatches and then wait until its client times out. Its dispatch is cancelled only if there is an
+/// engine where the tables are not known to be locked.
 #[test]
 fn a_reader_is_not_moved_to_another_engine_whose_tables_are_locked() {
     let mut harness = ControllerHarness::builder().engines(2).progress_interval_ms(1000.0).build();
@@ -65,7 +72,7 @@
     harness.finish(attempt(first, 0), DispatchStatus::Cancelled, 1.0);
     harness.progress(attempt(first, 1), ProgressUpdate::WaitingForBulkLoad);
     harness.advance(100.0);
-    // It waited there and has completed: the tables are free on that engine.
+    // As the reader waited there and has completed, the tables are no longer locked on that engine.
     harness.finish(attempt(first, 1), DispatchStatus::Completed, 100.0);
     let second = harness.submit(lookup(11));
     harness.complete(second, 50.0);
@@ -82,8 +89,8 @@
     "]]);
 }
 
-/// Bulk loads of a group with many jobs must not lock its tables on every engine: they leave the first engine of their
-/// readers free and queue behind each other.
+/// Guards against bulk loads of one group that lock its tables on every engine, so that its readers find none. The
+/// loads leave out the first engine that readers try and queue behind each other on the others.
 #[test]
 fn bulk_loads_leave_one_engine_of_the_group_to_readers() {
     let mut harness = ControllerHarness::builder().engines(4).build();
--- a/tests/decisions/cancellation.rs
+++ b/tests/decisions/cancellation.rs
@@ -1,4 +1,4 @@
-//! Dispatches that the controller cancels by its own decision, to retry the job elsewhere or to reject it.
+//! Dispatches that the controller cancels by its own decision, to retry the job on another engine or to reject it.
 
 use crate::harness::{ControllerHarness, attempt};
 use crate::jobs::{LOOKUP, lookup};
@@ -6,6 +6,7 @@
 use pebblevane::interface::{DispatchStatus, JobId, ProgressUpdate};
 use std::fmt::Write as _;
 
+/// Guards against a job that misses its latency objective on a slow engine although a new dispatch would meet it.
 #[test]
 fn a_dispatch_with_slow_progress_is_cancelled_and_retried() {
     let mut harness = ControllerHarness::builder().engines(3).progress_interval_ms(200.0).build();
@@ -13,6 +14,7 @@
     let usual = harness.submit(lookup(11));
     harness.advance(100.0);
     harness.complete(usual, 100.0);
+    // With 5% completed after 200 ms the job would take 4 s; a new dispatch takes 100 ms, and the objective is 1 s.
     let stuck = harness.submit(lookup(11));
     harness.advance(200.0);
     harness.progress(attempt(stuck, 0), ProgressUpdate::CompletedFraction(0.05));
@@ -28,9 +30,10 @@
         "]]);
 }
 
-/// A job past its latency objective on a saturated engine prolongs the congestion for little value.
+/// Guards against late jobs that prolong an overload: their answers have lost half of their value, while jobs that
+/// arrive could still meet their objective. A job that is nearly complete needs little more time, so it is kept.
 #[test]
-fn a_late_job_on_a_congested_engine_is_rejected_unless_nearly_complete() {
+fn a_late_job_on_an_overloaded_engine_is_rejected_unless_nearly_complete() {
     let mut lines = String::new();
     for completed in [0.0, 0.9] {
         let mut harness = ControllerHarness::builder().engines(1).late_value_ratio(LOOKUP, 0.5).build();
--- a/tests/decisions/concurrency_limit.rs
+++ b/tests/decisions/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! How much a gateway has in flight at once under congestion, where it lacks load reports.
+//! The limit on the threads that a gateway has in flight, which applies without load reports.
 
 use crate::harness::{ControllerHarness, attempt};
 use crate::jobs::{BULK_LOAD, LOOKUP, bulk_load, lookup};
@@ -6,10 +6,11 @@
 use pebblevane::interface::{JobId, ProgressUpdate};
 use std::fmt::Write as _;
 
-/// The whole pool is congested and no gateway can know any engine's load: jobs complete late or not at all. What a
-/// gateway has in flight shrinks to its equal share, and grows again when jobs take their usual time.
+/// Guards against an overload of the whole pool that does not end: no gateway knows any engine's load, only that its
+/// own jobs complete late or not at all. A gateway's limit therefore shrinks, down to half of its equal share of the
+/// pool, and grows again when jobs take their usual time.
 #[test]
-fn without_load_reports_concurrency_shrinks_under_congestion_and_recovers() {
+fn without_load_reports_the_gateway_limit_shrinks_under_overload_and_recovers() {
     let mut harness = ControllerHarness::builder()
         .engines(20)
         .large_gateway_fleet()
@@ -22,11 +23,12 @@
     let mut seen = Vec::new();
     let mut known = 0;
     for tenth in 0..300 {
-        // Jobs of 100 ms on their own: they take that long, then 2 s, then that long again.
+        // Jobs take 100 ms on an unloaded engine. From 5 s to 15 s the pool is overloaded and they take 2 s.
         let duration = if (50..150).contains(&tenth) { 2000.0 } else { 100.0 };
         harness.submit(lookup(tenth).client_timeout_ms(60_000.0));
         harness.advance(100.0);
         let now = harness.now_ms();
+        // A dispatch counts as sent in the middle of the last 100 ms.
         in_flight.extend(harness.dispatches[known..].iter().map(|sent| (now - 50.0, sent.job)));
         known = harness.dispatches.len();
         let (done, rest): (Vec<_>, Vec<_>) =
@@ -43,10 +45,11 @@
     expect!["50 sent, 1 out, 67 sent, 3 out, 300 sent, 1 out"].assert_eq(&seen.join(", "));
 }
 
-/// An equal share of the pool is little for a gateway with more than its share of the traffic: under long congestion it
-/// keeps seven tenths of the work that arrives in flight, not one thread a core of an equal share.
+/// Guards against starving a gateway that has more than an equal share of the traffic. In a long overload its limit
+/// does not fall below 0.7 times the threads that the arriving work needs without load. That is more than the minimum
+/// by equal shares, one thread per core of its share.
 #[test]
-fn a_busy_gateway_keeps_its_quota_under_congestion() {
+fn under_overload_the_limit_of_a_busy_gateway_follows_its_traffic() {
     let mut harness = ControllerHarness::builder()
         .engines(12)
         .large_gateway_fleet()
@@ -74,9 +77,10 @@
     expect!["7 out"].assert_eq(&format!("{} out", in_flight.len()));
 }
 
-/// Large jobs that are stuck at one engine say nothing about the others, which get as many jobs as before.
+/// Guards against a gateway that withholds jobs from all engines since large jobs are stuck at one of them. The
+/// slowdown of that engine says nothing about the others, which have to get as many jobs as before.
 #[test]
-fn congestion_of_one_engine_does_not_reduce_dispatches_to_the_others() {
+fn overload_of_one_engine_does_not_reduce_dispatches_to_the_others() {
     let mut harness = ControllerHarness::builder()
         .engines(12)
         .large_gateway_fleet()
@@ -101,8 +105,9 @@
     expect!["2 stuck, [39, 39, 39, 39]"].assert_eq(&format!("{} stuck, {at_once:?}", stuck.len()));
 }
 
-/// The jobs in flight are the arriving work times its slowdown. More of them means congestion long before one completes
-/// or its progress update is due, and a gateway that has just started limits them all the same.
+/// Guards against a gateway that goes on sending during an overload because no job has completed and no progress update
+/// is due yet. By Little's law the threads in flight are the rate of arriving work times the slowdown, so that too many
+/// show an overload earlier. The limit applies right after the start of the gateway, too.
 #[test]
 fn jobs_in_flight_are_limited_by_the_work_that_arrives() {
     let mut harness = ControllerHarness::builder()
@@ -124,11 +129,11 @@
     expect!["[8, 11, 11, 11]"].assert_eq(&format!("{seen:?}"));
 }
 
-/// A job that spills to disk takes a multiple of its billed work on an idle engine, too: that is no congestion. Where most
-/// jobs do, since estimates of memory are too low, none is withheld or rejected for it; what takes longer still is
-/// congestion.
+/// Guards against mistaking spills for an overload: a job that spills to disk takes a multiple of its actual work even
+/// on an idle engine. If memory estimates are too low, so that most jobs spill, none may be withheld or rejected for
+/// that. If all jobs take four times as long as that, it is an overload.
 #[test]
-fn jobs_that_spill_to_disk_are_not_taken_for_congestion() {
+fn jobs_that_spill_to_disk_do_not_count_as_overload() {
     let mut lines = String::new();
     for slow in [1.0, 4.0] {
         let mut harness = ControllerHarness::builder()
--- a/tests/decisions/endpoint_list.rs
+++ b/tests/decisions/endpoint_list.rs
@@ -1,10 +1,12 @@
-//! Rule 3: an engine that drains, or has gone, gets nothing new. What happens to jobs while no engine is listed.
+//! Rule 3: no job is sent to an engine that is draining or gone. Also: what happens to jobs while no engine is listed.
 
 use crate::harness::{ControllerHarness, attempt, draining, running};
 use crate::jobs::lookup;
 use expect_test::expect;
 use pebblevane::interface::{DispatchStatus, JobId};
 
+/// Guards against dispatches to engines that shut down, whether the list marks them as draining or no longer contains
+/// them.
 #[test]
 fn draining_and_gone_engines_get_no_dispatch() {
     let mut harness = ControllerHarness::builder().engines(3).build();
@@ -26,6 +28,8 @@
         "]]);
 }
 
+/// Guards against rejecting a job at once because no engine is listed, or because the list is stale and its engine is
+/// unreachable. The job waits, or is retried, while it can meet its latency objective.
 #[test]
 fn jobs_wait_for_an_engine_and_are_retried_after_a_stale_endpoint_list() {
     let mut harness = ControllerHarness::builder().build();
--- a/tests/decisions/engine_selection.rs
+++ b/tests/decisions/engine_selection.rs
@@ -1,10 +1,12 @@
-//! Which engine a job goes to: the hashed pair of its table group, the faster one of the two, and the rest of the pool.
+//! Selection of an engine: the pair of the job's table group by the hashed order, the faster engine of the pair, and
+//! for large jobs the whole pool.
 
 use crate::harness::ControllerHarness;
 use crate::jobs::lookup;
 use expect_test::expect;
 use std::fmt::Write as _;
 
+/// Guards against spreading the jobs of a table group over engines that do not have its tables in memory.
 #[test]
 fn jobs_of_a_table_group_go_to_its_pair_of_engines() {
     let mut harness = ControllerHarness::builder().engines(6).build();
@@ -38,6 +40,7 @@
         "]]);
 }
 
+/// Guards against sending half of the jobs to an engine that takes nine times as long as the other one of the pair.
 #[test]
 fn the_faster_engine_of_a_pair_is_learned() {
     let mut harness = ControllerHarness::builder().engines(2).build();
@@ -54,8 +57,9 @@
     expect!["[299, 1]"].assert_eq(&format!("{counts:?}"));
 }
 
-/// A job that is more than a gateway's share of any engine can't be balanced by the gateway's own figures: without more,
-/// the first such job of every gateway would go to the same two engines of a busy table group.
+/// Guards against overloading the pair of a busy table group: the first large job of every gateway would go there. A
+/// gateway can't balance jobs with more work than its share of an engine by its own figures, so they start their walk
+/// at a random engine.
 #[test]
 fn large_jobs_of_many_gateways_spread_over_all_engines() {
     let mut lines = String::new();
--- a/tests/decisions/final_answer.rs
+++ b/tests/decisions/final_answer.rs
@@ -1,10 +1,13 @@
-//! Rule 1: each job gets one final answer before its client stops waiting.
+//! Rule 1: each job gets exactly one final answer, before its client times out.
 
 use crate::harness::{ControllerHarness, attempt};
 use crate::jobs::{lookup, non_idempotent};
 use expect_test::expect;
 use pebblevane::interface::DispatchStatus;
 
+/// Guards against a client without an answer at its timeout (4000 ms), and against a second answer when a result
+/// arrives after the controller has answered at 3990 ms. A write that may have run must not be rejected, as a rejection
+/// lets the client retry it.
 #[test]
 fn a_job_is_answered_once_before_its_client_times_out() {
     let mut harness = ControllerHarness::builder().engines(2).build();
--- a/tests/decisions/harness.rs
+++ b/tests/decisions/harness.rs
@@ -200,8 +200,8 @@
         let actions = self.controller.begin_shutdown(self.timestamp(), deadline);
         self.record("begin shutdown", actions);
     }
-    /// Advances the clock. The controller's timer fires every [`TIMER_INTERVAL_MS`], and the health checks in flight are
-    /// answered after it.
+    /// Advances the clock. The controller's timer fires every [`TIMER_INTERVAL_MS`], and the health checks in flight
+    /// are answered after it.
     pub fn advance(&mut self, ms: f64) {
         let until = self.now_ms + ms;
         while self.now_ms < until {
--- a/tests/decisions/health_checks.rs
+++ b/tests/decisions/health_checks.rs
@@ -1,10 +1,12 @@
-//! When a gateway sends health checks, and what their reports and their duration say about an engine.
+//! When a gateway sends health checks, and what their load reports and elapsed times show about an engine.
 
 use crate::harness::{ControllerHarness, LoadReports};
 use crate::jobs::{LOOKUP, lookup};
 use expect_test::expect;
 use std::fmt::Write as _;
 
+/// Guards against dispatches to engines that other gateways have filled: a gateway of a large fleet sees only a small
+/// part of an engine's load. It gets a load report of each engine of the pair first, unless it has a fresh one.
 #[test]
 fn a_gateway_of_a_large_fleet_health_checks_the_pair_before_it_dispatches() {
     let mut harness = ControllerHarness::builder()
@@ -30,10 +32,10 @@
     "]]);
 }
 
-/// Where health checks cost too much to be sent with each job, a gateway decides on its own figures at once; the jobs of a
-/// busy table group use all of its engines, of which no gateway may know the load.
+/// Guards against jobs that wait for load reports for which the budget of health checks is too small. The gateway then
+/// decides at once, by its own figures, and uses all engines although it may not know the load of any.
 #[test]
-fn expensive_health_checks_delay_no_job() {
+fn most_jobs_do_not_wait_for_expensive_health_checks() {
     let mut lines = String::new();
     for price in [0.1, 1.0] {
         let mut harness = ControllerHarness::builder()
@@ -65,10 +67,10 @@
     .assert_eq(&lines);
 }
 
-/// One health check that takes long may be jitter. An engine whose health checks all take four times as long as the
-/// others' is saturated, however low the utilization that it reports: once that is known it gets nothing.
+/// Guards against dispatches to an overloaded engine that reports a low utilization. A single slow health check may be
+/// jitter, but if all checks of an engine take four times as long as those of the others, it gets no more jobs.
 #[test]
-fn an_engine_with_slow_health_checks_is_treated_as_saturated() {
+fn an_engine_with_slow_health_checks_is_treated_as_overloaded() {
     let mut sent = Vec::new();
     for slow_ms in [1.0, 4.0] {
         let mut harness = ControllerHarness::builder()
@@ -96,10 +98,11 @@
     expect!["[[9, 8, 9, 7], [9, 0, 0, 0]]"].assert_eq(&format!("{sent:?}"));
 }
 
-/// On a fast network a health check takes next to nothing, and jitter of some milliseconds is many times that. It is no
-/// sign of load where jobs may take a hundred times as long: an idle pool rejects no job.
+/// Guards against an idle pool that rejects jobs because of network jitter: on a fast network a health check may take
+/// 0.1 ms, and jitter of up to 5 ms is many times that. It is no sign of load, as the latency objective of the jobs is
+/// 300 ms.
 #[test]
-fn jitter_of_fast_health_checks_is_not_taken_for_load() {
+fn jitter_of_fast_health_checks_is_not_mistaken_for_load() {
     let mut harness = ControllerHarness::builder()
         .engines(40)
         .gateways(20)
@@ -112,6 +115,7 @@
     let mut random = 0x2545_f491_4f6c_dd1d_u64;
     let mut answered = 0;
     for job in 0..200 {
+        // Each check takes a random time from 0.1 to 5 ms.
         harness.health_check_ms = (0..40)
             .map(|_| {
                 random =
--- a/tests/decisions/idempotency.rs
+++ b/tests/decisions/idempotency.rs
@@ -1,12 +1,14 @@
-//! Rule 2: no job takes effect twice. Which jobs may be retried after a dispatch that may have run.
+//! Rule 2: a job that may have run is only run again if its retry safety allows it.
 
 use crate::harness::{ControllerHarness, attempt};
 use crate::jobs::{KEYED, keyed, non_idempotent};
 use expect_test::expect;
 use pebblevane::interface::DispatchStatus;
 
+/// Guards against a write that runs twice. After a lost connection it may have run: the gateway must not retry it, and
+/// must not reject it either, as a rejection lets the client retry. A write that did not reach its engine is retried.
 #[test]
-fn a_job_that_may_have_run_is_neither_retried_nor_rejected_when_not_idempotent() {
+fn a_non_idempotent_job_that_may_have_run_is_neither_retried_nor_rejected() {
     let mut harness = ControllerHarness::builder().engines(4).build();
 
     let lost = harness.submit(non_idempotent(11));
@@ -26,8 +28,10 @@
         "]]);
 }
 
+/// Guards against a retry at an engine that does not recognize the idempotency key, so that the job runs twice: engines
+/// share the keys within a location (odd or even numbers) and remember them for 2 s.
 #[test]
-fn a_keyed_job_is_retried_only_within_its_group_and_deduplication_window() {
+fn a_keyed_job_is_retried_only_in_its_location_and_deduplication_window() {
     let mut harness = ControllerHarness::builder().engines(6).build();
 
     let job = harness.submit(keyed(11));
@@ -46,7 +50,8 @@
         "]]);
 }
 
-/// The deduplication window is 2 s; the client waits for longer and the latency objective is far away.
+/// Guards against a retry after the deduplication window of 2 s, when engines no longer recognize the key, although the
+/// client still waits and the latency objective can be met.
 #[test]
 fn a_keyed_job_that_may_have_run_is_not_retried_after_its_deduplication_window() {
     let mut harness = ControllerHarness::builder().engines(6).latency_objective_ms(KEYED, 10_000.0).build();
--- a/tests/decisions/key_order.rs
+++ b/tests/decisions/key_order.rs
@@ -1,12 +1,14 @@
-//! Rule 5: jobs of one key run one at a time, in their order.
+//! Rule 5: jobs of one key run one at a time, in the order of arrival.
 
 use crate::harness::{ControllerHarness, attempt, running};
 use crate::jobs::{ORDERED, lookup, ordered};
 use expect_test::expect;
 use pebblevane::interface::{DispatchStatus, JobId};
 
+/// Guards against two jobs of a key that run at the same time. That can also happen after a dispatch that timed out and
+/// may still run, so the next job waits for the quiet period of 300 ms.
 #[test]
-fn jobs_of_a_key_run_one_at_a_time_and_pause_after_an_unknown_outcome() {
+fn jobs_of_a_key_run_one_at_a_time_with_a_quiet_period_after_an_unknown_outcome() {
     let mut harness = ControllerHarness::builder().engines(4).key_quiet_ms(300.0).build();
 
     let first = harness.submit(ordered(11, 5));
@@ -35,6 +37,8 @@
         "]]);
 }
 
+/// Guards against one long job that makes the jobs queued behind it miss their objective of 1 s: without its 700 ms,
+/// all three can meet it. A job that is as long, but has no other job behind it, runs.
 #[test]
 fn a_long_job_is_rejected_when_the_jobs_queued_behind_it_would_be_late() {
     let mut harness = ControllerHarness::builder().engines(4).build();
@@ -72,15 +76,16 @@
         "]]);
 }
 
-/// Jobs that capacity would not help, since an earlier job of their key runs, don't make the others wait behind them.
+/// Guards against a pool that remains saturated, and lets jobs wait, with idle engines. A saturated pool remains so
+/// while jobs wait for capacity; a job that waits for an earlier job of its key must not count.
 #[test]
-fn jobs_queued_behind_their_key_do_not_count_as_waiting_for_capacity() {
+fn jobs_that_wait_for_their_key_do_not_count_as_waiting_for_capacity() {
     let mut harness = ControllerHarness::builder().engines(2).latency_objective_ms(ORDERED, 60_000.0).build();
 
     harness.submit(ordered(11, 5).client_timeout_ms(60_000.0).cost_ms(30_000.0));
     harness.set_actual_work_ms(100.0);
     harness.submit(ordered(11, 5).client_timeout_ms(60_000.0));
-    // Congestion, and then quiet for long enough that it says nothing any more.
+    // Slow jobs saturate the pool. After 15 s without jobs their slowdown has decayed.
     for group in 0..20 {
         let job = harness.submit(lookup(group).client_timeout_ms(60_000.0));
         harness.complete(job, 600.0);
@@ -95,10 +100,10 @@
     expect!["sent 31"].assert_eq(&format!("sent {sent}"));
 }
 
-/// A job whose class is not ordered is in no key's queue, so it can't leave one: the jobs that queue on its key don't have
-/// it rejected.
+/// Guards against rejecting a job because of a queue that it is not in. A job with a key whose class is not ordered is
+/// in no queue; if it were looked up in the queue of its key, it would seem to be one of the jobs that have to leave.
 #[test]
-fn a_job_that_is_not_ordered_is_not_rejected_for_the_queue_of_its_key() {
+fn a_job_of_an_unordered_class_is_not_rejected_because_of_the_queue_of_its_key() {
     let mut harness = ControllerHarness::builder().build();
 
     harness.submit(ordered(11, 5));
--- a/tests/decisions/memory_grants.rs
+++ b/tests/decisions/memory_grants.rs
@@ -1,12 +1,14 @@
-//! The memory that jobs are granted where clients' estimates are too low.
+//! Memory grants of jobs for which clients estimate too little memory.
 
 use crate::harness::{ControllerHarness, attempt};
 use crate::jobs::lookup;
 use expect_test::expect;
 use pebblevane::interface::ProgressUpdate;
 
+/// Guards against jobs that spill to disk although their engine has the memory, and against grants that exceed four
+/// times the estimate: it is 200 MB, while the engine has 1000 MB per thread and the jobs report that they need more.
 #[test]
-fn memory_grants_cover_jobs_that_spill_to_disk() {
+fn memory_grants_exceed_low_estimates_up_to_the_maximum_factor() {
     let mut harness = ControllerHarness::builder()
         .engines(2)
         .memory_grants()
--- a/tests/decisions/outlier_ejection.rs
+++ b/tests/decisions/outlier_ejection.rs
@@ -1,10 +1,12 @@
-//! Engines that fail, or are stuck, get no dispatches for a while.
+//! Outlier ejection: engines that fail get no dispatches for some time. Also: engines where jobs are stuck are avoided.
 
 use crate::harness::{ControllerHarness, attempt};
 use crate::jobs::{LOOKUP, lookup};
 use expect_test::expect;
 use pebblevane::interface::{DispatchStatus, JobId};
 
+/// Guards against ejecting an engine for a single lost connection, and against further dispatches to one that has lost
+/// two. After the ejection of 500 ms the engine gets a job again.
 #[test]
 fn an_engine_is_ejected_after_two_lost_connections_but_not_after_one() {
     let mut harness = ControllerHarness::builder().engines(2).build();
@@ -35,7 +37,8 @@
     "]]);
 }
 
-/// Where the engine accepts new connections, the fault is the connection's alone, however often it comes.
+/// Guards against ejecting a healthy engine: if it accepts a new connection, the fault is that of the lost connection
+/// only, however often it recurs.
 #[test]
 fn lost_connections_do_not_eject_an_engine_that_accepts_new_ones() {
     let mut harness = ControllerHarness::builder().engines(2).engines_reachable().build();
@@ -62,8 +65,9 @@
     "]]);
 }
 
-/// Of an engine that it uses every few seconds a gateway must remember what the last job met there. One small job that
-/// was stuck for all its time is enough; jobs of its table group return when that is long ago.
+/// Guards against sending jobs to an engine again where one was stuck until its client timed out. Without load reports
+/// a gateway uses each engine only every few seconds, so the slowdown of a single small job there must have enough
+/// weight and must decay slowly.
 #[test]
 fn an_engine_where_a_small_job_was_stuck_is_avoided_for_a_while() {
     let mut harness = ControllerHarness::builder()
@@ -79,7 +83,7 @@
     harness.advance(4050.0);
     harness.finish(attempt(stuck, 0), DispatchStatus::Cancelled, 4000.0);
     let stuck_engine = harness.dispatches[0].engine;
-    let mut there = Vec::new();
+    let mut went_to_stuck_engine = Vec::new();
     for job in 0..40 {
         let id = harness.submit(lookup(11));
         harness.advance(100.0);
@@ -87,10 +91,11 @@
         harness.submit(lookup(100 + job));
         harness.advance(900.0);
         harness.complete(JobId(id.0 + 1), 100.0);
-        there.extend(harness.dispatches.iter().skip(1 + there.len()).map(|sent| sent.engine == stuck_engine));
+        let new_dispatches = harness.dispatches.iter().skip(1 + went_to_stuck_engine.len());
+        went_to_stuck_engine.extend(new_dispatches.map(|sent| sent.engine == stuck_engine));
     }
-    let there: Vec<usize> =
-        there.chunks(20).map(|sent| sent.iter().filter(|there| **there).count()).collect();
+    let counts: Vec<usize> =
+        went_to_stuck_engine.chunks(20).map(|sent| sent.iter().filter(|stuck| **stuck).count()).collect();
 
-    expect!["[0, 0, 0, 0]"].assert_eq(&format!("{there:?}"));
+    expect!["[0, 0, 0, 0]"].assert_eq(&format!("{counts:?}"));
 }
--- a/tests/decisions/placement.rs
+++ b/tests/decisions/placement.rs
@@ -1,9 +1,11 @@
-//! Rule 6: jobs that are confined to a location never run elsewhere.
+//! Rule 6: a job that is confined to a location never runs in another one.
 
 use crate::harness::{ControllerHarness, draining, gone, running};
 use crate::jobs::confined;
 use expect_test::expect;
 
+/// Guards against running a confined job in another location because its own, that of the engines with odd numbers, has
+/// no running engine.
 #[test]
 fn a_confined_job_waits_or_is_rejected_but_never_runs_elsewhere() {
     let mut harness = ControllerHarness::builder().engines(4).build();
--- a/tests/decisions/retry_budget.rs
+++ b/tests/decisions/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Rule 7: retries and hedged requests stay within a budget over a sliding window.
+//! Rule 7: retries stay within a budget over a sliding window.
 
 use crate::builder::RetryBudget;
 use crate::harness::{ControllerHarness, attempt};
@@ -6,6 +6,8 @@
 use expect_test::expect;
 use pebblevane::interface::{DispatchStatus, JobId};
 
+/// Guards against retries that multiply the load when jobs fail. Allowed are one retry, and one more for every four
+/// jobs.
 #[test]
 fn retries_stay_within_their_budget() {
     let mut harness = ControllerHarness::builder()
@@ -33,8 +35,10 @@
         "]]);
 }
 
+/// Guards against two retries in a window that allows one: retries exactly one window (1 s) apart count together, so
+/// the second one is sent later.
 #[test]
-fn the_retry_budget_holds_at_both_ends_of_its_window() {
+fn the_retry_budget_includes_both_ends_of_its_window() {
     let budget = RetryBudget { window_ms: 1000.0, min_retries: 1.0, retries_per_job: 0.0 };
     let mut harness = ControllerHarness::builder().engines(6).retry_budget(&budget).build();
 
@@ -56,7 +60,8 @@
         "]]);
 }
 
-/// A dispatch at the far end of the window is still known when the next one is counted.
+/// Guards against dropping a retry at the start of the window when a further one is counted at its end: both count, and
+/// the third has to wait.
 #[test]
 fn a_retry_at_the_start_of_the_window_still_counts_at_its_end() {
     let budget = RetryBudget { window_ms: 1000.0, min_retries: 2.0, retries_per_job: 0.0 };
--- a/tests/decisions/shutdown.rs
+++ b/tests/decisions/shutdown.rs
@@ -1,10 +1,11 @@
-//! Graceful shutdown of a gateway: every open job is answered before the deadline.
+//! Graceful shutdown of a gateway: every open job is answered before the process ends.
 
 use crate::harness::ControllerHarness;
 use crate::jobs::{lookup, non_idempotent};
 use expect_test::expect;
 
-/// Before the gateway stops each job gets its answer; what can't complete in time is cancelled shortly before the deadline.
+/// Guards against clients that get no answer because the process ends. A job that can't complete in time is rejected on
+/// arrival; the jobs still open shortly before the end, at 290 ms, are cancelled and answered.
 #[test]
 fn a_graceful_shutdown_answers_every_job() {
     let mut harness = ControllerHarness::builder().engines(1).build();
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -1,5 +1,5 @@
-//! Rule 4: an engine that has just started gets, from all gateways together, no more than its share grows to while it warms
-//! up; and it is used up to that.
+//! Rule 4: all gateways together send no more work to a warming engine than slow start allows. The tests also check
+//! that they use a sufficient part of it.
 
 use crate::builder::SlowStart;
 use crate::harness::{ControllerHarness, LoadReports, running_since};
@@ -7,8 +7,10 @@
 use expect_test::expect;
 use std::fmt::Write as _;
 
+/// Guards against sending all waiting jobs to an engine that has just started. This gateway's share of the budget is
+/// 720 ms of work in the first window, 7 jobs; the others wait for the next window.
 #[test]
-fn a_warming_engine_gets_no_more_than_the_gateways_quota() {
+fn a_gateway_sends_no_more_than_its_share_of_the_budget_to_a_warming_engine() {
     let mut harness = ControllerHarness::builder()
         .slow_start(&SlowStart {
             initial_capacity_fraction: 0.3,
@@ -43,6 +45,8 @@
         "]]);
 }
 
+/// Guards against gateways that keep their own limits but together exceed the budget of a warming engine. With 1 or 5
+/// gateways each has an equal share; with 30 or 300 they use slow-start slots.
 #[test]
 fn all_gateways_together_stay_within_the_slow_start_budget() {
     let mut lines = String::new();
@@ -69,12 +73,14 @@
             sent.extend(harness.dispatches.iter().map(|sent| sent.at_ms));
         }
         sent.sort_by(f64::total_cmp);
+        // Work in the window that begins at a dispatch, and its share of the budget.
         let work = |from: f64| {
             100.0 * sent.iter().filter(|when| (from..from + 500.0).contains(*when)).count() as f64
         };
         let share = |from: f64| work(from) / (2.0 * (0.3 + 0.7 * (from - 900.0) / 10000.0) * 8.0 * 500.0);
-        let most = sent.iter().map(|from| share(*from)).fold(0.0, f64::max);
-        writeln!(lines, "{gateways} gateways: {} jobs, at most {most:.2} of the budget", sent.len()).unwrap();
+        let max_share = sent.iter().map(|from| share(*from)).fold(0.0, f64::max);
+        writeln!(lines, "{gateways} gateways: {} jobs, at most {max_share:.2} of the budget", sent.len())
+            .unwrap();
     }
 
     expect![[r"
@@ -86,9 +92,9 @@
     .assert_eq(&lines);
 }
 
-/// The same as an engine sees it: the times of all that 20, 30 and 300 gateways send it, which start at different
-/// moments, hear of it late, have uneven traffic and clocks that differ. In no window does it get more than its budget of
-/// N jobs and what chance may add, 2√N + 2.
+/// Guards against exceeding the budget as the engine measures it: 20, 30 and 300 gateways learn of the engine
+/// at different times, have uneven traffic and clocks that differ, so that their windows and slots do not coincide. In
+/// no window may the engine get more than the N jobs of its budget plus 2√N + 2 for random variation.
 #[test]
 fn a_warming_engine_sees_no_window_over_its_budget() {
     let mut lines = String::new();
@@ -107,7 +113,7 @@
                 .health_check_price(1.0)
                 .reported_utilization(0.1, 2)
                 .build();
-            // Its clock is wrong by up to 60 ms; some started long before the engine, some with it.
+            // The clock is wrong by up to 60 ms. Every fifth gateway gets no processor time for the last 4.5 s.
             let skew = (f64::from(ordinal * 37 % 13) - 6.0) * 10.0;
             harness.advance(5000.0 + skew - if ordinal % 5 == 0 { 4500.0 } else { 0.0 });
             harness.jump_to(5000.0 + skew);
@@ -125,18 +131,18 @@
             dispatch_times.extend(harness.dispatches.iter().map(|sent| sent.at_ms - skew));
         }
         dispatch_times.sort_by(f64::total_cmp);
-        // The budget of a window that ends at some time, by the engine's own clock.
-        let budget =
-            |ends: f64| 2.0 * (0.4 + 0.6 * ((ends - 4900.0) / 12000.0).min(1.0)) * 8.0 * 1000.0 / 100.0;
-        let over = |from: f64| {
+        // Jobs that the budget of a window allows, by the engine's capacity at a time of its own clock.
+        let budget = |at: f64| 2.0 * (0.4 + 0.6 * ((at - 4900.0) / 12000.0).min(1.0)) * 8.0 * 1000.0 / 100.0;
+        // Jobs beyond the bound in the window that begins at a dispatch, and the used fraction of the budget.
+        let excess_and_use = |from: f64| {
             let count =
                 dispatch_times.iter().filter(|when| (from..from + 1000.0).contains(*when)).count() as f64;
-            let most = budget(from);
-            (count - most - 2.0 * most.sqrt() - 2.0, count / most)
+            let allowed = budget(from);
+            (count - allowed - 2.0 * allowed.sqrt() - 2.0, count / allowed)
         };
         let warming: Vec<f64> = dispatch_times.iter().copied().filter(|when| *when < 15900.0).collect();
-        let worst = warming.iter().map(|from| over(*from).0).fold(f64::NEG_INFINITY, f64::max);
-        let fullest = warming.iter().map(|from| over(*from).1).fold(0.0, f64::max);
+        let worst = warming.iter().map(|from| excess_and_use(*from).0).fold(f64::NEG_INFINITY, f64::max);
+        let fullest = warming.iter().map(|from| excess_and_use(*from).1).fold(0.0, f64::max);
         let used = warming.len() as f64
             / (0..11).map(|second| budget(5400.0 + 1000.0 * f64::from(second))).sum::<f64>();
         assert!(worst <= 0.0, "{gateways} gateways: {worst} jobs past the bound");
@@ -151,10 +157,10 @@
     .assert_eq(&lines);
 }
 
-/// A slow-start slot for the heaviest class is worth little where each gateway has few jobs: the gateway that holds it may
-/// have none. Every class finds its slots all the same.
+/// Guards against a warming engine that stays nearly idle: with few jobs per gateway, a holder of a slot that is sized
+/// for the heaviest class often has no such job. Jobs of every class have to be sent all the same.
 #[test]
-fn a_large_fleet_with_few_jobs_each_uses_a_warming_engine() {
+fn a_large_gateway_fleet_with_few_jobs_each_uses_a_warming_engine() {
     let mut sent = [0, 0];
     for ordinal in 0..300 {
         let mut harness = ControllerHarness::builder()
@@ -172,7 +178,7 @@
             .build();
         harness.advance(3000.0 + f64::from(ordinal % 7));
         harness.update_endpoints(vec![running_since(0, 2900.0)]);
-        // All of them while it is warming up.
+        // The engine is warming up during all of these jobs.
         for job in 0..39 {
             let heavy = (job + ordinal) % 2 == 0;
             let spec = if heavy { bulk_load(11).cost_ms(4000.0) } else { lookup(11).cost_ms(400.0) };
@@ -186,8 +192,9 @@
     expect!["60 small, 8 heavy"].assert_eq(&format!("{} small, {} heavy", sent[0], sent[1]));
 }
 
-/// Where gateways are many, an equal share of a warming engine's budget is less than one job. They take slots in turn, also
-/// where health checks aren't allowed or reports lack the load; otherwise a release would leave all new engines idle.
+/// Guards against a release that leaves all new engines idle: with many gateways, an equal share of a warming engine's
+/// budget is less than one job. So gateways use slots, also if health checks are not permitted or load reports lack the
+/// load of all gateways.
 #[test]
 fn a_warming_engine_is_used_without_load_reports() {
     let mut lines = String::new();
@@ -239,11 +246,12 @@
     .assert_eq(&lines);
 }
 
-/// A gateway with a slow-start slot prefers the warming engine, and sends more there than its own share of it.
+/// Guards against unused slow-start slots: a holder has to prefer the warming engine, as only holders may
+/// send there, and may send it more than its equal share of the engine.
 #[test]
-fn a_slow_start_slot_without_load_reports_goes_first_and_exceeds_the_quota() {
+fn without_load_reports_a_slot_holder_prefers_the_warming_engine_and_exceeds_its_equal_share() {
     let mut lines = String::new();
-    for (congested, duration) in [(false, 100.0), (true, 100.0), (true, 600.0)] {
+    for (overloaded, duration) in [(false, 100.0), (true, 100.0), (true, 600.0)] {
         let mut harness = ControllerHarness::builder()
             .engines(4)
             .slow_start(&SlowStart {
@@ -265,14 +273,15 @@
             let before = harness.dispatches.len();
             let id = harness.submit(lookup(group));
             harness.advance(100.0);
-            if !congested && harness.dispatches.len() > before {
+            // During the overload no job completes.
+            if !overloaded && harness.dispatches.len() > before {
                 harness.complete(id, 100.0);
             }
         }
         let sent = |warming| harness.dispatches.iter().filter(|sent| (sent.engine == 8) == warming).count();
         writeln!(
             lines,
-            "jam {congested}, {duration} ms: {} to the cold engine, {} to others",
+            "jam {overloaded}, {duration} ms: {} to the cold engine, {} to others",
             sent(true),
             sent(false)
         )
@@ -287,10 +296,10 @@
     .assert_eq(&lines);
 }
 
-/// That congestion makes a gateway withhold jobs is no reason to leave a warming engine idle: in a slow-start slot the
-/// slow-start budget alone says how much it may send.
+/// Guards against a warming engine that stays idle because a gateway withholds jobs during an overload of the others.
+/// In a slow-start slot only the slow-start budget limits what the holder may send.
 #[test]
-fn congestion_elsewhere_does_not_withhold_jobs_from_a_slow_start_slot() {
+fn overload_of_other_engines_does_not_withhold_jobs_from_a_slow_start_slot() {
     let mut harness = ControllerHarness::builder()
         .engines(4)
         .slow_start(&SlowStart {
@@ -320,8 +329,10 @@
     expect!["[0, 5]"].assert_eq(&format!("{:?}", [sent(false), sent(true)]));
 }
 
+/// Guards against overloading an engine that has restarted without a new start time in the endpoint list: it had 9 jobs
+/// in flight and now has none. Only 2 jobs may simply have completed.
 #[test]
-fn an_engine_found_empty_after_a_gap_is_presumed_to_be_warming_up() {
+fn an_engine_whose_many_jobs_have_vanished_is_presumed_to_be_warming_up() {
     let mut sent = Vec::new();
     for before in [2.0, 9.0] {
         let mut harness = ControllerHarness::builder()
--- a/tests/decisions/state_eviction.rs
+++ b/tests/decisions/state_eviction.rs
@@ -1,4 +1,4 @@
-//! The controller's state is bounded: what can't matter any more is evicted.
+//! The controller's state is bounded: entries that are no longer used are evicted.
 
 use crate::harness::{ControllerHarness, attempt, gone, running};
 use crate::jobs::{lookup, ordered};
@@ -6,7 +6,8 @@
 use pebblevane::interface::DispatchStatus;
 use std::fmt::Write;
 
-/// Engines, table groups and keys may be ever new: their state is evicted once they are gone, that of open jobs is not.
+/// Guards against memory that grows without limit while new engines, table groups and keys keep appearing. Entries that
+/// open jobs use are kept.
 #[test]
 fn state_of_gone_engines_and_finished_jobs_is_evicted() {
     let mut harness = ControllerHarness::builder().engines(2).key_quiet_ms(300.0).build();
