--- a/tests/decisions/cancellation.rs
+++ b/tests/decisions/cancellation.rs
@@ -31,7 +31,7 @@
 }
 
 /// Guards against late jobs that prolong an overload: their answers have lost half of their value, while jobs that
-/// arrive could still meet their objective. A job that is nearly complete needs little more time, so it is kept.
+/// arrive could still meet their objective. Jobs that have reported 90% as completed are kept.
 #[test]
 fn a_late_job_on_an_overloaded_engine_is_rejected_unless_nearly_complete() {
     let mut lines = String::new();
--- a/tests/decisions/concurrency_limit.rs
+++ b/tests/decisions/concurrency_limit.rs
@@ -7,10 +7,10 @@
 use std::fmt::Write as _;
 
 /// Guards against an overload of the whole pool that does not end: no gateway knows any engine's load, only that its
-/// own jobs complete late or not at all. A gateway's limit therefore shrinks, down to half of its equal share of the
-/// pool, and grows again when jobs take their usual time.
+/// own jobs complete late or not at all. Meanwhile a gateway keeps no more in flight than its traffic needs on healthy
+/// engines; when jobs take their usual time again, it sends all of them.
 #[test]
-fn without_load_reports_the_gateway_limit_shrinks_under_overload_and_recovers() {
+fn without_load_reports_a_gateway_withholds_jobs_under_overload_and_recovers() {
     let mut harness = ControllerHarness::builder()
         .engines(20)
         .large_gateway_fleet()
