--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -27,7 +27,7 @@
 }
 
 /// Guards against a client that has the jobs of others rejected: if the mean estimate of the class included an
-/// implausible one, jobs without an estimate would be presumed to be as large. To claim a client timeout of a day does
+/// implausible one, jobs without an estimate would be assumed to be as large. To claim a client timeout of a day does
 /// not make such an estimate plausible.
 #[test]
 fn a_job_with_an_implausible_cost_estimate_is_rejected_and_not_learned_from() {
--- a/tests/decisions/bulk_loads.rs
+++ b/tests/decisions/bulk_loads.rs
@@ -90,7 +90,7 @@
 }
 
 /// Guards against bulk loads of one group that lock its tables on every engine, so that its readers find none. The
-/// loads leave out the first engine that readers try and queue behind each other on the others.
+/// loads leave out the engine that readers visit first and queue behind each other on the others.
 #[test]
 fn bulk_loads_leave_one_engine_of_the_group_to_readers() {
     let mut harness = ControllerHarness::builder().engines(4).build();
--- a/tests/decisions/health_checks.rs
+++ b/tests/decisions/health_checks.rs
@@ -5,10 +5,10 @@
 use expect_test::expect;
 use std::fmt::Write as _;
 
-/// Guards against dispatches to engines that other gateways have filled: a gateway of a large fleet sees only a small
-/// part of an engine's load. It gets a load report of each engine of the pair first, unless it has a fresh one.
+/// Guards against dispatches to engines that other gateways have filled: in a large gateway fleet a gateway sees only a
+/// small part of an engine's load. It gets a load report of each engine of the pair first, unless it has a fresh one.
 #[test]
-fn a_gateway_of_a_large_fleet_health_checks_the_pair_before_it_dispatches() {
+fn in_a_large_gateway_fleet_the_pair_is_health_checked_before_a_dispatch() {
     let mut harness = ControllerHarness::builder()
         .engines(5)
         .large_gateway_fleet()
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -17,7 +17,7 @@
 mod key_order;
 mod memory_grants;
 mod outlier_ejection;
-mod placement;
+mod placement_constraints;
 mod retry_budget;
 mod shutdown;
 mod slow_start;
--- a/tests/decisions/outlier_ejection.rs
+++ b/tests/decisions/outlier_ejection.rs
@@ -5,7 +5,7 @@
 use expect_test::expect;
 use pebblevane::interface::{DispatchStatus, JobId};
 
-/// Guards against ejecting an engine for a single lost connection, and against further dispatches to one that has lost
+/// Guards against ejecting an engine for a single lost connection, and against more dispatches to one that has lost
 /// two. After the ejection of 500 ms the engine gets a job again.
 #[test]
 fn an_engine_is_ejected_after_two_lost_connections_but_not_after_one() {
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -332,7 +332,7 @@
 /// Guards against overloading an engine that has restarted without a new start time in the endpoint list: it had 9 jobs
 /// in flight and now has none. Only 2 jobs may simply have completed.
 #[test]
-fn an_engine_whose_many_jobs_have_vanished_is_presumed_to_be_warming_up() {
+fn an_engine_whose_many_jobs_have_vanished_is_assumed_to_be_warming_up() {
     let mut sent = Vec::new();
     for before in [2.0, 9.0] {
         let mut harness = ControllerHarness::builder()
