--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -12,7 +12,7 @@
 pub use engine_connection_settings::EngineConnectionSettings;
 pub use error::ConfigError;
 pub use location_names::LocationNames;
-pub use retry_safety::{IdempotencyScope, RetrySafety};
+pub use retry_safety::{DeduplicationScope, RetrySafety};
 
 use crate::codec::event_bus::{self, Event};
 use crate::limits::Limits;
--- a/crates/server/src/config/retry_safety.rs
+++ b/crates/server/src/config/retry_safety.rs
@@ -1,8 +1,8 @@
 //! Whether a job that may already have run may be retried, which depends on its class.
 
 use crate::config::setting_names::{
-    CLASS_IDEMPOTENCY_SCOPE, CLASS_IDEMPOTENCY_WINDOW, CLASS_RETRY_SAFETY, CLASSES, IDEMPOTENCY_SCOPE_ALL,
-    RETRY_SAFETY_IDEMPOTENCY_KEY, RETRY_SAFETY_RESTARTABLE,
+    CLASS_DEDUPLICATION_SCOPE, CLASS_DEDUPLICATION_WINDOW, CLASS_RETRY_SAFETY, CLASSES,
+    DEDUPLICATION_SCOPE_ALL, RETRY_SAFETY_IDEMPOTENCY_KEY, RETRY_SAFETY_RESTARTABLE,
 };
 use pebblevane::settings::Settings;
 use pebblevane::time::TimeDelta;
@@ -14,10 +14,10 @@
     Restartable,
     /// A retry is harmless while the engines remember the idempotency key of the first run.
     IdempotencyKey {
-        /// How long engines remember the key, counted from the first run.
-        window: TimeDelta,
+        /// How long engines remember the key after the first dispatch that may have run.
+        deduplication_window: TimeDelta,
         /// Which engines know the key.
-        scope: IdempotencyScope,
+        deduplication_scope: DeduplicationScope,
     },
     /// The job must not run more than once.
     RunOnce,
@@ -25,16 +25,20 @@
 
 /// Which engines know the idempotency key of a job that one of them has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum IdempotencyScope {
+pub enum DeduplicationScope {
     /// All engines.
     Pool,
     /// Only some engines.
     PartOfPool,
 }
 
-impl IdempotencyScope {
-    fn read(scope: &str) -> IdempotencyScope {
-        if scope == IDEMPOTENCY_SCOPE_ALL { IdempotencyScope::Pool } else { IdempotencyScope::PartOfPool }
+impl DeduplicationScope {
+    fn read(scope: &str) -> DeduplicationScope {
+        if scope == DEDUPLICATION_SCOPE_ALL {
+            DeduplicationScope::Pool
+        } else {
+            DeduplicationScope::PartOfPool
+        }
     }
 }
 
@@ -45,10 +49,12 @@
         match settings.text(&field(CLASS_RETRY_SAFETY)) {
             RETRY_SAFETY_RESTARTABLE => RetrySafety::Restartable,
             RETRY_SAFETY_IDEMPOTENCY_KEY => {
-                let window_ms = settings.number(&field(CLASS_IDEMPOTENCY_WINDOW)).unwrap_or(0.0);
+                let window_ms = settings.number(&field(CLASS_DEDUPLICATION_WINDOW)).unwrap_or(0.0);
                 RetrySafety::IdempotencyKey {
-                    window: TimeDelta::from_millis_f64(window_ms),
-                    scope: IdempotencyScope::read(settings.text(&field(CLASS_IDEMPOTENCY_SCOPE))),
+                    deduplication_window: TimeDelta::from_millis_f64(window_ms),
+                    deduplication_scope: DeduplicationScope::read(
+                        settings.text(&field(CLASS_DEDUPLICATION_SCOPE)),
+                    ),
                 }
             }
             _ => RetrySafety::RunOnce,
--- a/crates/server/src/config/setting_names.rs
+++ b/crates/server/src/config/setting_names.rs
@@ -42,14 +42,14 @@
 pub(super) const CLASS_RETRY_SAFETY: &str = "Semantics";
 /// A value of [`CLASS_RETRY_SAFETY`]: a retry is harmless at any time.
 pub(super) const RETRY_SAFETY_RESTARTABLE: &str = "read_like";
-/// A value of [`CLASS_RETRY_SAFETY`]: a retry is harmless within [`CLASS_IDEMPOTENCY_WINDOW`].
+/// A value of [`CLASS_RETRY_SAFETY`]: a retry is harmless within [`CLASS_DEDUPLICATION_WINDOW`].
 pub(super) const RETRY_SAFETY_IDEMPOTENCY_KEY: &str = "idempotency_key";
 /// Of a class: how long engines remember an idempotency key, in milliseconds.
-pub(super) const CLASS_IDEMPOTENCY_WINDOW: &str = "DedupWindow";
+pub(super) const CLASS_DEDUPLICATION_WINDOW: &str = "DedupWindow";
 /// Of a class: which engines know the idempotency key of a job that one of them has run.
-pub(super) const CLASS_IDEMPOTENCY_SCOPE: &str = "Group";
-/// A value of [`CLASS_IDEMPOTENCY_SCOPE`]: all engines.
-pub(super) const IDEMPOTENCY_SCOPE_ALL: &str = "all";
+pub(super) const CLASS_DEDUPLICATION_SCOPE: &str = "Group";
+/// A value of [`CLASS_DEDUPLICATION_SCOPE`]: all engines.
+pub(super) const DEDUPLICATION_SCOPE_ALL: &str = "all";
 
 /// The maximum number of requests in flight on one connection to an engine.
 pub(super) const STREAMS_PER_CONNECTION: &str = "Ceilings.StreamsPerConn";
--- a/crates/server/src/engine/dispatch_ledger.rs
+++ b/crates/server/src/engine/dispatch_ledger.rs
@@ -2,7 +2,7 @@
 //! dispatch. The record does not depend on the admission controller, so it detects violations of invariants that are
 //! caused by faults of the controller.
 
-use crate::config::retry_safety::{IdempotencyScope, RetrySafety};
+use crate::config::retry_safety::{DeduplicationScope, RetrySafety};
 use crate::lifecycle::sync::lock;
 use crate::telemetry::invariants::{self, Invariant};
 use pebblevane::time::{TimeDelta, Timestamp};
@@ -53,8 +53,8 @@
             _ if entries.in_flight > 0 => Some(Invariant::SingleDispatchInFlight),
             _ if deadline > self.deadline + DEADLINE_SLACK => Some(Invariant::DeadlineWithinClientTimeout),
             RetrySafety::RunOnce if first_possible_run.is_some() => Some(Invariant::RunOnceNotRetried),
-            RetrySafety::IdempotencyKey { window, .. }
-                if first_possible_run.is_some_and(|first| now >= first + window) =>
+            RetrySafety::IdempotencyKey { deduplication_window, .. }
+                if first_possible_run.is_some_and(|first| now >= first + deduplication_window) =>
             {
                 Some(Invariant::KeyedRetryWithinWindow)
             }
@@ -89,7 +89,9 @@
         let may_have_run = entries.in_flight > 0 || entries.first_possible_run.is_some();
         let retry_is_harmless = match self.retry_safety {
             RetrySafety::Restartable => true,
-            RetrySafety::IdempotencyKey { scope, .. } => scope == IdempotencyScope::Pool,
+            RetrySafety::IdempotencyKey { deduplication_scope, .. } => {
+                deduplication_scope == DeduplicationScope::Pool
+            }
             RetrySafety::RunOnce => false,
         };
         if may_have_run && !retry_is_harmless {
