--- a/src/controller.rs
+++ b/src/controller.rs
@@ -7,7 +7,7 @@
 use crate::state::ControllerState;
 use crate::time::Timestamp;
 use crate::timers::Timer;
-use crate::{admission, completion, draining, endpoints, feedback, maintenance, stuck_jobs};
+use crate::{admission, completion, endpoints, feedback, maintenance, shutdown, stuck_jobs};
 
 /// Decides which job goes to which engine, when, and which jobs are rejected.
 ///
@@ -122,10 +122,10 @@
         self.take_actions()
     }
 
-    /// Starts a planned shutdown of the process, which ends at `end`.
+    /// Begins a graceful shutdown of the process, which ends at `end`.
     pub fn begin_shutdown(&mut self, now: Timestamp, end: Timestamp) -> Actions {
         self.state.now = now;
-        draining::begin_shutdown(&mut self.state, end);
+        shutdown::begin_shutdown(&mut self.state, end);
         self.take_actions()
     }
 
--- a/src/draining.rs
+++ b/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Planned shutdown: waiting jobs that can't finish before the process ends get their final answer at once. Other
+//! Graceful shutdown of the process: waiting jobs that can't finish before the process ends get their final answer at once. Other
 //! jobs that are still open shortly before the end get it then.
 
 use crate::admission;
@@ -7,7 +7,7 @@
 use crate::time::Timestamp;
 use crate::timers::Timer;
 
-/// Starts a planned shutdown of the process, which ends at `end`.
+/// Begins a graceful shutdown of the process, which ends at `end`.
 pub fn begin_shutdown(state: &mut ControllerState, end: Timestamp) {
     state.shutdown_at = end;
     for job in state.jobs.values_mut() {
