--- a/crates/soak/src/checker/dispatches.rs
+++ b/crates/soak/src/checker/dispatches.rs
@@ -2,7 +2,7 @@
 
 use super::{Checker, Notifications, Rule, TOLERANCE_US, micros, proves_not_run};
 use crate::history::{Dispatch, Event, Micros, Records, Request, RequestEnd};
-use crate::schedule::{Group, Semantics};
+use crate::schedule::{DeduplicationScope, RetrySafety};
 use std::collections::BTreeMap;
 
 /// A dispatch may still be sent this long after its client has abandoned the request.
@@ -108,25 +108,25 @@
             self.report(Rule::TwoOut, at, id, true, description);
         }
         let Some(first) = earlier.iter().find(|other| !proves_not_run(other)) else { return };
-        match self.schedule.classes[request.class].semantics {
-            Semantics::Restartable => {}
-            Semantics::RunOnce => {
+        match self.schedule.classes[request.class].retry_safety {
+            RetrySafety::Restartable => {}
+            RetrySafety::RunOnce => {
                 let description = format!(
                     "sent to engine {}, ended {:?}, then sent to engine {}",
                     first.engine, first.end, dispatch.engine
                 );
                 self.report(Rule::RunOnceAgain, at, id, false, description);
             }
-            Semantics::Keyed => {
-                if at > first.received_at + micros(self.schedule.rules.dedup_window) + TOLERANCE_US {
+            RetrySafety::IdempotencyKey => {
+                if at > first.received_at + micros(self.schedule.rules.deduplication_window) + TOLERANCE_US {
                     let late_ms = (at - first.received_at) / 1000;
                     let description = format!("{late_ms} ms after the first");
                     self.report(Rule::KeyedOutsideWindow, at, id, true, description);
                 }
-                let group_of = |engine: usize| match self.schedule.group {
-                    Group::Zone => self.schedule.zone_of(engine),
-                    Group::Cell => self.schedule.cell_of(engine),
-                    Group::All => 0,
+                let group_of = |engine: usize| match self.schedule.deduplication_scope {
+                    DeduplicationScope::Zone => self.schedule.zone_of(engine),
+                    DeduplicationScope::Cell => self.schedule.cell_of(engine),
+                    DeduplicationScope::All => 0,
                 };
                 if group_of(first.engine) != group_of(dispatch.engine) && self.knows_engine(dispatch) {
                     let description = format!("engine {} after engine {}", dispatch.engine, first.engine);
--- a/crates/soak/src/checker/mod.rs
+++ b/crates/soak/src/checker/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::answers::rows;
 use crate::history::{Dispatch, DispatchEnd, Event, GatewayRun, Micros, Records, Request, RequestEnd};
-use crate::schedule::{Group, Schedule, Semantics};
+use crate::schedule::{DeduplicationScope, RetrySafety, Schedule};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -304,10 +304,10 @@
     /// Checks a request that was answered with "Busy", upon which its client sends it again. This answer is allowed
     /// only if the job has not run, or may run again on any engine.
     fn check_busy(&mut self, request: &Request, dispatches: &[&Dispatch], at: Micros) {
-        let may_run_again = match self.schedule.classes[request.class].semantics {
-            Semantics::Restartable => true,
-            Semantics::Keyed => self.schedule.group == Group::All,
-            Semantics::RunOnce => false,
+        let may_run_again = match self.schedule.classes[request.class].retry_safety {
+            RetrySafety::Restartable => true,
+            RetrySafety::IdempotencyKey => self.schedule.deduplication_scope == DeduplicationScope::All,
+            RetrySafety::RunOnce => false,
         };
         let may_have_run = |dispatch: &&&Dispatch| dispatch.received_at < at && !proves_not_run(dispatch);
         if let Some(dispatch) = dispatches.iter().find(may_have_run).filter(|_| !may_run_again) {
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -21,18 +21,19 @@
 
 /// Whether the settings allow a class's jobs to be run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Semantics {
+pub enum RetrySafety {
     /// Jobs may be run again at any time.
     Restartable,
-    /// Jobs carry an idempotency key: they may be run again in their group, within the deduplication window.
-    Keyed,
+    /// Jobs have an idempotency key: they may be run again within the deduplication scope and window.
+    #[serde(rename = "Keyed")]
+    IdempotencyKey,
     /// Jobs must not be run again once they may have run.
     RunOnce,
 }
 
 /// The engines among which a job with an idempotency key may be run again: those of the same zone or cell, or all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Group {
+pub enum DeduplicationScope {
     Zone,
     Cell,
     All,
@@ -42,7 +43,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Class {
     pub name: String,
-    pub semantics: Semantics,
+    #[serde(rename = "semantics")]
+    pub retry_safety: RetrySafety,
     /// Minimum and maximum timeout of its clients. The settings have the minimum as latency objective and the maximum
     /// as client timeout.
     #[serde(rename = "patience_ms")]
@@ -57,7 +59,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RuleSettings {
     /// How long after its first dispatch a job with an idempotency key may be run again.
-    pub dedup_window: Duration,
+    #[serde(rename = "dedup_window")]
+    pub deduplication_window: Duration,
     /// Window in which retries are counted.
     #[serde(rename = "budget_window")]
     pub retry_budget_window: Duration,
@@ -193,8 +196,9 @@
     /// Cores of each engine.
     pub cores: f64,
     pub zones: usize,
-    /// The group of the classes with idempotency keys.
-    pub group: Group,
+    /// The scope for the classes with idempotency keys.
+    #[serde(rename = "group")]
+    pub deduplication_scope: DeduplicationScope,
     pub classes: Vec<Class>,
     pub rules: RuleSettings,
     /// When traffic ends and all gateways are stopped, counted from the start of the play.
@@ -221,18 +225,18 @@
         let has_few_engines = rng.random_bool(0.3);
         let engines = if has_few_engines { rng.random_range(3..=5) } else { rng.random_range(6..=14) };
         let zones = rng.random_range(1..=2);
-        let mut class = |name: &str, semantics, work_ms, zone| {
+        let mut class = |name: &str, retry_safety, work_ms, zone| {
             let min_ms = rng.random_range(2..=6) * 150;
-            Class { name: name.to_string(), semantics, timeout_ms: [min_ms, min_ms * 3], work_ms, zone }
+            Class { name: name.to_string(), retry_safety, timeout_ms: [min_ms, min_ms * 3], work_ms, zone }
         };
         let classes = vec![
-            class("lookup", Semantics::Restartable, 20, None),
-            class("load", Semantics::RunOnce, 60, None),
-            class("post", Semantics::Keyed, 40, None),
-            class("local", Semantics::Restartable, 30, (zones > 1).then_some(1)),
+            class("lookup", RetrySafety::Restartable, 20, None),
+            class("load", RetrySafety::RunOnce, 60, None),
+            class("post", RetrySafety::IdempotencyKey, 40, None),
+            class("local", RetrySafety::Restartable, 30, (zones > 1).then_some(1)),
         ];
         let rules = RuleSettings {
-            dedup_window: Duration::from_millis(rng.random_range(1..=10) * 100),
+            deduplication_window: Duration::from_millis(rng.random_range(1..=10) * 100),
             retry_budget_window: Duration::from_millis(rng.random_range(10..=40) * 100),
             min_retries: f64::from(rng.random_range(2..=6)),
             retries_per_job: f64::from(rng.random_range(5..=30)) / 100.0,
@@ -248,7 +252,11 @@
             engines,
             cores: if has_few_engines { 2.0 } else { [4.0, 8.0, 16.0][rng.random_range(0..3)] },
             zones,
-            group: [Group::Zone, Group::Cell, Group::All][rng.random_range(0..3)],
+            deduplication_scope: [
+                DeduplicationScope::Zone,
+                DeduplicationScope::Cell,
+                DeduplicationScope::All,
+            ][rng.random_range(0..3)],
             classes,
             rules,
             traffic_until_ms: (seconds * 1000.0) as u64,
@@ -398,19 +406,19 @@
     }
 
     fn class_settings(&self, class: &Class) -> Json {
-        let semantics = match class.semantics {
-            Semantics::Restartable => "read_like",
-            Semantics::Keyed => "idempotency_key",
-            Semantics::RunOnce => "non_idempotent",
+        let semantics = match class.retry_safety {
+            RetrySafety::Restartable => "read_like",
+            RetrySafety::IdempotencyKey => "idempotency_key",
+            RetrySafety::RunOnce => "non_idempotent",
         };
-        let group = match self.group {
-            Group::Zone => "zone",
-            Group::Cell => "cell",
-            Group::All => "all",
+        let group = match self.deduplication_scope {
+            DeduplicationScope::Zone => "zone",
+            DeduplicationScope::Cell => "cell",
+            DeduplicationScope::All => "all",
         };
         let mut settings = json!({"Name": class.name, "Semantics": semantics, "Aim": class.timeout_ms[0],
             "GiveUp": class.timeout_ms[1], "Worth": 1.0, "Group": group,
-            "DedupWindow": self.rules.dedup_window.as_millis() as f64});
+            "DedupWindow": self.rules.deduplication_window.as_millis() as f64});
         if let Some(zone) = class.zone {
             settings["ConfinedTo"] = json!([zone]);
         }
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -18,7 +18,7 @@
 use checker::check;
 use expect_test::expect;
 use history::{Dispatch, DispatchEnd, Event, GatewayRun, Micros, Records, Request, RequestEnd};
-use schedule::{Fault, Group, Schedule, Semantics};
+use schedule::{DeduplicationScope, Fault, RetrySafety, Schedule};
 use std::fmt::Write as _;
 
 const GATEWAY: GatewayRun = GatewayRun { gateway: 0, run: 1 };
@@ -31,7 +31,8 @@
 
 fn schedule() -> Schedule {
     let mut schedule = Schedule::from_seed(1, 2, 5.0);
-    (schedule.zones, schedule.group, schedule.engines, schedule.cores) = (2, Group::Zone, 4, 1.0);
+    (schedule.zones, schedule.deduplication_scope, schedule.engines, schedule.cores) =
+        (2, DeduplicationScope::Zone, 4, 1.0);
     schedule.classes[LOCAL].zone = Some(1);
     schedule.faults.clear();
     schedule
@@ -229,7 +230,7 @@
     let mut trace = String::new();
     // A job with an idempotency key is retried after the deduplication window, within its client's timeout.
     let mut keyed = schedule();
-    keyed.rules.dedup_window = std::time::Duration::from_millis(200);
+    keyed.rules.deduplication_window = std::time::Duration::from_millis(200);
     let late = vec![dispatch(POST, 0, 1010, Some((1100, DispatchEnd::Fault))), dispatch(POST, 2, 1500, None)];
     let end = done(POST, 2, 1600);
     writeln!(
@@ -300,7 +301,7 @@
     let closed = request(LOOKUP, at(1040, RequestEnd::Closed { reset: false }));
     writeln!(trace, "shut in a flood: {}", rules(Play { schedule: Some(flooded), ..play(closed, vec![]) }))
         .unwrap();
-    assert_eq!(schedule().classes[LOAD].semantics, Semantics::RunOnce);
+    assert_eq!(schedule().classes[LOAD].retry_safety, RetrySafety::RunOnce);
     expect![[r"
         keyed late: KeyedOutsideWindow
         budget: Budget
