--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown of the process: waiting jobs that can't finish before the process ends get their final answer at once. Other
-//! jobs that are still open shortly before the end get it then.
+//! Graceful shutdown of the process: waiting jobs that can't finish before the process ends get their final answer at
+//! once. Other jobs that are still open shortly before the end get it then.
 
 use crate::admission;
 use crate::interface::JobId;
