--- a/crates/server/src/engine/pool/connecting.rs
+++ b/crates/server/src/engine/pool/connecting.rs
@@ -1,6 +1,6 @@
 //! Establishes connections to the engine.
 
-use super::{EnginePool, PoolContext};
+use super::{ConnectionPool, PoolContext};
 use crate::engine::command::{PoolCommand, RegistryMessage};
 use crate::engine::connection::{DialedConnection, EngineConnection};
 use crate::engine::connection_error::ConnectError;
@@ -12,7 +12,7 @@
 use std::net::Shutdown;
 use std::sync::Arc;
 
-impl EnginePool {
+impl ConnectionPool {
     /// Starts an attempt to connect for each waiting request, within the limits. If no attempt is in progress
     /// afterwards, the requests share the existing connections.
     pub(super) fn dial_for_waiting(&mut self, context: &PoolContext) {
--- a/crates/server/src/engine/pool/connection_choice.rs
+++ b/crates/server/src/engine/pool/connection_choice.rs
@@ -1,6 +1,6 @@
 //! Chooses connections for waiting requests.
 
-use super::{EnginePool, PoolContext};
+use super::{ConnectionPool, PoolContext};
 use crate::engine::connection::EngineConnection;
 use crate::engine::ids::ConnectionId;
 
@@ -11,7 +11,7 @@
     Forbidden,
 }
 
-impl EnginePool {
+impl ConnectionPool {
     /// Sends waiting requests in their order while connections are available for them, and starts to connect for the
     /// rest.
     pub(crate) fn assign_waiting(&mut self, context: &PoolContext) {
--- a/crates/server/src/engine/pool/mod.rs
+++ b/crates/server/src/engine/pool/mod.rs
@@ -58,7 +58,7 @@
 }
 
 /// The pool of connections to one engine.
-pub(crate) struct EnginePool {
+pub(crate) struct ConnectionPool {
     id: PoolId,
     name: String,
     address: SocketAddr,
@@ -80,10 +80,10 @@
     fault_log: FaultLog,
 }
 
-impl EnginePool {
+impl ConnectionPool {
     /// A pool without connections.
-    pub(crate) fn new(id: PoolId, endpoint: AddedEndpoint) -> EnginePool {
-        EnginePool {
+    pub(crate) fn new(id: PoolId, endpoint: AddedEndpoint) -> ConnectionPool {
+        ConnectionPool {
             id,
             name: endpoint.name,
             address: endpoint.address,
--- a/crates/server/src/engine/pool/results.rs
+++ b/crates/server/src/engine/pool/results.rs
@@ -1,7 +1,7 @@
 //! Ends requests: by a message of the engine, by cancellation, or by the loss of their connection.
 
 use super::in_flight::{InFlightRequest, RequestKind};
-use super::{EnginePool, PoolContext};
+use super::{ConnectionPool, PoolContext};
 use crate::codec::engine::{EngineMessage, encode_end, encode_stop};
 use crate::engine::connection::EngineConnection;
 use crate::engine::connection_error::ConnectionLostReason;
@@ -25,7 +25,7 @@
     Retired,
 }
 
-impl EnginePool {
+impl ConnectionPool {
     /// Handles a message that was received on a connection.
     pub(super) fn handle_message(&mut self, connection: ConnectionId, received: ReceivedMessage) {
         let ReceivedMessage { wire_id, message, read_at } = received;
--- a/crates/server/src/engine/pool/sending.rs
+++ b/crates/server/src/engine/pool/sending.rs
@@ -1,7 +1,7 @@
 //! Writes to connections, after a last check before the first byte of each request.
 
 use super::in_flight::RequestKind;
-use super::{EnginePool, PoolContext};
+use super::{ConnectionPool, PoolContext};
 use crate::codec::engine::{HealthCheckKind, encode_fetch, encode_health_check, encode_request};
 use crate::engine::connection::EngineConnection;
 use crate::engine::connection_error::ConnectionLostReason;
@@ -12,7 +12,7 @@
 use std::io;
 use std::sync::atomic::Ordering::SeqCst;
 
-impl EnginePool {
+impl ConnectionPool {
     /// Writes a request to this connection if it may still be sent.
     pub(super) fn send_on(&mut self, id: RequestId, connection_id: ConnectionId, context: &PoolContext) {
         if self.is_stale(connection_id) {
--- a/crates/server/src/engine/pool/tests.rs
+++ b/crates/server/src/engine/pool/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of a pool with orders of events that can't be forced from outside the program.
 
 use super::in_flight::{InFlightRequest, RequestKind};
-use super::{EnginePool, PoolContext};
+use super::{ConnectionPool, PoolContext};
 use crate::config::engine_connection_settings::EngineConnectionSettings;
 use crate::config::retry_safety::RetrySafety;
 use crate::engine::connection::EngineConnection;
@@ -74,12 +74,12 @@
 
 /// A pool with the connections [`BROKEN`] and [`USABLE`], and one request in flight on each. Also returns the engine's
 /// ends of the connections, which are closed when dropped.
-fn pool_with_two_connections(context: &PoolContext) -> (EnginePool, Vec<TcpStream>) {
+fn pool_with_two_connections(context: &PoolContext) -> (ConnectionPool, Vec<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let accepts_dispatches = Arc::new(AtomicBool::new(true));
     let endpoint = AddedEndpoint { name: "e0".to_string(), address, accepts_dispatches };
-    let mut pool = EnginePool::new(PoolId(0), endpoint);
+    let mut pool = ConnectionPool::new(PoolId(0), endpoint);
     let mut engine_ends = Vec::new();
     for id in [BROKEN, USABLE] {
         let stream = Arc::new(TcpStream::connect(address).unwrap());
--- a/crates/server/src/engine/pool/timeouts.rs
+++ b/crates/server/src/engine/pool/timeouts.rs
@@ -3,7 +3,7 @@
 use super::connection_choice::Sharing;
 use super::in_flight::{InFlightRequest, RequestKind};
 use super::results::IdUse;
-use super::{EnginePool, PoolContext};
+use super::{ConnectionPool, PoolContext};
 use crate::engine::connection_error::ConnectionLostReason;
 use crate::engine::ids::{ConnectionId, RequestId};
 use crate::engine::request::HealthCheckResult;
@@ -13,7 +13,7 @@
 /// A connection counts as silent after this number of progress intervals without a message.
 const SILENT_AFTER_INTERVALS: f64 = 2.5;
 
-impl EnginePool {
+impl ConnectionPool {
     /// The earliest of the requests' timeouts that the pool enforces.
     pub(crate) fn next_deadline(&self) -> Option<Instant> {
         self.in_flight.values().filter_map(InFlightRequest::deadline).min()
--- a/crates/server/src/engine/registry_loop.rs
+++ b/crates/server/src/engine/registry_loop.rs
@@ -3,7 +3,7 @@
 use crate::engine::command::{PoolCommand, RegistryMessage};
 use crate::engine::endpoint_updates::{EndpointUpdate, EndpointUpdates};
 use crate::engine::ids::PoolId;
-use crate::engine::pool::{EnginePool, PoolContext};
+use crate::engine::pool::{ConnectionPool, PoolContext};
 use crate::engine::request::{DispatchEvent, HealthCheckResult};
 use crate::telemetry::counters;
 use crossbeam_channel::{Receiver, RecvTimeoutError};
@@ -17,7 +17,7 @@
 
 /// The pools of all engines, and what the `engines` thread needs to run them.
 pub(crate) struct RegistryLoop {
-    pools: BTreeMap<PoolId, EnginePool>,
+    pools: BTreeMap<PoolId, ConnectionPool>,
     deadlines: Deadlines,
     next_sweep: Instant,
     updates: Arc<EndpointUpdates>,
@@ -64,7 +64,7 @@
     /// The time of the next timeout or sweep. Without connections no sweep is scheduled, so that an idle program sleeps
     /// until a message arrives.
     fn next_wakeup(&self) -> Option<Instant> {
-        let has_connections = self.pools.values().any(EnginePool::has_connections);
+        let has_connections = self.pools.values().any(ConnectionPool::has_connections);
         let sweep = has_connections.then_some(self.next_sweep);
         self.deadlines.first().into_iter().chain(sweep).min()
     }
@@ -80,7 +80,7 @@
 
     fn apply_update(&mut self, id: PoolId, mut update: EndpointUpdate) {
         if let Some(added) = update.added.take() {
-            self.pools.insert(id, EnginePool::new(id, added));
+            self.pools.insert(id, ConnectionPool::new(id, added));
         }
         self.with_pool(id, |pool, context| pool.apply_update(&update, context));
     }
@@ -106,12 +106,12 @@
         self.next_sweep = now + SWEEP_INTERVAL;
         let connected = self.pools.iter().filter(|(_, pool)| pool.has_connections());
         for id in connected.map(|(id, _)| *id).collect::<Vec<PoolId>>() {
-            self.with_pool(id, EnginePool::sweep);
+            self.with_pool(id, ConnectionPool::sweep);
         }
     }
 
     /// Runs an action on a pool, then updates the pool's next deadline, or removes the pool if it has finished.
-    fn with_pool(&mut self, id: PoolId, action: impl FnOnce(&mut EnginePool, &PoolContext)) {
+    fn with_pool(&mut self, id: PoolId, action: impl FnOnce(&mut ConnectionPool, &PoolContext)) {
         let Some(pool) = self.pools.get_mut(&id) else { return };
         action(pool, &self.context);
         if pool.lacks_descriptor(&self.context) {
