--- a/crates/server/src/engine/command.rs
+++ b/crates/server/src/engine/command.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::connection::DialedConnection;
 use crate::engine::connection_error::ConnectError;
-use crate::engine::ids::{ConnectionId, PoolId, RequestId};
+use crate::engine::ids::{EngineConnectionId, EngineRequestId, PoolId};
 use crate::engine::request::{DispatchEvent, EngineRequest, HealthCheckCallback};
 use crate::engine::send_gate::SendGate;
 use crate::engine::socket_poller::ConnectionEvent;
@@ -26,7 +26,7 @@
     /// Send a dispatch.
     Send {
         /// The number of the dispatch at this engine.
-        id: RequestId,
+        id: EngineRequestId,
         request: EngineRequest,
         /// Decides whether the dispatch may still be sent.
         gate: Arc<SendGate>,
@@ -36,26 +36,26 @@
     /// Send a health check.
     CheckHealth {
         /// The number of the health check at this engine.
-        id: RequestId,
+        id: EngineRequestId,
         /// Receives the result.
         callback: HealthCheckCallback,
     },
     /// Fetch a further page of a dispatch's result.
     FetchPage {
         /// The number of the dispatch at this engine.
-        id: RequestId,
+        id: EngineRequestId,
         /// The position of the page in the result, counted from 0.
         page_number: u32,
     },
     /// Cancel a dispatch.
     Cancel {
         /// The number of the dispatch at this engine.
-        id: RequestId,
+        id: EngineRequestId,
         /// Dropped once the cancellation has been written.
         done: Option<Sender<()>>,
     },
     /// An attempt to connect has finished.
     Dialed(Result<DialedConnection, ConnectError>),
     /// A message was received on a connection, or the connection has ended.
-    ConnectionEvent { connection: ConnectionId, event: ConnectionEvent },
+    ConnectionEvent { connection: EngineConnectionId, event: ConnectionEvent },
 }
--- a/crates/server/src/engine/connection.rs
+++ b/crates/server/src/engine/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to an engine: the requests in flight on it, and whether it may be reused.
 
 use crate::engine::connection_input::ConnectionInput;
-use crate::engine::ids::RequestId;
+use crate::engine::ids::EngineRequestId;
 use crate::limits::Permit;
 use pebblevane::time::Timestamp;
 use std::collections::{HashMap, HashSet};
@@ -26,7 +26,7 @@
     /// Its receiving side, which the socket poller reads.
     input: Arc<ConnectionInput>,
     /// The requests in flight, by their ids on the wire.
-    pub(crate) requests: HashMap<Box<str>, RequestId>,
+    pub(crate) requests: HashMap<Box<str>, EngineRequestId>,
     /// Ids of requests that ended without their final answer. A late answer with such an id may still arrive, so they
     /// are not used again on this connection.
     retired_ids: HashSet<Box<str>>,
@@ -97,7 +97,7 @@
     }
 
     /// Records that a request is about to be written to the connection.
-    pub(crate) fn begin_request(&mut self, wire_id: Box<str>, id: RequestId) {
+    pub(crate) fn begin_request(&mut self, wire_id: Box<str>, id: EngineRequestId) {
         if self.is_idle() {
             self.idle_before_use = self.was_used.then(|| self.last_change.elapsed());
             self.last_change = Instant::now();
--- a/crates/server/src/engine/handle.rs
+++ b/crates/server/src/engine/handle.rs
@@ -5,7 +5,7 @@
 
 use crate::engine::command::PoolCommand;
 use crate::engine::endpoint_updates::AddedEndpoint;
-use crate::engine::ids::{PoolId, RequestId};
+use crate::engine::ids::{EngineRequestId, PoolId};
 use crate::engine::registry::EngineRegistry;
 use crate::engine::send_gate::SendGate;
 use crossbeam_channel::{Receiver, bounded};
@@ -31,7 +31,7 @@
 /// stores.
 #[must_use = "dropping the handle cancels the dispatch"]
 pub struct DispatchHandle {
-    id: RequestId,
+    id: EngineRequestId,
     engine: Arc<EngineHandle>,
     gate: Arc<SendGate>,
     /// The events of the dispatch.
@@ -92,8 +92,8 @@
         });
     }
 
-    fn next_request_id(&self) -> RequestId {
-        RequestId(self.next_request.fetch_add(1, SeqCst))
+    fn next_request_id(&self) -> EngineRequestId {
+        EngineRequestId(self.next_request.fetch_add(1, SeqCst))
     }
 }
 
--- a/crates/server/src/engine/ids.rs
+++ b/crates/server/src/engine/ids.rs
@@ -6,8 +6,8 @@
 
 /// The number of a dispatch or health check, unique at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct RequestId(pub(crate) u64);
+pub(crate) struct EngineRequestId(pub(crate) u64);
 
 /// The number of a connection, unique in its pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct ConnectionId(pub(crate) u64);
+pub(crate) struct EngineConnectionId(pub(crate) u64);
--- a/crates/server/src/engine/pool/connecting.rs
+++ b/crates/server/src/engine/pool/connecting.rs
@@ -6,7 +6,7 @@
 use crate::engine::connection_error::ConnectError;
 use crate::engine::connection_input::ConnectionInput;
 use crate::engine::dialer::DialTarget;
-use crate::engine::ids::ConnectionId;
+use crate::engine::ids::EngineConnectionId;
 use crate::engine::socket_poller::PolledConnection;
 use std::io;
 use std::net::Shutdown;
@@ -68,7 +68,7 @@
         dialed.stream.set_nodelay(true)?;
         dialed.stream.set_nonblocking(true)?;
         let stream = Arc::new(dialed.stream);
-        let id = ConnectionId(self.last_connection.0 + 1);
+        let id = EngineConnectionId(self.last_connection.0 + 1);
         self.last_connection = id;
         let input = Arc::new(ConnectionInput::new(stream.clone()));
         if let Err(e) = context.poller.add(self.polled_connection(id, input.clone(), context)) {
@@ -84,7 +84,7 @@
 
     fn polled_connection(
         &self,
-        connection: ConnectionId,
+        connection: EngineConnectionId,
         input: Arc<ConnectionInput>,
         context: &PoolContext,
     ) -> PolledConnection {
--- a/crates/server/src/engine/pool/connection_choice.rs
+++ b/crates/server/src/engine/pool/connection_choice.rs
@@ -2,7 +2,7 @@
 
 use super::{ConnectionPool, PoolContext};
 use crate::engine::connection::EngineConnection;
-use crate::engine::ids::ConnectionId;
+use crate::engine::ids::EngineConnectionId;
 
 /// Whether a request may use a connection on which other requests are in flight.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -57,7 +57,7 @@
         wire_id: &str,
         sharing: Sharing,
         context: &PoolContext,
-    ) -> Option<ConnectionId> {
+    ) -> Option<EngineConnectionId> {
         let usable = self.connections.iter().filter(|(_, connection)| {
             connection.accepts_id(wire_id) && self.has_capacity(connection, sharing, context)
         });
--- a/crates/server/src/engine/pool/in_flight.rs
+++ b/crates/server/src/engine/pool/in_flight.rs
@@ -1,6 +1,6 @@
 //! A dispatch or health check that is in flight, or waits for a connection.
 
-use crate::engine::ids::ConnectionId;
+use crate::engine::ids::EngineConnectionId;
 use crate::engine::request::{DispatchEvent, EngineRequest, HealthCheckCallback};
 use crate::engine::send_gate::SendGate;
 use crossbeam_channel::Sender;
@@ -18,7 +18,7 @@
     /// The request's id on the wire.
     pub(super) wire_id: Box<str>,
     /// The connection that the request was written to; `None` while it waits for one.
-    pub(super) connection: Option<ConnectionId>,
+    pub(super) connection: Option<EngineConnectionId>,
     /// Whether the first page of the result was received, so that only further pages are still expected.
     pub(super) has_first_page: bool,
     /// Whether the request has waited long enough to share a connection.
@@ -71,7 +71,7 @@
     }
 
     /// Records that the request is about to be written to this connection.
-    pub(super) fn begin_on(&mut self, connection: ConnectionId, dial_timeout: Duration) {
+    pub(super) fn begin_on(&mut self, connection: EngineConnectionId, dial_timeout: Duration) {
         self.sent_at = Instant::now();
         self.connection = Some(connection);
         self.due = self.sent_at + dial_timeout;
--- a/crates/server/src/engine/pool/mod.rs
+++ b/crates/server/src/engine/pool/mod.rs
@@ -27,7 +27,7 @@
 use crate::engine::connection_error::ConnectionLostReason;
 use crate::engine::dialer::Dialer;
 use crate::engine::endpoint_updates::{AddedEndpoint, EndpointUpdate};
-use crate::engine::ids::{ConnectionId, PoolId, RequestId};
+use crate::engine::ids::{EngineConnectionId, EngineRequestId, PoolId};
 use crate::engine::request::DispatchEvent;
 use crate::engine::socket_poller::{ConnectionEvent, SocketPoller};
 use crate::limits::ResourceBudget;
@@ -65,11 +65,11 @@
     /// Whether dispatches may be sent; shared with the engine's handle.
     accepts_dispatches: Arc<AtomicBool>,
     /// Requests that are in flight or wait for a connection.
-    in_flight: HashMap<RequestId, InFlightRequest>,
+    in_flight: HashMap<EngineRequestId, InFlightRequest>,
     /// Requests that wait for a connection, in the order in which they are served.
-    waiting: VecDeque<RequestId>,
-    connections: BTreeMap<ConnectionId, EngineConnection>,
-    last_connection: ConnectionId,
+    waiting: VecDeque<EngineRequestId>,
+    connections: BTreeMap<EngineConnectionId, EngineConnection>,
+    last_connection: EngineConnectionId,
     dials_in_progress: usize,
     /// Dispatches whose connections were lost. They are reported once it is known whether the engine accepts a new
     /// connection.
@@ -91,7 +91,7 @@
             in_flight: HashMap::new(),
             waiting: VecDeque::new(),
             connections: BTreeMap::new(),
-            last_connection: ConnectionId(0),
+            last_connection: EngineConnectionId(0),
             dials_in_progress: 0,
             lost_dispatches: Vec::new(),
             removed: false,
@@ -131,7 +131,7 @@
         }
     }
 
-    fn longest_idle(&self) -> Option<(Instant, ConnectionId)> {
+    fn longest_idle(&self) -> Option<(Instant, EngineConnectionId)> {
         let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
         idle.map(|(id, connection)| (connection.last_change, *id)).min()
     }
@@ -157,7 +157,7 @@
 
     fn close_opened_before(&mut self, restarted_at: Timestamp, context: &PoolContext) {
         let earlier = self.connections.iter().filter(|(_, connection)| connection.opened_at < restarted_at);
-        for id in earlier.map(|(id, _)| *id).collect::<Vec<ConnectionId>>() {
+        for id in earlier.map(|(id, _)| *id).collect::<Vec<EngineConnectionId>>() {
             self.close_connection(id, &ConnectionLostReason::EngineRestarted, context);
         }
     }
@@ -187,7 +187,12 @@
         self.assign_waiting(context);
     }
 
-    fn handle_connection_event(&mut self, id: ConnectionId, event: ConnectionEvent, context: &PoolContext) {
+    fn handle_connection_event(
+        &mut self,
+        id: EngineConnectionId,
+        event: ConnectionEvent,
+        context: &PoolContext,
+    ) {
         match event {
             ConnectionEvent::Message(received) => self.handle_message(id, received),
             ConnectionEvent::Ended(reason) => self.close_connection(id, &reason, context),
@@ -196,7 +201,7 @@
 
     /// Queues a request. A dispatch that is received after its engine began to drain fails immediately, since no later
     /// event would end its wait for a connection.
-    fn enqueue(&mut self, id: RequestId, wire_id: Box<str>, kind: RequestKind, context: &PoolContext) {
+    fn enqueue(&mut self, id: EngineRequestId, wire_id: Box<str>, kind: RequestKind, context: &PoolContext) {
         let is_withheld = self.withhold_if_draining(&kind);
         let request = InFlightRequest::waiting(wire_id, kind, context.settings.dial_timeout);
         self.in_flight.insert(id, request);
--- a/crates/server/src/engine/pool/results.rs
+++ b/crates/server/src/engine/pool/results.rs
@@ -6,7 +6,7 @@
 use crate::engine::connection::EngineConnection;
 use crate::engine::connection_error::ConnectionLostReason;
 use crate::engine::connection_input::ReceivedMessage;
-use crate::engine::ids::{ConnectionId, RequestId};
+use crate::engine::ids::{EngineConnectionId, EngineRequestId};
 use crate::engine::request::{DispatchEvent, HealthCheckResult};
 use crate::telemetry::counters;
 use pebblevane::interface::DispatchStatus;
@@ -27,7 +27,7 @@
 
 impl ConnectionPool {
     /// Handles a message that was received on a connection.
-    pub(super) fn handle_message(&mut self, connection: ConnectionId, received: ReceivedMessage) {
+    pub(super) fn handle_message(&mut self, connection: EngineConnectionId, received: ReceivedMessage) {
         let ReceivedMessage { wire_id, message, read_at } = received;
         let Some(connection) = self.connections.get_mut(&connection) else { return };
         connection.last_received = Instant::now();
@@ -46,7 +46,7 @@
     }
 
     /// Removes a request from its connection, or from the queue if it waits for one.
-    pub(super) fn remove_request(&mut self, id: RequestId, id_use: IdUse) -> Option<InFlightRequest> {
+    pub(super) fn remove_request(&mut self, id: EngineRequestId, id_use: IdUse) -> Option<InFlightRequest> {
         let request = self.in_flight.remove(&id)?;
         match request.connection.and_then(|connection| self.connections.get_mut(&connection)) {
             Some(connection) => {
@@ -63,7 +63,7 @@
     /// Cancels a dispatch, or releases its result at the engine if the first page was received. If the engine has been
     /// silent on the connection for a while, it may not read a cancellation. The connection is then closed instead,
     /// unless other requests are in flight on it.
-    pub(super) fn cancel(&mut self, id: RequestId, context: &PoolContext) {
+    pub(super) fn cancel(&mut self, id: EngineRequestId, context: &PoolContext) {
         let Some(request) = self.in_flight.get(&id) else { return };
         let Some(connection) = request.connection else {
             self.remove_request(id, IdUse::Reusable);
@@ -91,7 +91,7 @@
     }
 
     /// Ends a request whose connection was lost, or that was never sent on one.
-    pub(super) fn fail_request(&mut self, id: RequestId) {
+    pub(super) fn fail_request(&mut self, id: EngineRequestId) {
         let Some(request) = self.remove_request(id, IdUse::Retired) else { return };
         let had_connection = request.connection.is_some();
         match request.kind {
@@ -116,7 +116,7 @@
     /// Closes a connection and fails the requests in flight on it.
     pub(super) fn close_connection(
         &mut self,
-        id: ConnectionId,
+        id: EngineConnectionId,
         reason: &ConnectionLostReason,
         context: &PoolContext,
     ) {
@@ -127,7 +127,7 @@
             self.lower_reuse_limit_if_stale(&connection);
             self.fault_log.report(&self.name, "connection lost", connection.requests.len(), reason);
         }
-        let mut requests: Vec<RequestId> = connection.requests.into_values().collect();
+        let mut requests: Vec<EngineRequestId> = connection.requests.into_values().collect();
         requests.sort_unstable();
         for request in requests {
             self.fail_request(request);
--- a/crates/server/src/engine/pool/sending.rs
+++ b/crates/server/src/engine/pool/sending.rs
@@ -5,7 +5,7 @@
 use crate::codec::engine::{HealthCheckKind, encode_fetch, encode_health_check, encode_request};
 use crate::engine::connection::EngineConnection;
 use crate::engine::connection_error::ConnectionLostReason;
-use crate::engine::ids::{ConnectionId, RequestId};
+use crate::engine::ids::{EngineConnectionId, EngineRequestId};
 use crate::engine::request::EngineRequest;
 use crate::engine::send_gate::SendGate;
 use pebblevane::time::Timestamp;
@@ -14,7 +14,12 @@
 
 impl ConnectionPool {
     /// Writes a request to this connection if it may still be sent.
-    pub(super) fn send_on(&mut self, id: RequestId, connection_id: ConnectionId, context: &PoolContext) {
+    pub(super) fn send_on(
+        &mut self,
+        id: EngineRequestId,
+        connection_id: EngineConnectionId,
+        context: &PoolContext,
+    ) {
         if self.is_stale(connection_id) {
             self.close_connection(connection_id, &ConnectionLostReason::UnexpectedInput, context);
             self.waiting.push_front(id);
@@ -36,7 +41,7 @@
     /// Whether the connection is idle, and has ended or received unexpected input. A request that is written to a
     /// connection that has ended is lost, and it is unknown whether it ran. The rest of an incomplete message would
     /// corrupt the answer.
-    fn is_stale(&self, id: ConnectionId) -> bool {
+    fn is_stale(&self, id: EngineConnectionId) -> bool {
         let is_stale =
             |connection: &EngineConnection| connection.is_idle() && connection.has_unexpected_input();
         self.connections.get(&id).is_some_and(is_stale)
@@ -46,8 +51,8 @@
     /// sent.
     fn encode_if_permitted(
         &self,
-        id: RequestId,
-        connection: ConnectionId,
+        id: EngineRequestId,
+        connection: EngineConnectionId,
         context: &PoolContext,
     ) -> Option<Vec<u8>> {
         let in_flight = self.in_flight.get(&id)?;
@@ -99,8 +104,8 @@
     /// of bytes written.
     fn begin_request(
         &mut self,
-        id: RequestId,
-        connection_id: ConnectionId,
+        id: EngineRequestId,
+        connection_id: EngineConnectionId,
         bytes: &[u8],
         context: &PoolContext,
     ) -> io::Result<usize> {
@@ -115,8 +120,8 @@
     /// connections.
     fn retry_unsent(
         &mut self,
-        id: RequestId,
-        connection_id: ConnectionId,
+        id: EngineRequestId,
+        connection_id: EngineConnectionId,
         error: io::Error,
         context: &PoolContext,
     ) {
@@ -143,14 +148,14 @@
     }
 
     /// Requests a further page of a dispatch's result.
-    pub(super) fn fetch_page(&mut self, id: RequestId, page_number: u32, context: &PoolContext) {
+    pub(super) fn fetch_page(&mut self, id: EngineRequestId, page_number: u32, context: &PoolContext) {
         self.write_for(id, |wire_id| encode_fetch(wire_id, page_number), context);
     }
 
     /// Writes a protocol line about a request to its connection, if it has one.
     pub(super) fn write_for(
         &mut self,
-        id: RequestId,
+        id: EngineRequestId,
         encode: impl Fn(&str) -> Vec<u8>,
         context: &PoolContext,
     ) {
@@ -160,7 +165,7 @@
         self.write(connection, &bytes, context);
     }
 
-    fn write(&mut self, id: ConnectionId, bytes: &[u8], context: &PoolContext) {
+    fn write(&mut self, id: EngineConnectionId, bytes: &[u8], context: &PoolContext) {
         let Some(connection) = self.connections.get(&id) else { return };
         if let Err(e) = connection.write_all(bytes) {
             self.close_connection(id, &ConnectionLostReason::WriteIncomplete(e), context);
--- a/crates/server/src/engine/pool/tests.rs
+++ b/crates/server/src/engine/pool/tests.rs
@@ -9,7 +9,7 @@
 use crate::engine::dialer::Dialer;
 use crate::engine::dispatch_ledger::DispatchLedger;
 use crate::engine::endpoint_updates::AddedEndpoint;
-use crate::engine::ids::{ConnectionId, PoolId, RequestId};
+use crate::engine::ids::{EngineConnectionId, EngineRequestId, PoolId};
 use crate::engine::request::EngineRequest;
 use crate::engine::send_gate::SendGate;
 use crate::engine::socket_poller::SocketPoller;
@@ -26,8 +26,8 @@
 /// The dial timeout, and the idle timeout of connections.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
 /// A connection of which the sending side is shut down, so that writes to it fail.
-const BROKEN: ConnectionId = ConnectionId(1);
-const USABLE: ConnectionId = ConnectionId(2);
+const BROKEN: EngineConnectionId = EngineConnectionId(1);
+const USABLE: EngineConnectionId = EngineConnectionId(2);
 
 /// The context of a pool that cannot start threads to connect with, so that it has to use its existing connections.
 fn context_without_threads() -> PoolContext {
@@ -52,7 +52,7 @@
 }
 
 /// A dispatch that has waited as long as it may for a connection of its own.
-fn late_dispatch(id: RequestId) -> InFlightRequest {
+fn late_dispatch(id: EngineRequestId) -> InFlightRequest {
     let wire_id: Box<str> = format!("{:016x}", id.0).into();
     let deadline = clock::now() + TimeDelta::from_millis(60_000);
     let request = EngineRequest {
@@ -91,7 +91,7 @@
         let input = Arc::new(ConnectionInput::new(stream.clone()));
         let permit = context.descriptors.acquire(1).unwrap();
         let mut connection = EngineConnection::new(stream, input, clock::now(), permit);
-        connection.begin_request(format!("busy{}", id.0).into(), RequestId(id.0));
+        connection.begin_request(format!("busy{}", id.0).into(), EngineRequestId(id.0));
         pool.connections.insert(id, connection);
     }
     // Of connections with equally many requests, the pool chooses the one that received a message last.
@@ -106,7 +106,7 @@
 fn a_late_dispatch_that_was_just_sent_is_not_failed() {
     let context = context_without_threads();
     let (mut pool, _engine_ends) = pool_with_two_connections(&context);
-    let late: Vec<RequestId> = (10..14).map(RequestId).collect();
+    let late: Vec<EngineRequestId> = (10..14).map(EngineRequestId).collect();
     for id in &late {
         pool.in_flight.insert(*id, late_dispatch(*id));
         pool.waiting.push_back(*id);
@@ -114,6 +114,6 @@
 
     pool.handle_timeouts(Instant::now(), &context);
 
-    let sent_on = |id: &RequestId| pool.in_flight.get(id).and_then(|request| request.connection);
+    let sent_on = |id: &EngineRequestId| pool.in_flight.get(id).and_then(|request| request.connection);
     assert_eq!(late.iter().map(sent_on).collect::<Vec<_>>(), [Some(USABLE); 4]);
 }
--- a/crates/server/src/engine/pool/timeouts.rs
+++ b/crates/server/src/engine/pool/timeouts.rs
@@ -5,7 +5,7 @@
 use super::results::IdUse;
 use super::{ConnectionPool, PoolContext};
 use crate::engine::connection_error::ConnectionLostReason;
-use crate::engine::ids::{ConnectionId, RequestId};
+use crate::engine::ids::{EngineConnectionId, EngineRequestId};
 use crate::engine::request::HealthCheckResult;
 use pebblevane::interface::DispatchStatus;
 use std::time::{Duration, Instant};
@@ -22,12 +22,12 @@
     /// Handles the requests that have timed out.
     pub(crate) fn handle_timeouts(&mut self, now: Instant, context: &PoolContext) {
         let late = self.in_flight.iter().filter(|(_, request)| request.has_timed_out(now));
-        for id in late.map(|(id, _)| *id).collect::<Vec<RequestId>>() {
+        for id in late.map(|(id, _)| *id).collect::<Vec<EngineRequestId>>() {
             self.handle_timeout(id, now, context);
         }
     }
 
-    fn handle_timeout(&mut self, id: RequestId, now: Instant, context: &PoolContext) {
+    fn handle_timeout(&mut self, id: EngineRequestId, now: Instant, context: &PoolContext) {
         let Some(request) = self.in_flight.get_mut(&id) else { return };
         // Handling another request may have sent this one in the meantime.
         if !request.has_timed_out(now) {
@@ -47,7 +47,7 @@
         }
     }
 
-    fn share_connection(&mut self, id: RequestId, context: &PoolContext) {
+    fn share_connection(&mut self, id: EngineRequestId, context: &PoolContext) {
         let Some(request) = self.in_flight.get(&id) else { return };
         let connection = self.choose_connection(&request.wire_id, Sharing::Allowed, context);
         if let Some(connection) = connection {
@@ -88,7 +88,7 @@
             .connections
             .iter()
             .filter(|(_, connection)| !connection.is_idle() && connection.silent_for() > limit);
-        for id in silent.map(|(id, _)| *id).collect::<Vec<ConnectionId>>() {
+        for id in silent.map(|(id, _)| *id).collect::<Vec<EngineConnectionId>>() {
             self.close_connection(id, &ConnectionLostReason::Silent, context);
         }
     }
