--- a/crates/server/src/client/event_loop/mod.rs
+++ b/crates/server/src/client/event_loop/mod.rs
@@ -213,7 +213,7 @@
         let arrived_in =
             if accepted_before_wait && self.returned_immediately { connection.accepted_in } else { pass };
         match connection.read(&self.context, &mut self.read_buffer, arrived_in.earliest_arrival) {
-            Ok(ReadProgress::Drained) => {}
+            Ok(ReadProgress::AllRead) => {}
             Ok(ReadProgress::Paused) => self.paused.push(id),
             Ok(ReadProgress::MoreAvailable) => self.request_event(id),
             Err(ReadError::Abort(reason)) => self.abort(id, &reason),
--- a/crates/server/src/client/reading.rs
+++ b/crates/server/src/client/reading.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadProgress {
     /// All received bytes were read.
-    Drained,
+    AllRead,
     /// There may be more to read.
     MoreAvailable,
     /// Reading is paused because messages were refused or a read failed temporarily.
@@ -82,7 +82,7 @@
             self.paused_until = Some(Instant::now() + self.refusal_pause());
             return Ok(ReadProgress::Paused);
         }
-        if progress == ReadProgress::Drained && self.received.is_empty() {
+        if progress == ReadProgress::AllRead && self.received.is_empty() {
             self.check_cancellations();
         }
         Ok(progress)
@@ -111,12 +111,12 @@
                 Ok(0) => return Err(ReadError::Abort(CloseReason::ClosedByClient)),
                 Ok(count) => self.keep_or_discard(&buffer[..count]).map_err(ReadError::Abort)?,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadProgress::Drained),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadProgress::AllRead),
                 Err(e) if is_reset_by_client(&e) => {
                     return Err(ReadError::Abort(ConnectionError::from(e).into()));
                 }
                 // Pending answers are still written; if the connection has failed, a later read reports its end.
-                Err(_) if self.closing.is_some() => return Ok(ReadProgress::Drained),
+                Err(_) if self.closing.is_some() => return Ok(ReadProgress::AllRead),
                 Err(e) if is_transient_io_error(&e) => return Ok(self.pause_reading()),
                 Err(e) => return Err(ReadError::Close(ConnectionError::from(e).into())),
             }
--- a/crates/server/src/engine/connection_input.rs
+++ b/crates/server/src/engine/connection_input.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadProgress {
     /// There is nothing more to read.
-    Drained,
+    AllRead,
     /// There may be more to read.
     MoreAvailable,
 }
@@ -113,7 +113,7 @@
             Ok(0) => return Err(ConnectionLostReason::ClosedByEngine),
             Ok(count) => self.buffer.extend_from_slice(&read_buffer[..count]),
             Err(e) if e.kind() == ErrorKind::Interrupted => return Ok(ReadProgress::MoreAvailable),
-            Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadProgress::Drained),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadProgress::AllRead),
             Err(e) => return Err(ConnectionLostReason::Read(e)),
         }
         self.last_read = Instant::now();
--- a/crates/server/src/engine/socket_poller.rs
+++ b/crates/server/src/engine/socket_poller.rs
@@ -50,8 +50,8 @@
             for message in messages {
                 (self.on_event)(ConnectionEvent::Message(message));
             }
-            if progress? == ReadProgress::Drained {
-                return Ok(ReadProgress::Drained);
+            if progress? == ReadProgress::AllRead {
+                return Ok(ReadProgress::AllRead);
             }
         }
         Ok(ReadProgress::MoreAvailable)
@@ -142,7 +142,7 @@
             let token = event.token();
             let Some(connection) = self.connections.get(&token.0) else { continue };
             match connection.read(read_buffer) {
-                Ok(ReadProgress::Drained) => {}
+                Ok(ReadProgress::AllRead) => {}
                 Ok(ReadProgress::MoreAvailable) => {
                     // Events are edge-triggered: registering again causes another event for the remaining input.
                     let fd = connection.input.descriptor();
