--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -128,8 +128,8 @@
                 Some(self.endpoints_changed(now, event, last_complete))
             }
             ControllerEvent::EndpointListUnavailable => Some(self.controller.endpoint_list_unavailable(now)),
-            ControllerEvent::ShutdownBegun { deadline } => {
-                Some(self.controller.begin_shutdown(now, deadline))
+            ControllerEvent::ShutdownBegun { answered_by } => {
+                Some(self.controller.begin_shutdown(now, answered_by))
             }
             // `handle_disconnected_clients` has handled their jobs before this event.
             ControllerEvent::ClientsDisconnected => None,
--- a/crates/server/src/decision/event.rs
+++ b/crates/server/src/decision/event.rs
@@ -32,7 +32,7 @@
     /// A graceful shutdown has begun.
     ShutdownBegun {
         /// The time by which all jobs must be answered.
-        deadline: Timestamp,
+        answered_by: Timestamp,
     },
     /// Clients have disconnected or cancelled jobs. The controller's handle holds the ids of the jobs.
     ClientsDisconnected,
--- a/crates/server/src/decision/handle.rs
+++ b/crates/server/src/decision/handle.rs
@@ -71,9 +71,9 @@
         let _ = self.events.try_send(ControllerEvent::ClientsDisconnected);
     }
 
-    /// Notifies the thread that a graceful shutdown has begun: all jobs must be answered by `deadline`.
-    pub fn begin_shutdown(&self, deadline: Timestamp) {
-        let _ = self.urgent_events.send(ControllerEvent::ShutdownBegun { deadline });
+    /// Notifies the thread that a graceful shutdown has begun: all jobs must be answered by `answered_by`.
+    pub fn begin_shutdown(&self, answered_by: Timestamp) {
+        let _ = self.urgent_events.send(ControllerEvent::ShutdownBegun { answered_by });
     }
 
     /// Notifies the thread that a health check has ended.
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -47,7 +47,7 @@
     let largest_memory_mb = state.pool.largest_memory_mb();
     let class = &mut state.classes[request.class];
     let time_left = request.time_left.min(class.settings.client_timeout);
-    let deadline = (now + time_left).min(state.shutdown_at);
+    let deadline = (now + time_left).min(state.answered_by);
     let limits = EstimateLimits {
         work_ms: (deadline - now).as_millis_f64() * class.settings.threads,
         memory_mb: largest_memory_mb,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -122,10 +122,10 @@
         self.take_actions()
     }
 
-    /// Begins a graceful shutdown of the process, which ends at `end`.
-    pub fn begin_shutdown(&mut self, now: Timestamp, end: Timestamp) -> Actions {
+    /// Begins a graceful shutdown of the process: all jobs get their final answer before `answered_by`.
+    pub fn begin_shutdown(&mut self, now: Timestamp, answered_by: Timestamp) -> Actions {
         self.state.now = now;
-        shutdown::begin_shutdown(&mut self.state, end);
+        shutdown::begin_shutdown(&mut self.state, answered_by);
         self.take_actions()
     }
 
--- a/src/job.rs
+++ b/src/job.rs
@@ -126,7 +126,7 @@
 pub struct JobTimes {
     /// When the job was submitted.
     pub submitted_at: Timestamp,
-    /// When the client stops waiting, or the process ends if that is earlier.
+    /// When the client stops waiting, or the time limit of a graceful shutdown if that is earlier.
     pub deadline: Timestamp,
     /// End of the job's latency objective.
     pub objective_deadline: Timestamp,
@@ -139,7 +139,7 @@
     pub request: Job,
     /// When it was submitted.
     pub submitted_at: Timestamp,
-    /// When its client stops waiting, or the process ends if that is earlier.
+    /// When its client stops waiting, or the time limit of a graceful shutdown if that is earlier.
     pub deadline: Timestamp,
     /// End of its latency objective.
     pub objective_deadline: Timestamp,
@@ -260,10 +260,10 @@
         self.finished = true;
     }
 
-    /// Moves deadlines after `end` to `end`, the end of the process.
-    pub fn limit_deadline(&mut self, end: Timestamp) {
-        self.deadline = self.deadline.min(end);
-        self.objective_deadline = self.objective_deadline.min(end);
+    /// Moves deadlines after `latest` to `latest`, the time limit of a graceful shutdown.
+    pub fn limit_deadlines(&mut self, latest: Timestamp) {
+        self.deadline = self.deadline.min(latest);
+        self.objective_deadline = self.objective_deadline.min(latest);
     }
 
     /// The engines that may not be forgotten while the job is open: of its dispatch in flight and its possible run.
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown of the process: waiting jobs that can't finish before the process ends get their final answer at
-//! once. Other jobs that are still open shortly before the end get it then.
+//! Graceful shutdown of the process: waiting jobs that can't finish in time get their final answer at once. Other jobs
+//! that are still open shortly before the time limit get it then.
 
 use crate::admission;
 use crate::interface::JobId;
@@ -7,14 +7,14 @@
 use crate::time::Timestamp;
 use crate::timers::Timer;
 
-/// Begins a graceful shutdown of the process, which ends at `end`.
-pub fn begin_shutdown(state: &mut ControllerState, end: Timestamp) {
-    state.shutdown_at = end;
+/// Begins a graceful shutdown of the process: all jobs get their final answer before `answered_by`.
+pub fn begin_shutdown(state: &mut ControllerState, answered_by: Timestamp) {
+    state.answered_by = answered_by;
     for job in state.jobs.values_mut() {
-        job.limit_deadline(end);
+        job.limit_deadlines(answered_by);
     }
     let open: Vec<JobId> = state.jobs.keys().copied().collect();
-    let answer_deadline = end - state.settings.answer_margin;
+    let answer_deadline = answered_by - state.settings.answer_margin;
     state.timers.schedule_at(answer_deadline, Timer::ShutdownDeadline(open));
     admission::place_waiting_jobs(state);
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -26,8 +26,9 @@
     pub now: Timestamp,
     /// When this process started.
     pub started_at: Timestamp,
-    /// When this process ends; all jobs get their final answer before. `i64::MAX` until a shutdown begins.
-    pub shutdown_at: Timestamp,
+    /// The time limit of a graceful shutdown: all jobs get their final answer before it. `i64::MAX` until a shutdown
+    /// begins.
+    pub answered_by: Timestamp,
     /// The random number generator of all decisions.
     pub random: Pcg32,
     /// The job classes, by position in the settings.
@@ -62,7 +63,7 @@
         ControllerState {
             now,
             started_at: now,
-            shutdown_at: Timestamp(i64::MAX),
+            answered_by: Timestamp(i64::MAX),
             random: Pcg32::new(seed),
             classes: settings.classes.iter().cloned().map(JobClass::new).collect(),
             pool: EnginePool::default(),
