--- a/crates/server/src/client/admission.rs
+++ b/crates/server/src/client/admission.rs
@@ -82,7 +82,7 @@
     request: ClientRequest,
     arrived_at: Timestamp,
 ) -> Outcome {
-    let Some(job_id) = context.client_job_ids.reserve(&request.job_id) else {
+    let Some(client_job_id) = context.client_job_ids.reserve(&request.client_job_id) else {
         return refuse_invalid(session, request.request_id, InvalidRequest::DuplicateJobId);
     };
     let Some(permits) = acquire_permits(context, session, &request) else {
@@ -90,9 +90,9 @@
     };
     let deadline = arrived_at + request.client_timeout;
     let left_ms = (deadline - clock::now()).as_millis_f64();
-    tracing::debug!(job = %request.job_id, left_ms, "job submitted");
+    tracing::debug!(job = %request.client_job_id, left_ms, "job submitted");
     let job = controller_job(&request);
-    let admitted = admitted_job(context, session, request, job_id, permits, deadline);
+    let admitted = admitted_job(context, session, request, client_job_id, permits, deadline);
     if context.controller.submit(job, arrived_at, admitted) {
         counters::JOBS_ADMITTED.increment();
         Outcome::Accepted
@@ -138,17 +138,17 @@
     context: &ClientContext,
     session: &Arc<ClientSession>,
     request: ClientRequest,
-    job_id: ReservedJobId,
+    client_job_id: ReservedJobId,
     permits: JobPermits,
     deadline: Timestamp,
 ) -> AdmittedJob {
     let class = &context.classes[request.class];
-    let responder = Responder::new(session.clone(), request.request_id, job_id, deadline);
-    let ledger = DispatchLedger::new(&request.job_id, class.retry_safety, deadline);
+    let responder = Responder::new(session.clone(), request.request_id, client_job_id, deadline);
+    let ledger = DispatchLedger::new(&request.client_job_id, class.retry_safety, deadline);
     AdmittedJob {
         responder: Arc::new(responder),
         ledger: Arc::new(ledger),
-        client_job_id: request.job_id,
+        client_job_id: request.client_job_id,
         class: class.name.clone(),
         statement: request.statement.into(),
         memory: permits.memory,
--- a/crates/server/src/codec/client.rs
+++ b/crates/server/src/codec/client.rs
@@ -78,14 +78,14 @@
     /// The id of the request on its connection.
     pub request_id: RequestId,
     /// The client's own id of the job, 16 hexadecimal digits. It is passed to engines unchanged.
-    pub job_id: Box<str>,
+    pub client_job_id: Box<str>,
     /// The position of the job class in the settings.
     pub class: usize,
     /// How long the client waits for the answer.
     pub client_timeout: TimeDelta,
     /// Whether the client has submitted this job before.
     pub is_retry: bool,
-    /// The client's estimate of the run time.
+    /// The client's estimate of the work of all threads, as execution time on a single thread.
     pub estimated_cost: Option<TimeDelta>,
     /// The client's estimate of the memory that the job needs, in megabytes.
     pub memory_mb: Option<f64>,
--- a/crates/server/src/codec/client/decode.rs
+++ b/crates/server/src/codec/client/decode.rs
@@ -76,11 +76,11 @@
     }
     let fields = JobFields::decode(rest)?;
     let statement = read_statement(rest).ok_or(InvalidRequest::MalformedStatement)?;
-    let job_id = fields.job_id.ok_or_else(|| malformed(FIELD_JOB_ID))?;
+    let client_job_id = fields.client_job_id.ok_or_else(|| malformed(FIELD_JOB_ID))?;
     let client_timeout_ms = fields.client_timeout_ms.ok_or_else(|| malformed(FIELD_CLIENT_TIMEOUT_MS))?;
     Ok(ClientRequest {
         request_id,
-        job_id,
+        client_job_id,
         class,
         client_timeout: TimeDelta::from_millis_f64(client_timeout_ms),
         is_retry: fields.is_retry,
@@ -93,7 +93,7 @@
 /// The fields of a job; `None` for those that are missing or out of range.
 #[derive(Default)]
 struct JobFields {
-    job_id: Option<Box<str>>,
+    client_job_id: Option<Box<str>>,
     client_timeout_ms: Option<f64>,
     estimated_cost_ms: Option<f64>,
     memory_mb: Option<f64>,
@@ -115,7 +115,7 @@
     /// Sets a field; one with an unknown name is ignored.
     fn set(&mut self, name: &str, value: &str) -> Result<(), InvalidRequest> {
         match name {
-            FIELD_JOB_ID => self.job_id = is_job_id(value).then(|| value.into()),
+            FIELD_JOB_ID => self.client_job_id = is_job_id(value).then(|| value.into()),
             FIELD_CLIENT_TIMEOUT_MS => {
                 let timeout_ms = parse_number(name, value)?;
                 self.client_timeout_ms = Some(timeout_ms).filter(|ms| *ms < MAX_CLIENT_TIMEOUT_MS);
--- a/crates/server/src/session/responder.rs
+++ b/crates/server/src/session/responder.rs
@@ -21,8 +21,8 @@
     session: Arc<ClientSession>,
     request_id: RequestId,
     /// The client's own id of the job, for the log.
-    job_id: Box<str>,
-    /// The reservation of `job_id`, until the request is answered.
+    client_job_id: Box<str>,
+    /// The reservation of `client_job_id`, until the request is answered.
     reserved_id: Mutex<Option<ReservedJobId>>,
     /// The end of the client's timeout.
     deadline: Timestamp,
@@ -36,14 +36,14 @@
     pub fn new(
         session: Arc<ClientSession>,
         request_id: RequestId,
-        job_id: ReservedJobId,
+        client_job_id: ReservedJobId,
         deadline: Timestamp,
     ) -> Responder {
         Responder {
             session,
             request_id,
-            job_id: job_id.as_str().into(),
-            reserved_id: Mutex::new(Some(job_id)),
+            client_job_id: client_job_id.as_str().into(),
+            reserved_id: Mutex::new(Some(client_job_id)),
             deadline,
             job: OnceLock::new(),
             cancellation: Arc::default(),
@@ -76,12 +76,13 @@
 
     fn record_response(&self, reply: &Reply) {
         let overdue = clock::now() - self.deadline;
-        tracing::debug!(job = %self.job_id, answer = reply.kind(), overdue_ms = overdue.as_millis_f64(), "job answered");
+        let overdue_ms = overdue.as_millis_f64();
+        tracing::debug!(job = %self.client_job_id, answer = reply.kind(), overdue_ms, "job answered");
         if overdue > TimeDelta(0) {
             counters::LATE_RESPONSES.increment();
         }
         if overdue > ANSWER_GRACE_PERIOD {
-            invariants::report_violation(Invariant::AnsweredInTime, &self.job_id);
+            invariants::report_violation(Invariant::AnsweredInTime, &self.client_job_id);
         }
     }
 
@@ -95,7 +96,7 @@
     /// Also searches the bytes that were received from the client but not yet read for a cancellation.
     fn is_waiting(&self) -> bool {
         if self.is_open() && self.session.apply_unread_cancellation(self.request_id) {
-            tracing::debug!(job = %self.job_id, "job cancelled by unread bytes");
+            tracing::debug!(job = %self.client_job_id, "job cancelled by unread bytes");
         }
         !self.is_finished()
     }
@@ -104,7 +105,7 @@
 impl Drop for Responder {
     fn drop(&mut self) {
         if self.is_open() {
-            invariants::report_violation(Invariant::Answered, &self.job_id);
+            invariants::report_violation(Invariant::Answered, &self.client_job_id);
         }
     }
 }
--- a/crates/server/tests/server/client_codec.rs
+++ b/crates/server/tests/server/client_codec.rs
@@ -44,7 +44,7 @@
 fn a_request_is_decoded_with_its_fields() {
     let Some(Message::Submit(request)) = decode_with_lookup_class(REQUEST) else { panic!("no job") };
     assert_eq!(request.request_id, RequestId(7));
-    assert_eq!(&*request.job_id, "9b1f03aa5c7e2d41");
+    assert_eq!(&*request.client_job_id, "9b1f03aa5c7e2d41");
     assert_eq!(request.client_timeout, TimeDelta(1_500_000));
     assert_eq!(&*request.statement, b"select 1");
     assert_eq!((request.class, request.is_retry), (0, false));
--- a/crates/server/tests/server/decoding.rs
+++ b/crates/server/tests/server/decoding.rs
@@ -57,7 +57,7 @@
         while let client::Frame::Complete(length) = client::frame(rest) {
             if let Some(client::Message::Submit(request)) = client::decode(&rest[..length], &types) {
                 assert!(
-                    request.job_id.len() == 16
+                    request.client_job_id.len() == 16
                         && request.client_timeout.0 >= 0
                         && request.statement.len() <= length
                 );
