--- a/crates/server/src/engine/request.rs
+++ b/crates/server/src/engine/request.rs
@@ -36,8 +36,8 @@
     Lost {
         /// `ConnectionLost` or `Unreachable`.
         status: DispatchStatus,
-        /// Whether the engine is known not to be at fault: it has accepted a new connection since, or this program has
-        /// withheld the dispatch.
+        /// Whether the engine counts as reachable nevertheless: it has accepted a new connection since, or this program
+        /// has withheld the dispatch.
         engine_reachable: bool,
     },
 }
--- a/crates/server/src/job/cancelled_dispatch.rs
+++ b/crates/server/src/job/cancelled_dispatch.rs
@@ -1,4 +1,4 @@
-//! Delays the report of a cancelled attempt until its engine has read the cancellation.
+//! Delays the report of a cancelled dispatch until its engine has read the cancellation.
 
 use crate::job::dispatch_end::FinishedDispatch;
 use crate::lifecycle::clock;
@@ -11,7 +11,7 @@
 /// The maximum time that a job waits for a cancellation to be written.
 const CANCELLATION_WRITE_TIMEOUT: TimeDelta = TimeDelta::from_millis(500);
 
-/// A finished attempt that is being cancelled at its engine. Its end is reported once the engine is assumed to have
+/// A finished dispatch that is being cancelled at its engine. Its end is reported once the engine is assumed to have
 /// read the cancellation. Writes to different engines are not ordered: without the wait, the next engine could receive
 /// the job before the cancellation takes effect.
 pub(super) struct CancelledDispatch {
@@ -22,7 +22,7 @@
 }
 
 impl CancelledDispatch {
-    /// Cancels a finished attempt at its engine.
+    /// Cancels a finished dispatch at its engine.
     #[must_use]
     pub(super) fn cancel(finished: FinishedDispatch) -> CancelledDispatch {
         let cancellation_written = finished.cancel_at_engine();
@@ -41,12 +41,12 @@
         self.report_at = clock::now() + CANCELLATION_READ_DELAY;
     }
 
-    /// When the end of the attempt has to be reported.
+    /// When the end of the dispatch has to be reported.
     pub(super) fn report_at(&self) -> Timestamp {
         self.report_at
     }
 
-    /// The attempt that was cancelled.
+    /// The dispatch that was cancelled.
     pub(super) fn into_finished(self) -> FinishedDispatch {
         self.finished
     }
--- a/crates/server/src/job/command.rs
+++ b/crates/server/src/job/command.rs
@@ -9,24 +9,24 @@
 pub enum JobCommand {
     /// Send the job to an engine.
     Dispatch(DispatchCommand),
-    /// End this attempt. If it has not been sent yet, it is withheld.
+    /// End this dispatch. If it has not been sent yet, it is withheld.
     Cancel {
-        /// The number of the attempt within its job, from 0.
+        /// The number of the dispatch within its job, from 0.
         attempt: u32,
     },
     /// End the job: no dispatch is in flight, and the client expects no answer.
     Release,
 }
 
-/// One attempt at a job.
+/// One dispatch of a job.
 pub struct DispatchCommand {
     /// The engine to send it to.
     pub engine: Arc<EngineHandle>,
-    /// The number of the attempt within its job, from 0.
+    /// The number of the dispatch within its job, from 0.
     pub attempt: u32,
-    /// When the attempt times out.
+    /// When the dispatch times out.
     pub deadline: Timestamp,
-    /// If the first byte has not been sent before this time, the attempt is withheld.
+    /// If the first byte has not been sent before this time, the dispatch is withheld.
     pub begin_by: Timestamp,
     /// The priority that is sent to the engine, if any.
     pub priority: Option<u8>,
@@ -34,8 +34,8 @@
 
 /// Is notified of the progress and the end of a job's dispatches.
 pub trait DispatchListener: Send + Sync {
-    /// An attempt has made progress.
+    /// A dispatch has made progress.
     fn dispatch_progress(&self, job: JobId, attempt: u32, update: ProgressUpdate);
-    /// An attempt has ended, and has been cancelled at its engine if necessary.
+    /// A dispatch has ended, and has been cancelled at its engine if necessary.
     fn dispatch_finished(&self, job: JobId, attempt: u32, result: DispatchResult);
 }
--- a/crates/server/src/job/dispatch_end.rs
+++ b/crates/server/src/job/dispatch_end.rs
@@ -1,4 +1,4 @@
-//! How an attempt ended, and how that is reported.
+//! How a dispatch ended, and how that is reported.
 
 use crate::engine::dispatch_ledger::{DispatchLedger, Execution};
 use crate::engine::handle::DispatchHandle;
@@ -9,7 +9,7 @@
 use pebblevane::interface::{ActualCost, DispatchResult, DispatchStatus, JobId, LoadReport};
 use pebblevane::time::Timestamp;
 
-/// How an attempt ended.
+/// How a dispatch ended.
 pub(super) struct DispatchEnd {
     status: DispatchStatus,
     engine_reachable: bool,
@@ -23,12 +23,12 @@
         DispatchEnd { status, engine_reachable: false, actual_cost: None, load_report: None }
     }
 
-    /// The end of an attempt that was never sent, which is not the engine's fault.
+    /// The end of a dispatch that was never sent, which is not the engine's fault.
     pub(super) fn never_sent() -> DispatchEnd {
         DispatchEnd::new(DispatchStatus::Unreachable).engine_reachable(true)
     }
 
-    /// Sets whether the engine is known to be reachable although the attempt ended this way.
+    /// Sets whether the engine counts as reachable although the dispatch ended this way.
     pub(super) fn engine_reachable(self, engine_reachable: bool) -> DispatchEnd {
         DispatchEnd { engine_reachable, ..self }
     }
@@ -55,7 +55,7 @@
     }
 }
 
-/// An attempt that has ended, but whose end has not been reported yet.
+/// A dispatch that has ended, but whose end has not been reported yet.
 #[must_use]
 pub(super) struct FinishedDispatch {
     handle: DispatchHandle,
@@ -65,7 +65,7 @@
 }
 
 impl FinishedDispatch {
-    /// An attempt that ends now.
+    /// A dispatch that ends now.
     pub(super) fn new(dispatch: InFlightDispatch, end: &DispatchEnd) -> FinishedDispatch {
         let InFlightDispatch { handle, sent, attempt, .. } = dispatch;
         let result = DispatchResult {
@@ -79,7 +79,7 @@
         FinishedDispatch { handle, sent, attempt, result }
     }
 
-    /// The number of the attempt within its job.
+    /// The number of the dispatch within its job.
     pub(super) fn attempt(&self) -> u32 {
         self.attempt
     }
@@ -89,12 +89,12 @@
         self.result.status
     }
 
-    /// Cancels the attempt at its engine. The receiver is disconnected once the cancellation has been written.
+    /// Cancels the dispatch at its engine. The receiver is disconnected once the cancellation has been written.
     pub(super) fn cancel_at_engine(&self) -> Receiver<()> {
         self.handle.cancel()
     }
 
-    /// Records the end in the job's ledger, drops the handle to release the attempt's resources at the engine, and
+    /// Records the end in the job's ledger, drops the handle to release the dispatch's resources at the engine, and
     /// notifies the listener.
     pub(super) fn report(self, job: JobId, ledger: &DispatchLedger, listener: &dyn DispatchListener) {
         let FinishedDispatch { handle, sent, attempt, result } = self;
--- a/crates/server/src/job/in_flight_dispatch.rs
+++ b/crates/server/src/job/in_flight_dispatch.rs
@@ -1,4 +1,4 @@
-//! An attempt whose engine has not answered completely yet.
+//! A dispatch whose engine has not answered completely yet.
 
 use crate::engine::handle::{DispatchHandle, EngineRequest};
 use crate::job::admitted_job::AdmittedJob;
@@ -8,26 +8,26 @@
 use pebblevane::interface::ProgressUpdate;
 use pebblevane::time::Timestamp;
 
-/// An attempt that has been handed to its engine's connections.
+/// A dispatch that has been handed to its engine's connections.
 pub(super) struct InFlightDispatch {
     pub(super) handle: DispatchHandle,
-    /// The number of the attempt within its job.
+    /// The number of the dispatch within its job.
     pub(super) attempt: u32,
     /// When it was handed to the connections, which may be earlier than its first byte.
     pub(super) sent: Timestamp,
-    /// When the attempt times out.
+    /// When the dispatch times out.
     pub(super) deadline: Timestamp,
     /// The pages of the result received so far.
     pub(super) result: Option<ResultPages>,
     /// Whether the engine has reported progress that shows that the job is running.
     progress_reported: bool,
-    /// If the first byte has not been sent before this time, the attempt is withheld. `None` once that has been
+    /// If the first byte has not been sent before this time, the dispatch is withheld. `None` once that has been
     /// checked.
     begin_by: Option<Timestamp>,
 }
 
 impl InFlightDispatch {
-    /// Hands an attempt at this job to the connections of its engine.
+    /// Hands a dispatch of this job to the connections of its engine.
     #[must_use]
     pub(super) fn send(job: &AdmittedJob, command: &DispatchCommand) -> InFlightDispatch {
         let sent = clock::now();
@@ -68,14 +68,14 @@
         self.begin_by.map_or(self.deadline, |begin_by| begin_by.min(self.deadline))
     }
 
-    /// Withholds the attempt if its `begin_by` has passed while it waits for a connection. Returns whether it was
+    /// Withholds the dispatch if its `begin_by` has passed while it waits for a connection. Returns whether it was
     /// withheld.
     pub(super) fn withhold_after_begin_by(&mut self) -> bool {
         let due = self.begin_by.take_if(|begin_by| *begin_by <= clock::now());
         due.is_some() && self.handle.withhold_if_queued()
     }
 
-    /// Whether the attempt has timed out.
+    /// Whether the dispatch has timed out.
     pub(super) fn is_overdue(&self) -> bool {
         self.deadline <= clock::now()
     }
--- a/crates/server/src/job/task.rs
+++ b/crates/server/src/job/task.rs
@@ -27,7 +27,7 @@
     commands: Receiver<JobCommand>,
     job: AdmittedJob,
     listener: Arc<dyn DispatchListener>,
-    /// An attempt that is being cancelled at its engine and is not reported yet.
+    /// A dispatch that is being cancelled at its engine and is not reported yet.
     cancelled: Option<CancelledDispatch>,
 }
 
@@ -38,7 +38,7 @@
     Command(Option<JobCommand>),
     /// `None` once the engine's connections have dropped the dispatch.
     Engine(Option<DispatchEvent>),
-    /// A check of the attempt in flight, or the report of a cancelled one, is due.
+    /// A check of the dispatch in flight, or the report of a cancelled one, is due.
     Due,
 }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Cancels an attempt if it is the one in flight.
+    /// Cancels a dispatch if it is the one in flight.
     fn cancel(&mut self, attempt: u32) {
         let Some(dispatch) = self.in_flight.take_if(|dispatch| dispatch.attempt == attempt) else { return };
         let end = if dispatch.handle.withhold() {
@@ -162,8 +162,8 @@
         self.listener.dispatch_progress(self.id, dispatch.attempt, update);
     }
 
-    /// Finishes an attempt that its engine reports as not run. If earlier messages of the engine show that the job did
-    /// run, the attempt counts as failed instead.
+    /// Finishes a dispatch that its engine reports as not run. If earlier messages of the engine show that the job did
+    /// run, the dispatch counts as failed instead.
     fn finish_not_run(
         &mut self,
         dispatch: InFlightDispatch,
@@ -201,7 +201,7 @@
         self.finish(dispatch, &end);
     }
 
-    /// Ends an attempt. If its engine may still be running it, it is cancelled there before its end is reported; the
+    /// Ends a dispatch. If its engine may still be running it, it is cancelled there before its end is reported; the
     /// job handles commands in the meantime.
     fn finish(&mut self, dispatch: InFlightDispatch, end: &DispatchEnd) {
         let finished = FinishedDispatch::new(dispatch, end);
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -98,7 +98,7 @@
         self.take_actions()
     }
 
-    /// Handles a client that has disconnected: cancels the dispatch of its job.
+    /// Handles a client that has disconnected or has cancelled its job: cancels the job's dispatch in flight.
     pub fn client_disconnected(&mut self, now: Timestamp, id: JobId) -> Actions {
         self.state.now = now;
         if let Some(job) = self.state.jobs.get_mut(&id) {
--- a/src/feedback.rs
+++ b/src/feedback.rs
@@ -73,8 +73,8 @@
     slowdown::observe_elapsed(state, time);
 }
 
-/// Handles the result of an attempt: removes the job's dispatch in flight and updates the estimates. Returns false if
-/// this attempt is not the one in flight.
+/// Handles the result of a dispatch: removes it from its job and updates the estimates. Returns false if the job's
+/// dispatch in flight is another one.
 pub fn handle_result(state: &mut ControllerState, id: JobId, attempt: u32, result: &DispatchResult) -> bool {
     let Some(job) = state.jobs.get_mut(&id) else { return false };
     if result.job_finished {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -63,7 +63,7 @@
     pub customer: usize,
     /// The job's ordering key; used if the class runs the jobs of one key in order.
     pub key: Option<u64>,
-    /// How long the client will wait for the answer.
+    /// How long the client still waits for the answer: its timeout, less the time since its request arrived.
     pub time_left: TimeDelta,
     /// Estimated work of all threads, as execution time on a single thread.
     pub cost: Option<TimeDelta>,
@@ -116,8 +116,9 @@
     pub elapsed: TimeDelta,
     /// Whether the client already has the job's final answer, from this result or from earlier.
     pub job_finished: bool,
-    /// Whether a failure does not count against the engine: it has accepted a new connection since, or the dispatch
-    /// was never attempted.
+    /// Whether the engine counts as reachable although the dispatch ended as `Unreachable` or `ConnectionLost`: it has
+    /// accepted a new connection since, or the caller has withheld the dispatch. The failure does not count against
+    /// the engine then.
     pub engine_reachable: bool,
     /// What the job used, if the engine reports it.
     pub actual_cost: Option<ActualCost>,
--- a/src/job.rs
+++ b/src/job.rs
@@ -184,7 +184,8 @@
         }
     }
 
-    /// Whether it has its final answer or its client has left. A dispatch may still be in flight.
+    /// Whether it has its final answer, or its client has disconnected or cancelled it. A dispatch may still be in
+    /// flight.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
@@ -244,7 +245,7 @@
         self.state = JobState::InFlight(dispatch);
     }
 
-    /// Removes and returns the dispatch in flight if it is this attempt, whose result has arrived.
+    /// Removes and returns the dispatch in flight if it has this number, since its result has arrived.
     pub fn take_dispatch(&mut self, attempt: u32) -> Option<InFlightDispatch> {
         match std::mem::take(&mut self.state) {
             JobState::InFlight(dispatch) if dispatch.attempt == attempt => Some(dispatch),
@@ -255,7 +256,7 @@
         }
     }
 
-    /// Records that it has its final answer or that its client has left.
+    /// Records that it has its final answer, or that its client has disconnected or cancelled it.
     pub fn finish(&mut self) {
         self.finished = true;
     }
@@ -266,7 +267,7 @@
         self.objective_deadline = self.objective_deadline.min(latest);
     }
 
-    /// The engines that may not be forgotten while the job is open: of its dispatch in flight and its possible run.
+    /// The engines that must not be evicted while the job is open: of its dispatch in flight and its possible run.
     pub fn engines(&self) -> impl Iterator<Item = EngineId> {
         let in_flight = self.in_flight().map(|dispatch| dispatch.engine);
         in_flight.into_iter().chain(self.possible_run.map(|run| run.engine))
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -11,7 +11,7 @@
 /// The known engines of the pool.
 #[derive(Default)]
 pub struct EnginePool {
-    /// All known engines, including draining ones and those that are gone but not yet forgotten.
+    /// All known engines, including draining ones and those that are gone but not yet evicted.
     pub engines: BTreeMap<EngineId, Engine>,
     /// The engines that accept dispatches, by number.
     pub running: Vec<EngineId>,
