--- a/crates/server/src/codec/event_bus.rs
+++ b/crates/server/src/codec/event_bus.rs
@@ -20,7 +20,7 @@
 
 const NAME: &str = "instanceId";
 const ADDRESS: &str = "hostPort";
-const ZONE: &str = "zone";
+const LOCATION: &str = "zone";
 const MACHINE_TYPE: &str = "machineType";
 const CELL: &str = "cell";
 const WEIGHT: &str = "weight";
@@ -79,8 +79,8 @@
     pub name: String,
     /// Host and port, not validated.
     pub address: String,
-    /// The name of its zone.
-    pub zone: String,
+    /// The name of its location.
+    pub location: String,
     /// The name of its machine type.
     pub machine_type: String,
     /// The number of its cell.
@@ -143,7 +143,7 @@
     Ok(EndpointEntry {
         name: entry.text(NAME)?.to_string(),
         address: entry.text(ADDRESS)?.to_string(),
-        zone: entry.text(ZONE)?.to_string(),
+        location: entry.text(LOCATION)?.to_string(),
         machine_type: entry.text(MACHINE_TYPE)?.to_string(),
         cell: entry.whole_or_zero(CELL)? as usize,
         lifecycle: decode_lifecycle(entry)?,
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -5,13 +5,13 @@
 
 pub mod engine_connection_settings;
 mod error;
-mod location_names;
+mod name_positions;
 pub mod retry_safety;
 mod setting_names;
 
 pub use engine_connection_settings::EngineConnectionSettings;
 pub use error::ConfigError;
-pub use location_names::LocationNames;
+pub use name_positions::NamePositions;
 pub use retry_safety::{DeduplicationScope, RetrySafety};
 
 use crate::codec::event_bus::{self, Event};
--- a/crates/server/src/config/setting_names.rs
+++ b/crates/server/src/config/setting_names.rs
@@ -63,7 +63,7 @@
 pub(super) const LOAD_REPORT_MODE: &str = "Report.How";
 /// A value of [`LOAD_REPORT_MODE`]: health checks request them.
 pub(super) const LOAD_REPORT_PULL: &str = "pull";
-/// The list of the names of zones.
-pub(super) const ZONES: &str = "Zones";
+/// The list of the names of locations.
+pub(super) const LOCATIONS: &str = "Zones";
 /// The list of the names of machine types.
 pub(super) const MACHINE_TYPES: &str = "Flavors";
--- a/crates/server/src/decision/controller_thread.rs
+++ b/crates/server/src/decision/controller_thread.rs
@@ -1,7 +1,7 @@
 //! The loop of the controller's thread: takes the next event and calls the controller's method for it.
 
 use crate::codec::event_bus::Event;
-use crate::config::LocationNames;
+use crate::config::NamePositions;
 use crate::decision::endpoint_directory::{EndpointDirectory, merge_initial_events};
 use crate::decision::event::ControllerEvent;
 use crate::decision::handle::ControllerHandle;
@@ -41,13 +41,13 @@
         handle: Arc<ControllerHandle>,
         registry: Arc<EngineRegistry>,
     ) -> ControllerThread {
-        let location_names = LocationNames::read(settings);
+        let name_positions = NamePositions::read(settings);
         ControllerThread {
             controller: AdmissionController::new(clock::now(), seed, settings),
             handle,
             next_timer: None,
             jobs: BTreeMap::new(),
-            endpoints: EndpointDirectory::new(location_names, registry),
+            endpoints: EndpointDirectory::new(name_positions, registry),
             workers: WorkerPool::default(),
         }
     }
--- a/crates/server/src/decision/endpoint_directory.rs
+++ b/crates/server/src/decision/endpoint_directory.rs
@@ -1,7 +1,7 @@
 //! The engines of the endpoint list: their ids, their handles, and their start times on the program's clock.
 
 use crate::codec::event_bus::{EndpointEntry, Event, UnixTime};
-use crate::config::LocationNames;
+use crate::config::NamePositions;
 use crate::discovery::start_time_converter::StartTimeConverter;
 use crate::engine::handle::EngineHandle;
 use crate::engine::registry::EngineRegistry;
@@ -16,7 +16,7 @@
 pub(super) struct EndpointDirectory {
     ids: EngineIds,
     engines: BTreeMap<EngineId, KnownEngine>,
-    location_names: LocationNames,
+    name_positions: NamePositions,
     registry: Arc<EngineRegistry>,
     start_time_converter: StartTimeConverter,
 }
@@ -52,11 +52,11 @@
 
 impl EndpointDirectory {
     /// A directory without engines.
-    pub(super) fn new(location_names: LocationNames, registry: Arc<EngineRegistry>) -> EndpointDirectory {
+    pub(super) fn new(name_positions: NamePositions, registry: Arc<EngineRegistry>) -> EndpointDirectory {
         EndpointDirectory {
             ids: EngineIds::default(),
             engines: BTreeMap::new(),
-            location_names,
+            name_positions,
             registry,
             start_time_converter: StartTimeConverter::default(),
         }
@@ -118,8 +118,8 @@
         Some(Endpoint {
             engine: id,
             // A machine type or location that the settings do not list gets a position that does not exist.
-            machine_type: self.location_names.machine_type_index(&entry.machine_type).unwrap_or(usize::MAX),
-            location: self.location_names.zone_index(&entry.zone).unwrap_or(usize::MAX),
+            machine_type: self.name_positions.machine_type(&entry.machine_type).unwrap_or(usize::MAX),
+            location: self.name_positions.location(&entry.location).unwrap_or(usize::MAX),
             cell: entry.cell,
             lifecycle: entry.lifecycle,
             started_at: start.map(|start| start.at),
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -195,6 +195,7 @@
     pub engines: usize,
     /// Cores of each engine.
     pub cores: f64,
+    /// Number of zones, which are the locations of gateways and engines.
     pub zones: usize,
     /// The scope for the classes with idempotency keys.
     #[serde(rename = "group")]
