--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -59,14 +59,14 @@
     open: Arc<Mutex<OpenRequests>>,
     reader: tokio::task::JoinHandle<()>,
     /// The number of the next message.
-    next_message: u32,
+    next_message_number: u32,
 }
 
 /// The requests of a connection that have no answer yet.
 #[derive(Default)]
 struct OpenRequests {
     /// Indices of the requests in the history, by message number.
-    entries: HashMap<u32, usize>,
+    request_indices: HashMap<u32, usize>,
     /// Whether the connection has ended.
     ended: bool,
 }
@@ -149,8 +149,8 @@
             match self.rng.random_range(0..100) {
                 0..8 => {
                     self.pause(5..300).await;
-                    let (message, entry) = sent[0];
-                    connection.cancel(&self.testbed, message, entry).await?;
+                    let (message_number, request_index) = sent[0];
+                    connection.cancel(&self.testbed, message_number, request_index).await?;
                 }
                 8..13 => {
                     self.pause(0..300).await;
@@ -209,9 +209,9 @@
         connection: &mut Connection,
         request: Request,
     ) -> std::io::Result<(u32, usize)> {
-        let message = connection.next_message;
-        connection.next_message += 1;
-        let bytes = encode_request(&self.testbed, message, &request);
+        let message_number = connection.next_message_number;
+        connection.next_message_number += 1;
+        let bytes = encode_request(&self.testbed, message_number, &request);
         // A request counts from its last byte on, so a slow client sends all other bytes before it is recorded.
         let slow = self.rng.random_bool(0.08);
         if slow {
@@ -220,14 +220,14 @@
                 self.pause(1..60).await;
             }
         }
-        let entry = connection.register(&self.testbed, message, request)?;
+        let request_index = connection.register(&self.testbed, message_number, request)?;
         let rest = if slow { &bytes[bytes.len() - 1..] } else { &bytes[..] };
         if let Err(e) = connection.writer.write_all(rest).await {
             // The gateway did not get the complete request, so it need not answer.
-            self.testbed.history.record_request_end(entry, RequestEnd::Abandoned);
+            self.testbed.history.record_request_end(request_index, RequestEnd::Abandoned);
             return Err(e);
         }
-        Ok((message, entry))
+        Ok((message_number, request_index))
     }
 
     /// Sends malformed data, half a request or many requests, and disconnects shortly after. The requests are recorded
@@ -280,19 +280,24 @@
         let (reader, writer) = TcpStream::into_split(stream);
         let open: Arc<Mutex<OpenRequests>> = Arc::default();
         let reading = read_answers(testbed.clone(), reader, open.clone());
-        Ok(Connection { to, writer, open, reader: tokio::spawn(reading), next_message: 1 })
+        Ok(Connection { to, writer, open, reader: tokio::spawn(reading), next_message_number: 1 })
     }
 
     /// Records a request whose last byte is about to be written. Returns its index in the history.
-    fn register(&self, testbed: &Testbed, message: u32, mut request: Request) -> std::io::Result<usize> {
+    fn register(
+        &self,
+        testbed: &Testbed,
+        message_number: u32,
+        mut request: Request,
+    ) -> std::io::Result<usize> {
         let mut open = locked(&self.open);
         if open.ended {
             return Err(std::io::ErrorKind::BrokenPipe.into());
         }
         request.sent_at = testbed.history.now();
-        let entry = testbed.history.record_request(request);
-        open.entries.insert(message, entry);
-        Ok(entry)
+        let request_index = testbed.history.record_request(request);
+        open.request_indices.insert(message_number, request_index);
+        Ok(request_index)
     }
 
     fn has_ended(&self) -> bool {
@@ -300,26 +305,35 @@
     }
 
     /// Cancels a request.
-    async fn cancel(&mut self, testbed: &Testbed, message: u32, entry: usize) -> std::io::Result<()> {
+    async fn cancel(
+        &mut self,
+        testbed: &Testbed,
+        message_number: u32,
+        request_index: usize,
+    ) -> std::io::Result<()> {
         let mut bytes = b"\x93\x02\xa6forget\x91".to_vec();
-        encode::write_uint(&mut bytes, message.into()).map_err(|e| std::io::Error::other(e.to_string()))?;
+        encode::write_uint(&mut bytes, message_number.into())
+            .map_err(|e| std::io::Error::other(e.to_string()))?;
         self.writer.write_all(&bytes).await?;
-        testbed.history.record_request_end(entry, RequestEnd::Abandoned);
+        testbed.history.record_request_end(request_index, RequestEnd::Abandoned);
         Ok(())
     }
 
     /// Closes the connection with its requests open.
     fn abandon(self, testbed: &Testbed) {
         self.reader.abort();
-        for (_, entry) in locked(&self.open).entries.drain() {
-            testbed.history.record_request_end(entry, RequestEnd::Abandoned);
+        for (_, request_index) in locked(&self.open).request_indices.drain() {
+            testbed.history.record_request_end(request_index, RequestEnd::Abandoned);
         }
     }
 
     /// Waits until all these requests have ended, a little longer than a client would.
     async fn wait_for_answers(&self, requests: &[(u32, usize)]) {
         let all_ended = async {
-            while requests.iter().any(|(message, _)| locked(&self.open).entries.contains_key(message)) {
+            while requests
+                .iter()
+                .any(|(message_number, _)| locked(&self.open).request_indices.contains_key(message_number))
+            {
                 if self.has_ended() {
                     return;
                 }
@@ -334,13 +348,13 @@
     }
 }
 
-fn encode_request(testbed: &Testbed, message: u32, request: &Request) -> Vec<u8> {
+fn encode_request(testbed: &Testbed, message_number: u32, request: &Request) -> Vec<u8> {
     let class = &testbed.schedule.classes[request.class];
     let timeout = request.timeout_ms.to_string();
     let fields = [("i", request.id.as_str()), ("d", &timeout), ("h", "20.0"), ("mem", "16")];
     let mut bytes = vec![0x94, 0];
     // Writing to a vector can't fail.
-    let _ = encode::write_uint(&mut bytes, message.into());
+    let _ = encode::write_uint(&mut bytes, message_number.into());
     let _ = encode::write_str(&mut bytes, &class.name);
     let _ = encode::write_array_len(&mut bytes, 2);
     let _ = encode::write_map_len(&mut bytes, fields.len() as u32);
@@ -356,6 +370,7 @@
 /// answered is recorded as well.
 async fn read_answers(testbed: Arc<Testbed>, mut from: OwnedReadHalf, open: Arc<Mutex<OpenRequests>>) {
     let (mut bytes, mut buffer) = (Vec::new(), vec![0; 16 * 1024]);
+    // The indices of the requests that have been answered, by message number.
     let mut answered: HashMap<u32, usize> = HashMap::new();
     let reset = loop {
         match from.read(&mut buffer).await {
@@ -363,19 +378,22 @@
             Ok(count) => bytes.extend_from_slice(&buffer[..count]),
             Err(_) => break true,
         }
-        while let Some((length, message, end)) = decode_answer(&bytes) {
+        while let Some((length, message_number, end)) = decode_answer(&bytes) {
             bytes.drain(..length);
-            let entry = locked(&open).entries.remove(&message).or_else(|| answered.get(&message).copied());
-            if let Some(entry) = entry {
-                answered.insert(message, entry);
-                testbed.history.record_request_end(entry, end);
+            let request_index = locked(&open)
+                .request_indices
+                .remove(&message_number)
+                .or_else(|| answered.get(&message_number).copied());
+            if let Some(request_index) = request_index {
+                answered.insert(message_number, request_index);
+                testbed.history.record_request_end(request_index, end);
             }
         }
     };
     let mut open = locked(&open);
     open.ended = true;
-    for (_, entry) in open.entries.drain() {
-        testbed.history.record_request_end(entry, RequestEnd::Closed { reset });
+    for (_, request_index) in open.request_indices.drain() {
+        testbed.history.record_request_end(request_index, RequestEnd::Closed { reset });
     }
 }
 
@@ -390,7 +408,7 @@
     };
     decode::read_array_len(&mut from).ok()?;
     decode::read_int::<u8, _>(&mut from).ok()?;
-    let message: u32 = decode::read_int(&mut from).ok()?;
+    let message_number: u32 = decode::read_int(&mut from).ok()?;
     let is_result = *bytes.get(from.position() as usize)? == 0xc0;
     if is_result {
         decode::read_nil(&mut from).ok()?;
@@ -413,5 +431,5 @@
     if !is_result {
         decode::read_nil(&mut from).ok()?;
     }
-    Some((from.position() as usize, message, end))
+    Some((from.position() as usize, message_number, end))
 }
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -235,7 +235,7 @@
         }
         for (_, job) in connection.open.drain() {
             job.cancelled.store(true, SeqCst);
-            connection.testbed.history.record_dispatch_end(job.entry, DispatchEnd::Disconnected);
+            connection.testbed.history.record_dispatch_end(job.dispatch_index, DispatchEnd::Disconnected);
         }
         writing.abort();
     }
@@ -265,7 +265,7 @@
 
 struct OpenDispatch {
     /// Index of the dispatch in the history.
-    entry: usize,
+    dispatch_index: usize,
     cancelled: Arc<AtomicBool>,
 }
 
@@ -289,7 +289,7 @@
                 ["STOP" | "END", id] => {
                     if let Some(job) = self.open.remove(id) {
                         job.cancelled.store(true, SeqCst);
-                        self.testbed.history.record_dispatch_end(job.entry, DispatchEnd::Stopped);
+                        self.testbed.history.record_dispatch_end(job.dispatch_index, DispatchEnd::Stopped);
                     }
                 }
                 ["FETCH", id, page] => self.fetch(id, page.parse().unwrap_or(0)),
@@ -307,7 +307,7 @@
             fields.into_iter().find(|(key, _)| *key == name).map_or("", |(_, value)| value)
         };
         let class = field("cls").to_string();
-        let entry = self.testbed.history.record_dispatch(Dispatch {
+        let dispatch_index = self.testbed.history.record_dispatch(Dispatch {
             id: id.to_string(),
             class: class.clone(),
             from: self.from,
@@ -318,7 +318,7 @@
             end: None,
         });
         let cancelled = Arc::new(AtomicBool::new(false));
-        self.open.insert(id.to_string(), OpenDispatch { entry, cancelled: cancelled.clone() });
+        self.open.insert(id.to_string(), OpenDispatch { dispatch_index, cancelled: cancelled.clone() });
         let known_class = self.testbed.schedule.classes.iter().find(|known| known.name == class);
         let work = Duration::from_millis(known_class.map_or(20, |known| known.work_ms));
         let execution = Execution {
@@ -327,7 +327,7 @@
             gateway: self.gateway,
             engine_run: self.run,
             id: id.to_string(),
-            entry,
+            dispatch_index,
             cancelled,
             answers: self.answers.clone(),
         };
@@ -363,7 +363,7 @@
     engine_run: u32,
     id: String,
     /// Index of the dispatch in the history.
-    entry: usize,
+    dispatch_index: usize,
     cancelled: Arc<AtomicBool>,
     answers: mpsc::UnboundedSender<Vec<u8>>,
 }
@@ -410,7 +410,7 @@
     }
 
     fn record_end(&self, end: DispatchEnd) {
-        self.testbed.history.record_dispatch_end(self.entry, end);
+        self.testbed.history.record_dispatch_end(self.dispatch_index, end);
     }
 
     fn result_message(&self) -> Vec<u8> {
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -203,9 +203,9 @@
     }
 
     /// Records the end of the request at this index, or counts a further answer.
-    pub fn record_request_end(&self, request: usize, end: RequestEnd) {
+    pub fn record_request_end(&self, index: usize, end: RequestEnd) {
         let now = self.now();
-        let request = &mut self.records().requests[request];
+        let request = &mut self.records().requests[index];
         let is_answer = !matches!(end, RequestEnd::Closed { .. } | RequestEnd::Abandoned);
         match &request.end {
             None => request.end = Some((now, end)),
@@ -223,9 +223,9 @@
     }
 
     /// Records the end of the dispatch at this index. Only the first end counts.
-    pub fn record_dispatch_end(&self, dispatch: usize, end: DispatchEnd) {
+    pub fn record_dispatch_end(&self, index: usize, end: DispatchEnd) {
         let now = self.now();
-        let dispatch = &mut self.records().dispatches[dispatch];
+        let dispatch = &mut self.records().dispatches[index];
         dispatch.end.get_or_insert((now, end));
     }
 
