--- a/crates/server/src/codec/client.rs
+++ b/crates/server/src/codec/client.rs
@@ -161,7 +161,7 @@
         /// Its complete result.
         rows: &'a [u8],
     },
-    /// The job was not run and may be submitted again.
+    /// The job was not completed, and the client can safely submit it again.
     Rejected {
         /// How long to wait before submitting it again; with zero, the client decides.
         retry_after: TimeDelta,
--- a/crates/server/src/decision/actions.rs
+++ b/crates/server/src/decision/actions.rs
@@ -39,7 +39,7 @@
             self.endpoints.remove_id(engine);
         }
         self.next_timer = actions.next_timer;
-        // Reported only now, since the controller's reaction sets `next_timer` again.
+        // Reported last: the controller reacts with further actions, whose `next_timer` must not be overwritten.
         for dispatch in not_started {
             self.finish_unstarted(dispatch);
         }
--- a/crates/simulator-adapter/src/codec/decode.rs
+++ b/crates/simulator-adapter/src/codec/decode.rs
@@ -51,13 +51,13 @@
 
 /// Decodes the result of a dispatch or of a health check.
 pub(crate) fn decode_result(event: Fields) -> Result<DispatchResult, FieldError> {
-    let used_up = event.whole_or_zero(result_fields::ACTUAL_COST)?;
+    let combined_cost = event.whole_or_zero(result_fields::ACTUAL_COST)?;
     Ok(DispatchResult {
         status: decode_status(event)?,
         elapsed: event.millis(result_fields::ELAPSED_MS)?,
         job_finished: event.flag(result_fields::JOB_FINISHED)?,
         engine_reachable: false,
-        actual_cost: decode_actual_cost(used_up),
+        actual_cost: decode_actual_cost(combined_cost),
         load_report: decode_load_report(event),
     })
 }
@@ -76,11 +76,11 @@
     })
 }
 
-/// Splits the combined number into work and memory; `None` if it is 0, which means that the engine reported none.
-fn decode_actual_cost(used_up: u64) -> Option<ActualCost> {
-    let memory_steps = used_up % result_fields::ACTUAL_COST_MEMORY_STEPS;
-    (used_up > 0).then(|| ActualCost {
-        work: TimeDelta::from_millis_f64((used_up / result_fields::ACTUAL_COST_MEMORY_STEPS) as f64),
+/// Splits the number that combines work and memory; `None` if it is 0, which means that the engine reported none.
+fn decode_actual_cost(combined_cost: u64) -> Option<ActualCost> {
+    let memory_steps = combined_cost % result_fields::ACTUAL_COST_MEMORY_STEPS;
+    (combined_cost > 0).then(|| ActualCost {
+        work: TimeDelta::from_millis_f64((combined_cost / result_fields::ACTUAL_COST_MEMORY_STEPS) as f64),
         memory_mb: memory_steps as f64 * result_fields::ACTUAL_COST_MEMORY_STEP_MB,
     })
 }
@@ -132,7 +132,7 @@
     assign_id: impl FnOnce(&str) -> EngineId,
 ) -> Result<Endpoint, FieldError> {
     let name = entry.text(ENGINE)?;
-    let ready_at_ms = entry.number_or(endpoint_fields::STARTED_AT_MS, 0.0)?;
+    let started_at_ms = entry.number_or(endpoint_fields::STARTED_AT_MS, 0.0)?;
     Ok(Endpoint {
         engine: assign_id(name),
         name: name.to_string(),
@@ -140,7 +140,7 @@
         location: entry.whole_or_zero(endpoint_fields::LOCATION)? as usize,
         cell: entry.whole_or_zero(endpoint_fields::CELL)? as usize,
         lifecycle: decode_lifecycle(entry)?,
-        started_at: (ready_at_ms > 0.0).then(|| Timestamp::from_millis_f64(ready_at_ms)),
+        started_at: (started_at_ms > 0.0).then(|| Timestamp::from_millis_f64(started_at_ms)),
         capacity_hint: entry.number_or(endpoint_fields::CAPACITY_HINT, 1.0)?,
     })
 }
--- a/crates/simulator-adapter/src/codec/encode.rs
+++ b/crates/simulator-adapter/src/codec/encode.rs
@@ -63,8 +63,8 @@
     let (instance_name, request) = (ids.instance_name(), ids.request(job));
     match answer {
         FinalAnswer::Rejected { retry_after } => {
-            let pause_ms = retry_after.as_millis_f64();
-            json!({REJECT_JOB: {INSTANCE_NAME: instance_name, REQUEST_ID: request, RETRY_AFTER_MS: pause_ms}})
+            let retry_after_ms = retry_after.as_millis_f64();
+            json!({REJECT_JOB: {INSTANCE_NAME: instance_name, REQUEST_ID: request, RETRY_AFTER_MS: retry_after_ms}})
         }
         FinalAnswer::Cancelled => json!({FAIL_JOB: {INSTANCE_NAME: instance_name, REQUEST_ID: request}}),
     }
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -96,8 +96,7 @@
     pub ejection: Ejection,
     /// Its health checks.
     pub health_check: HealthCheckState,
-    /// When it last sent a job's answer or progress; before that, when it was added or
-    /// restarted.
+    /// When it last sent a job's answer or progress; before that, when it was added or restarted.
     pub last_response_at: Timestamp,
     /// Work recently sent to it, for the slow-start budget: each dispatch counts with the typical work of its class (ms
     /// on a single thread).
--- a/src/settings/typed.rs
+++ b/src/settings/typed.rs
@@ -18,9 +18,11 @@
     pub polls_endpoint_list: bool,
     /// Maximum number of dispatches of one job; infinite if there is no limit.
     pub max_dispatches_per_job: f64,
-    /// Price of one health check, in points; it limits the checks that a job may cause in a large gateway fleet.
+    /// Points that are deducted for one health check; they limit the checks that a job may cause in a large gateway
+    /// fleet.
     pub health_check_price: f64,
-    /// Price of one dispatch to another location, in points; if positive, engines of the same location are preferred.
+    /// Points that are deducted for one dispatch to another location; if positive, engines of the same location are
+    /// preferred.
     pub location_crossing_price: f64,
     /// Interval at which engines send progress; `None` if they send none.
     pub progress_interval: Option<TimeDelta>,
