--- a/crates/server/src/client/closing.rs
+++ b/crates/server/src/client/closing.rs
@@ -8,8 +8,8 @@
 
 /// The maximum time that the client may take to shut down its side of the connection.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The same maximum while new connections wait for a descriptor. It is long enough to receive a request that the client sent
-/// before it noticed that this side was shut down.
+/// The same maximum while new connections wait for a descriptor. It is long enough to receive a request that the client
+/// sent before it noticed that this side was shut down.
 const LINGER_TIMEOUT_AT_CAPACITY: Duration = Duration::from_millis(50);
 /// The maximum number of bytes that the client may send during the close.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
