--- a/crates/server/src/discovery/line_reader.rs
+++ b/crates/server/src/discovery/line_reader.rs
@@ -57,8 +57,8 @@
 /// Returns the received bytes that are not consumed yet. If there are none, waits for some until `due`.
 fn fill_buffer(stream: &mut BufReader<TcpStream>, due: Instant) -> Result<&[u8], DisconnectReason> {
     loop {
-        let left = due.saturating_duration_since(Instant::now()).max(MIN_READ_TIMEOUT);
-        stream.get_ref().set_read_timeout(Some(left)).map_err(DisconnectReason::CannotSetTimeout)?;
+        let time_left = due.saturating_duration_since(Instant::now()).max(MIN_READ_TIMEOUT);
+        stream.get_ref().set_read_timeout(Some(time_left)).map_err(DisconnectReason::CannotSetTimeout)?;
         match stream.fill_buf() {
             Ok(_) => break,
             // A signal has interrupted the call, for instance because the process was stopped and continued.
--- a/crates/server/src/engine/handle.rs
+++ b/crates/server/src/engine/handle.rs
@@ -103,8 +103,8 @@
         self.send_command(PoolCommand::FetchPage { id: self.id, page_number });
     }
 
-    /// Withholds the dispatch, whatever its state: it is not sent, or sent again, from now on. Returns false if it had
-    /// been claimed for sending before.
+    /// Withholds the dispatch, whatever its state: it is not sent, or sent again, from now on. Returns false if the
+    /// pool had already begun to send it.
     pub fn withhold(&self) -> bool {
         self.gate.withhold()
     }
--- a/crates/server/src/engine/ids.rs
+++ b/crates/server/src/engine/ids.rs
@@ -1,6 +1,6 @@
-//! Identifiers of engines' pools, requests and connections within this process.
+//! Identifiers of connection pools, requests and connections within this process.
 
-/// The number of an engine's pool. Numbers are not reused.
+/// The number of the connection pool of one engine. Numbers are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PoolId(pub(crate) u64);
 
--- a/crates/server/src/engine/pool/mod.rs
+++ b/crates/server/src/engine/pool/mod.rs
@@ -42,7 +42,7 @@
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::time::Instant;
 
-/// The settings and resources that all pools share.
+/// The settings and resources that all connection pools share.
 pub(crate) struct PoolContext {
     pub(crate) settings: EngineConnectionSettings,
     /// Limits the total number of connections of all pools.
--- a/crates/server/src/engine/send_gate.rs
+++ b/crates/server/src/engine/send_gate.rs
@@ -36,7 +36,7 @@
         self.change(SendState::Queued, SendState::Withheld)
     }
 
-    /// Withholds the dispatch, whatever its state. Returns false if it had been claimed for sending before.
+    /// Withholds the dispatch, whatever its state. Returns false if the pool had already begun to send it.
     pub(crate) fn withhold(&self) -> bool {
         self.state.swap(SendState::Withheld as u8, SeqCst) != SendState::Sent as u8
     }
--- a/crates/server/src/session/responder.rs
+++ b/crates/server/src/session/responder.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Opens the request under the controller's id of its job. From then on it has to be answered, unless the client
-    /// cancels it.
+    /// Opens the request on its connection, now that its job has a number at the controller. From then on it has to be
+    /// answered, unless the client cancels it.
     pub fn register(&self, job: JobId) {
         // This fails only if the request is already registered, and a request is registered once.
         let _ = self.job.set(job);
--- a/crates/soak/src/checker/windows.rs
+++ b/crates/soak/src/checker/windows.rs
@@ -85,6 +85,7 @@
                 let allowed =
                     rules.warm_up_overload_factor * schedule.cores * capacity * (window as f64 / 1000.0)
                         / mean_work_ms;
+                // The margin for random variation is wider if few dispatches are allowed.
                 let limit = if allowed < 30.0 {
                     allowed + 3.0 * allowed.sqrt() + 3.0
                 } else {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -56,7 +56,7 @@
 struct Connection {
     to: GatewayRun,
     writer: OwnedWriteHalf,
-    open: Arc<Mutex<OpenRequests>>,
+    open_requests: Arc<Mutex<OpenRequests>>,
     reader: tokio::task::JoinHandle<()>,
     /// The number of the next message.
     next_message_number: u32,
@@ -141,15 +141,15 @@
                 break;
             }
             let count = if self.rng.random_bool(0.1) { self.rng.random_range(2..=10) } else { 1 };
-            let mut sent = vec![];
+            let mut sent_requests = vec![];
             for _ in 0..count {
                 let request = self.new_request(connection.to, round == 0);
-                sent.push(self.send_request(&mut connection, request).await?);
+                sent_requests.push(self.send_request(&mut connection, request).await?);
             }
             match self.rng.random_range(0..100) {
                 0..8 => {
                     self.pause(5..300).await;
-                    let (message_number, request_index) = sent[0];
+                    let (message_number, request_index) = sent_requests[0];
                     connection.cancel(&self.testbed, message_number, request_index).await?;
                 }
                 8..13 => {
@@ -159,7 +159,7 @@
                 }
                 _ => {}
             }
-            connection.wait_for_answers(&sent).await;
+            connection.wait_for_answers(&sent_requests).await;
             if self.sends_until_closed() {
                 self.pause(PAUSE_DURING_STOP_MS).await;
             } else if self.rng.random_bool(0.05) {
@@ -278,9 +278,9 @@
         let to = testbed.run_of(gateway);
         let stream = testbed.gateways[gateway].connect().await?;
         let (reader, writer) = TcpStream::into_split(stream);
-        let open: Arc<Mutex<OpenRequests>> = Arc::default();
-        let reading = read_answers(testbed.clone(), reader, open.clone());
-        Ok(Connection { to, writer, open, reader: tokio::spawn(reading), next_message_number: 1 })
+        let open_requests: Arc<Mutex<OpenRequests>> = Arc::default();
+        let reading = read_answers(testbed.clone(), reader, open_requests.clone());
+        Ok(Connection { to, writer, open_requests, reader: tokio::spawn(reading), next_message_number: 1 })
     }
 
     /// Records a request whose last byte is about to be written. Returns its index in the history.
@@ -290,7 +290,7 @@
         message_number: u32,
         mut request: Request,
     ) -> std::io::Result<usize> {
-        let mut open = locked(&self.open);
+        let mut open = locked(&self.open_requests);
         if open.ended {
             return Err(std::io::ErrorKind::BrokenPipe.into());
         }
@@ -322,7 +322,7 @@
     /// Closes the connection with its requests open.
     fn abandon(self, testbed: &Testbed) {
         self.reader.abort();
-        for (_, request_index) in locked(&self.open).request_indices.drain() {
+        for (_, request_index) in locked(&self.open_requests).request_indices.drain() {
             testbed.history.record_request_end(request_index, RequestEnd::Abandoned);
         }
     }
@@ -330,10 +330,9 @@
     /// Waits until all these requests have ended, a little longer than a client would.
     async fn wait_for_answers(&self, requests: &[(u32, usize)]) {
         let all_ended = async {
-            while requests
-                .iter()
-                .any(|(message_number, _)| locked(&self.open).request_indices.contains_key(message_number))
-            {
+            while requests.iter().any(|(message_number, _)| {
+                locked(&self.open_requests).request_indices.contains_key(message_number)
+            }) {
                 if self.has_ended() {
                     return;
                 }
@@ -368,7 +367,11 @@
 
 /// Reads answers until the connection ends, and records them in the history. An answer to a request that has been
 /// answered is recorded as well.
-async fn read_answers(testbed: Arc<Testbed>, mut from: OwnedReadHalf, open: Arc<Mutex<OpenRequests>>) {
+async fn read_answers(
+    testbed: Arc<Testbed>,
+    mut from: OwnedReadHalf,
+    open_requests: Arc<Mutex<OpenRequests>>,
+) {
     let (mut bytes, mut buffer) = (Vec::new(), vec![0; 16 * 1024]);
     // The indices of the requests that have been answered, by message number.
     let mut answered: HashMap<u32, usize> = HashMap::new();
@@ -380,7 +383,7 @@
         }
         while let Some((length, message_number, end)) = decode_answer(&bytes) {
             bytes.drain(..length);
-            let request_index = locked(&open)
+            let request_index = locked(&open_requests)
                 .request_indices
                 .remove(&message_number)
                 .or_else(|| answered.get(&message_number).copied());
@@ -390,7 +393,7 @@
             }
         }
     };
-    let mut open = locked(&open);
+    let mut open = locked(&open_requests);
     open.ended = true;
     for (_, request_index) in open.request_indices.drain() {
         testbed.history.record_request_end(request_index, RequestEnd::Closed { reset });
