--- a/crates/simulator-adapter/src/codec/wire_names.rs
+++ b/crates/simulator-adapter/src/codec/wire_names.rs
@@ -141,7 +141,7 @@
     pub(crate) const CUSTOMER: &str = "Org";
     /// The job's ordering key in hexadecimal digits; none if it is missing or empty.
     pub(crate) const KEY: &str = "Relation";
-    /// How long the client will wait for the answer, in milliseconds.
+    /// How long the client still waits for the answer, in milliseconds.
     pub(crate) const TIME_LEFT_MS: &str = "Left";
     /// The estimated work, in milliseconds on a single thread; only valid if [`FLAG_HAS_COST`] is set.
     pub(crate) const COST_MS: &str = "Cost";
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -117,8 +117,8 @@
     /// Whether the client already has the job's final answer, from this result or from earlier.
     pub job_finished: bool,
     /// Whether the engine counts as reachable although the dispatch ended as `Unreachable` or `ConnectionLost`: it has
-    /// accepted a new connection since, or the caller has withheld the dispatch. The failure does not count against
-    /// the engine then.
+    /// accepted a new connection since, or the caller withheld the dispatch before its timeout. The failure does not
+    /// count against the engine then.
     pub engine_reachable: bool,
     /// What the job used, if the engine reports it.
     pub actual_cost: Option<ActualCost>,
