--- a/crates/server/tests/server/client_connections.rs
+++ b/crates/server/tests/server/client_connections.rs
@@ -193,8 +193,11 @@
     client.send_raw(b"GET / HTTP/1.1\r\n\r\n");
     assert_eq!(client.next_answer(), "closed");
     client.reset();
-    program.wait_for_log("closing client connection");
-    let end = program.wait_for_log("client connection ended");
+    let closing = program.wait_for_log("closing client connection");
+    let fields = closing.split_once(" connection=").expect("the line has a connection").1;
+    let connection = fields.split(' ').next().unwrap();
+    // Other connections may end in the meantime, such as that of the health check at the start of the program.
+    let end = program.wait_for_log(&format!("client connection ended connection={connection} "));
 
     assert!(end.contains("reason=Connection reset by peer"), "{end}");
 }
