--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -23,7 +23,7 @@
     harness.advance(2000.0);
     let rejected = harness.rejections.len();
 
-    expect!["sent [32, 33, 34, 35], throttled 1"].assert_eq(&format!("sent {sent:?}, throttled {rejected}"));
+    expect!["sent [32, 33, 34, 35], rejected 1"].assert_eq(&format!("sent {sent:?}, rejected {rejected}"));
 }
 
 /// Guards against a client that has the jobs of others rejected: if the mean estimate of the class included an
--- a/tests/decisions/cancellation.rs
+++ b/tests/decisions/cancellation.rs
@@ -49,12 +49,12 @@
         }
         harness.advance(1800.0);
         let rejected = jobs.iter().filter(|job| harness.rejections.contains(job)).count();
-        writeln!(lines, "{completed} done: {rejected} of {} given up", jobs.len()).unwrap();
+        writeln!(lines, "{completed} completed: {rejected} of {} rejected", jobs.len()).unwrap();
     }
 
     expect![[r"
-        0 done: 6 of 6 given up
-        0.9 done: 0 of 6 given up
+        0 completed: 6 of 6 rejected
+        0.9 completed: 0 of 6 rejected
     "]]
     .assert_eq(&lines);
 }
--- a/tests/decisions/concurrency_limit.rs
+++ b/tests/decisions/concurrency_limit.rs
@@ -38,11 +38,11 @@
             harness.complete(job, now - sent);
         }
         if [49, 149, 299].contains(&tenth) {
-            seen.push(format!("{} sent, {} out", harness.dispatches.len(), in_flight.len()));
+            seen.push(format!("{} sent, {} in flight", harness.dispatches.len(), in_flight.len()));
         }
     }
 
-    expect!["50 sent, 1 out, 67 sent, 3 out, 300 sent, 1 out"].assert_eq(&seen.join(", "));
+    expect!["50 sent, 1 in flight, 67 sent, 3 in flight, 300 sent, 1 in flight"].assert_eq(&seen.join(", "));
 }
 
 /// Guards against starving a gateway that has more than an equal share of the traffic. In a long overload its limit
@@ -74,7 +74,7 @@
         }
     }
 
-    expect!["7 out"].assert_eq(&format!("{} out", in_flight.len()));
+    expect!["7 in flight"].assert_eq(&format!("{} in flight", in_flight.len()));
 }
 
 /// Guards against a gateway that withholds jobs from all engines since large jobs are stuck at one of them. The
--- a/tests/decisions/health_checks.rs
+++ b/tests/decisions/health_checks.rs
@@ -56,13 +56,16 @@
         let used =
             (0..12).filter(|engine| harness.dispatches.iter().any(|sent| sent.engine == *engine)).count();
         let (sent, checks) = (harness.dispatches.len(), harness.health_checks_sent);
-        writeln!(lines, "price {price}: {at_once} at once of {sent}, on {used} engines, {checks} probes")
-            .unwrap();
+        writeln!(
+            lines,
+            "price {price}: {at_once} at once of {sent}, on {used} engines, {checks} health checks"
+        )
+        .unwrap();
     }
 
     expect![[r"
-        price 0.1: 45 at once of 60, on 12 engines, 15 probes
-        price 1: 59 at once of 60, on 12 engines, 1 probes
+        price 0.1: 45 at once of 60, on 12 engines, 15 health checks
+        price 1: 59 at once of 60, on 12 engines, 1 health checks
     "]]
     .assert_eq(&lines);
 }
@@ -113,7 +116,7 @@
         .build();
 
     let mut random = 0x2545_f491_4f6c_dd1d_u64;
-    let mut answered = 0;
+    let mut completed = 0;
     for job in 0..200 {
         // Each check takes a random time from 0.1 to 5 ms.
         harness.health_check_ms = (0..40)
@@ -128,11 +131,11 @@
         harness.advance(150.0);
         if harness.dispatches.len() > before {
             harness.complete(id, 25.0);
-            answered += 1;
+            completed += 1;
         }
         harness.advance(50.0);
     }
     let rejected = harness.rejections.len();
 
-    expect!["200 done, 0 throttled"].assert_eq(&format!("{answered} done, {rejected} throttled"));
+    expect!["200 completed, 0 rejected"].assert_eq(&format!("{completed} completed, {rejected} rejected"));
 }
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -180,16 +180,16 @@
         harness.update_endpoints(vec![running_since(0, 2900.0)]);
         // The engine is warming up during all of these jobs.
         for job in 0..39 {
-            let heavy = (job + ordinal) % 2 == 0;
-            let spec = if heavy { bulk_load(11).cost_ms(4000.0) } else { lookup(11).cost_ms(400.0) };
+            let large = (job + ordinal) % 2 == 0;
+            let spec = if large { bulk_load(11).cost_ms(4000.0) } else { lookup(11).cost_ms(400.0) };
             let before = harness.dispatches.len();
             harness.submit(spec);
             harness.advance(1000.0);
-            sent[usize::from(heavy)] += harness.dispatches.len() - before;
+            sent[usize::from(large)] += harness.dispatches.len() - before;
         }
     }
 
-    expect!["60 small, 8 heavy"].assert_eq(&format!("{} small, {} heavy", sent[0], sent[1]));
+    expect!["60 small, 8 large"].assert_eq(&format!("{} small, {} large", sent[0], sent[1]));
 }
 
 /// Guards against a release that leaves all new engines idle: with many gateways, an equal share of a warming engine's
@@ -198,7 +198,7 @@
 #[test]
 fn a_warming_engine_is_used_without_load_reports() {
     let mut lines = String::new();
-    for case in ["no probes", "no load in reports"] {
+    for case in ["no health checks", "no load in reports"] {
         let mut dispatch_times: Vec<f64> = Vec::new();
         for ordinal in 0..300 {
             let fleet = ControllerHarness::builder()
@@ -210,7 +210,7 @@
                 .gateways(300)
                 .gateway_ordinal(ordinal);
             let mut harness = match case {
-                "no probes" => fleet.health_checks(false).build(),
+                "no health checks" => fleet.health_checks(false).build(),
                 _ => fleet.health_checks(true).without_load_in_reports().build(),
             };
             harness.advance(3000.0 + f64::from(ordinal % 7));
@@ -240,7 +240,7 @@
     }
 
     expect![[r"
-        no probes: 108 jobs, 12 in a window, budget 16 at the start
+        no health checks: 108 jobs, 12 in a window, budget 16 at the start
         no load in reports: 108 jobs, 12 in a window, budget 16 at the start
     "]]
     .assert_eq(&lines);
@@ -281,7 +281,7 @@
         let sent = |warming| harness.dispatches.iter().filter(|sent| (sent.engine == 8) == warming).count();
         writeln!(
             lines,
-            "jam {overloaded}, {duration} ms: {} to the cold engine, {} to others",
+            "overloaded {overloaded}, {duration} ms: {} to the warming engine, {} to others",
             sent(true),
             sent(false)
         )
@@ -289,9 +289,9 @@
     }
 
     expect![[r"
-        jam false, 100 ms: 5 to the cold engine, 95 to others
-        jam true, 100 ms: 14 to the cold engine, 13 to others
-        jam true, 600 ms: 14 to the cold engine, 4 to others
+        overloaded false, 100 ms: 5 to the warming engine, 95 to others
+        overloaded true, 100 ms: 14 to the warming engine, 13 to others
+        overloaded true, 600 ms: 14 to the warming engine, 4 to others
     "]]
     .assert_eq(&lines);
 }
--- a/tests/decisions/state_eviction.rs
+++ b/tests/decisions/state_eviction.rs
@@ -29,17 +29,22 @@
             harness.finish(attempt(open.remove(0), 0), DispatchStatus::TimedOut, 61_000.0);
         }
         harness.advance(300.0);
-        writeln!(trace, "{retained} kept with {} jobs out, then {}", open.len(), harness.retained_entries())
-            .unwrap();
+        writeln!(
+            trace,
+            "{retained} retained with {} jobs open, then {}",
+            open.len(),
+            harness.retained_entries()
+        )
+        .unwrap();
     }
 
     expect![[r"
-        11 kept with 1 jobs out, then 11
-        13 kept with 1 jobs out, then 11
-        13 kept with 1 jobs out, then 11
-        13 kept with 1 jobs out, then 11
-        13 kept with 1 jobs out, then 11
-        13 kept with 1 jobs out, then 11
+        11 retained with 1 jobs open, then 11
+        13 retained with 1 jobs open, then 11
+        13 retained with 1 jobs open, then 11
+        13 retained with 1 jobs open, then 11
+        13 retained with 1 jobs open, then 11
+        13 retained with 1 jobs open, then 11
     "]]
     .assert_eq(&trace);
 }
