--- a/crates/server/tests/server/arrival_time.rs
+++ b/crates/server/tests/server/arrival_time.rs
@@ -6,7 +6,8 @@
 
 /// The timeout of each wait.
 const POLL_TIMEOUT_MS: i64 = 100;
-/// A wait that exceeds its timeout by this was delayed by the system: more than 10 ms are needed for that.
+/// How much a wait exceeds its timeout if the system has delayed its return: just over the 10 ms up to which a wait
+/// does not count as delayed.
 const RETURN_DELAY_MS: i64 = 11;
 
 fn at(ms: i64) -> Timestamp {
--- a/crates/server/tests/server/cancellation.rs
+++ b/crates/server/tests/server/cancellation.rs
@@ -14,7 +14,8 @@
 #[test]
 fn dispatches_are_cancelled_when_their_clients_cancel_or_disconnect() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
-    // So long that no engine connection counts as silent: it would be closed instead of receiving the cancellation.
+    // With a shorter dial timeout the engine connection could count as silent and be closed instead of receiving
+    // the cancellation.
     let program = Program::start_with(ProgramConfig::new(&engines, &bus.address).dial_timeout_ms(5000.0));
     let mut client = program.connect();
 
@@ -75,7 +76,8 @@
 #[test]
 fn a_cancellation_is_read_in_time_after_refused_requests() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
-    // So long that no engine connection counts as silent: it would be closed instead of receiving the cancellation.
+    // With a shorter dial timeout the engine connection could count as silent and be closed instead of receiving
+    // the cancellation.
     let config = ProgramConfig::new(&engines, &bus.address).dial_timeout_ms(9000.0);
     let program = Program::start_with(config);
     let (mut client, mut other) = (program.connect(), program.connect());
--- a/crates/server/tests/server/dispatch_outcomes.rs
+++ b/crates/server/tests/server/dispatch_outcomes.rs
@@ -10,8 +10,8 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// An engine ends dispatches in different ways. A job that may be retried is sent again unless its time is over; one
-/// that must not run twice is sent again only if the end proves that it did not run.
+/// An engine ends dispatches in different ways. A job that may be retried is sent again unless its deadline has passed;
+/// one that must not run twice is sent again only if the end proves that it did not run.
 #[test]
 fn a_non_idempotent_job_is_retried_only_if_it_cannot_have_run() {
     /// Ends a dispatch in the way that `what` names.
--- a/crates/server/tests/server/limits.rs
+++ b/crates/server/tests/server/limits.rs
@@ -19,7 +19,8 @@
     if threads <= MAX_FEW_THREADS { "few".to_string() } else { threads.to_string() }
 }
 
-/// All descriptors for clients are in use. Further connections must wait and be served later, instead of being refused.
+/// All descriptors for clients are in use. Further connections must wait until one of them is free, instead of being
+/// refused.
 #[test]
 fn connections_over_the_limit_wait_for_their_turn() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
--- a/crates/server/tests/server/requests.rs
+++ b/crates/server/tests/server/requests.rs
@@ -106,7 +106,8 @@
 #[test]
 fn an_id_of_an_open_request_is_rejected() {
     let (engines, bus) = (EngineStandIns::start(1), EventBusStandIn::start());
-    // So long that no engine connection counts as silent: it would be closed instead of receiving the cancellation.
+    // With a shorter dial timeout the engine connection could count as silent and be closed instead of receiving
+    // the cancellation.
     let config = ProgramConfig::new(&engines, &bus.address).dial_timeout_ms(9000.0);
     let program = Program::start_with(config);
     let mut client = program.connect();
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -254,25 +254,25 @@
         }
     }
     writeln!(trace, "budget: {}", rules(all).split(' ').next().unwrap()).unwrap();
-    // A cold engine that gets far more dispatches than allowed from a gateway that was notified of its start; and a
-    // drained engine that gets a dispatch.
+    // An engine that has just started gets far more dispatches than slow start allows, from a gateway that was notified
+    // of its start; and a drained engine gets a dispatch.
     for drained in [false, true] {
-        let mut cold = Play::default();
-        cold.events.push((900 * MS, Event::EngineStarted { engine: 0, run: 1 }));
-        cold.events.push((900 * MS, Event::Notified { to: GATEWAY, engine: 0, run: 1, drained }));
+        let mut started_engine = Play::default();
+        started_engine.events.push((900 * MS, Event::EngineStarted { engine: 0, run: 1 }));
+        started_engine.events.push((900 * MS, Event::Notified { to: GATEWAY, engine: 0, run: 1, drained }));
         if drained {
-            cold.events.push((800 * MS, Event::Drained { engine: 0, run: 1 }));
+            started_engine.events.push((800 * MS, Event::Drained { engine: 0, run: 1 }));
         }
         for number in 0..if drained { 1 } else { 400 } {
             let (id, when) = (format!("{:016x}", 100 + number), if drained { 2500 } else { 1010 });
             let mut request =
                 Request { id: id.clone(), ..request(LOOKUP, at(when + 20, RequestEnd::Abandoned)) };
             request.sent_at = (when - 10) * MS;
-            cold.requests.push(request);
+            started_engine.requests.push(request);
             let one = dispatch(LOOKUP, 0, when, Some((when + 10, DispatchEnd::Stopped)));
-            cold.dispatches.push(Dispatch { id, engine_run: 1, ..one });
+            started_engine.dispatches.push(Dispatch { id, engine_run: 1, ..one });
         }
-        writeln!(trace, "{}: {}", if drained { "drained" } else { "cold" }, rules(cold)).unwrap();
+        writeln!(trace, "{}: {}", if drained { "drained" } else { "cold" }, rules(started_engine)).unwrap();
     }
     let ended = |status: &str, clean| Event::GatewayEnded { run: GATEWAY, status: status.to_string(), clean };
     let started = || (0, Event::GatewayStarted { run: GATEWAY });
@@ -317,8 +317,9 @@
     .assert_eq(&trace);
 }
 
-/// The same for connections that end without an answer. A gateway may end one late in a stop, if it does so without
-/// delay and has not dispatched the request, or after an injected failure of a call on it, by the request's timeout.
+/// The same for connections that end without an answer. A gateway may close one during a late part of its shutdown, if
+/// it does so without delay and has not dispatched the request. After an injected failure of a call on a connection it
+/// may close it up to the request's timeout.
 #[test]
 fn ends_of_connections_without_an_answer_are_checked() {
     let closed = |sent_ms: Micros, closed_ms: Micros| {
--- a/tests/decisions/key_order.rs
+++ b/tests/decisions/key_order.rs
@@ -101,7 +101,7 @@
 }
 
 /// Guards against rejecting a job because of a queue that it is not in. A job with a key whose class is not ordered is
-/// in no queue; if it were looked up in the queue of its key, it would seem to be one of the jobs that have to leave.
+/// in no queue; if it were looked up in the queue of its key, it would seem to be one that should leave the queue.
 #[test]
 fn a_job_of_an_unordered_class_is_not_rejected_because_of_the_queue_of_its_key() {
     let mut harness = ControllerHarness::builder().build();
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -158,7 +158,7 @@
 }
 
 /// Guards against a warming engine that stays nearly idle: with few jobs per gateway, a holder of a slot that is sized
-/// for the heaviest class often has no such job. Jobs of every class have to be sent all the same.
+/// for the class with the largest jobs often has no such job. Jobs of every class have to be sent all the same.
 #[test]
 fn a_large_gateway_fleet_with_few_jobs_each_uses_a_warming_engine() {
     let mut sent = [0, 0];
