--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -132,57 +132,57 @@
     let mut lagged = play(request(LOOKUP, done(LOOKUP, 0, 2700)), one(LOOKUP, 0));
     lagged.events.push((2_500 * MS, Event::Lagged { by_us: 200_000 }));
     let plays = [
-        ("in order", play(request(LOOKUP, done(LOOKUP, 0, 1100)), one(LOOKUP, 0))),
+        ("answered correctly", play(request(LOOKUP, done(LOOKUP, 0, 1100)), one(LOOKUP, 0))),
         ("no answer", play(request(LOOKUP, None), vec![])),
-        ("late answer", play(request(LOOKUP, done(LOOKUP, 0, 2700)), one(LOOKUP, 0))),
-        ("the same on a machine that lagged", lagged),
+        ("answered after the timeout", play(request(LOOKUP, done(LOOKUP, 0, 2700)), one(LOOKUP, 0))),
+        ("answered after the timeout on a machine that lagged", lagged),
         (
-            "closed on a fresh connection",
+            "new connection closed without an answer",
             play(request(LOOKUP, at(1040, RequestEnd::Closed { reset: false })), vec![]),
         ),
-        ("crossing on a used one", play(used, vec![])),
+        ("reused connection closed without an answer", play(used, vec![])),
         ("two answers", play(twice, one(LOOKUP, 0))),
         ("rows of another engine", play(request(LOOKUP, done(LOOKUP, 1, 1100)), one(LOOKUP, 0))),
         (
-            "sent after its client left",
+            "dispatched after its client disconnected",
             play(request(LOOKUP, at(1000, RequestEnd::Abandoned)), vec![dispatch(LOOKUP, 0, 1200, None)]),
         ),
-        ("sent after its answer", play(request(LOOKUP, busy()), vec![dispatch(LOOKUP, 0, 1700, None)])),
+        ("dispatched after its answer", play(request(LOOKUP, busy()), vec![dispatch(LOOKUP, 0, 1700, None)])),
         (
-            "sent after its time",
+            "dispatched after its timeout",
             play(request(LOOKUP, at(2300, RequestEnd::Busy)), vec![dispatch(LOOKUP, 0, 2200, None)]),
         ),
-        ("told more time than is left", play(request(LOOKUP, done(LOOKUP, 0, 1100)), long_limit)),
-        ("nobody asked", Play { dispatches: one(LOOKUP, 0), ..Play::default() }),
-        ("run-once after a fault", play(request(LOAD, done(LOAD, 1, 1300)), again(LOAD, 1, Fault))),
-        ("run-once after a refusal", play(request(LOAD, done(LOAD, 1, 1300)), again(LOAD, 1, Shed))),
+        ("time limit beyond the timeout", play(request(LOOKUP, done(LOOKUP, 0, 1100)), long_limit)),
+        ("dispatched without a request", Play { dispatches: one(LOOKUP, 0), ..Play::default() }),
+        ("run-once retried after a fault", play(request(LOAD, done(LOAD, 1, 1300)), again(LOAD, 1, Fault))),
+        ("run-once retried after a refusal", play(request(LOAD, done(LOAD, 1, 1300)), again(LOAD, 1, Shed))),
         (
-            "run-once refused after a fault",
+            "run-once answered as busy after a fault",
             play(request(LOAD, busy()), vec![dispatch(LOAD, 0, 1010, Some((1100, Fault)))]),
         ),
         (
-            "run-once failed after a fault",
+            "run-once answered as failed after a fault",
             play(request(LOAD, failed()), vec![dispatch(LOAD, 0, 1010, Some((1100, Fault)))]),
         ),
-        ("keyed in its zone", play(request(POST, done(POST, 2, 1300)), again(POST, 2, Disconnected))),
+        ("keyed retried in its zone", play(request(POST, done(POST, 2, 1300)), again(POST, 2, Disconnected))),
         (
-            "keyed in another zone, not known",
+            "keyed retried in another zone, gateway not notified",
             play(request(POST, done(POST, 1, 1300)), again(POST, 1, Disconnected)),
         ),
         (
-            "keyed in another zone",
+            "keyed retried in another zone, gateway notified",
             play(request(POST, done(POST, 1, 1300)), again(POST, 1, Disconnected)).with(|play| {
                 play.events.push((0, Event::Notified { to: GATEWAY, engine: 1, run: 0, drained: false }));
             }),
         ),
         (
-            "two out",
+            "retried while the first dispatch is in flight",
             play(request(LOOKUP, done(LOOKUP, 1, 1300)), again(LOOKUP, 1, Done))
                 .with(|play| play.dispatches[0].end = None),
         ),
-        ("out of place, not known", play(request(LOCAL, done(LOCAL, 0, 1100)), one(LOCAL, 0))),
+        ("outside its zone, gateway not notified", play(request(LOCAL, done(LOCAL, 0, 1100)), one(LOCAL, 0))),
         (
-            "out of place",
+            "outside its zone, gateway notified",
             play(request(LOCAL, done(LOCAL, 0, 1100)), one(LOCAL, 0)).with(|play| {
                 play.events.push((0, Event::Notified { to: GATEWAY, engine: 0, run: 0, drained: false }));
             }),
@@ -190,29 +190,29 @@
     ];
     let trace = describe(plays);
     expect![[r"
-        in order: 
+        answered correctly: 
         no answer: Lost
-        late answer: Lost
-        the same on a machine that lagged: Lost?
-        closed on a fresh connection: Lost
-        crossing on a used one: 
+        answered after the timeout: Lost
+        answered after the timeout on a machine that lagged: Lost?
+        new connection closed without an answer: Lost
+        reused connection closed without an answer: 
         two answers: AnsweredTwice
         rows of another engine: WrongRows
-        sent after its client left: SentAfterClientLeft
-        sent after its answer: SentAfterAnswer
-        sent after its time: SentAfterDeadline
-        told more time than is left: DeadlineTooLong
-        nobody asked: UnknownRequest
-        run-once after a fault: RunOnceAgain
-        run-once after a refusal: 
-        run-once refused after a fault: RefusedAfterRun
-        run-once failed after a fault: 
-        keyed in its zone: 
-        keyed in another zone, not known: 
-        keyed in another zone: KeyedOutsideGroup
-        two out: TwoOut
-        out of place, not known: 
-        out of place: Placement
+        dispatched after its client disconnected: SentAfterClientLeft
+        dispatched after its answer: SentAfterAnswer
+        dispatched after its timeout: SentAfterDeadline
+        time limit beyond the timeout: DeadlineTooLong
+        dispatched without a request: UnknownRequest
+        run-once retried after a fault: RunOnceAgain
+        run-once retried after a refusal: 
+        run-once answered as busy after a fault: RefusedAfterRun
+        run-once answered as failed after a fault: 
+        keyed retried in its zone: 
+        keyed retried in another zone, gateway not notified: 
+        keyed retried in another zone, gateway notified: KeyedOutsideGroup
+        retried while the first dispatch is in flight: TwoOut
+        outside its zone, gateway not notified: 
+        outside its zone, gateway notified: Placement
     "]]
     .assert_eq(&trace);
 }
@@ -235,7 +235,7 @@
     let end = done(POST, 2, 1600);
     writeln!(
         trace,
-        "keyed late: {}",
+        "keyed retried after the deduplication window: {}",
         rules(Play { schedule: Some(keyed), ..play(request(POST, end), late) })
     )
     .unwrap();
@@ -253,7 +253,8 @@
             all.dispatches.push(Dispatch { id: id.clone(), ..one });
         }
     }
-    writeln!(trace, "budget: {}", rules(all).split(' ').next().unwrap()).unwrap();
+    writeln!(trace, "more retries than the budget allows: {}", rules(all).split(' ').next().unwrap())
+        .unwrap();
     // An engine that has just started gets far more dispatches than slow start allows, from a gateway that was notified
     // of its start; and a drained engine gets a dispatch.
     for drained in [false, true] {
@@ -272,19 +273,25 @@
             let one = dispatch(LOOKUP, 0, when, Some((when + 10, DispatchEnd::Stopped)));
             started_engine.dispatches.push(Dispatch { id, engine_run: 1, ..one });
         }
-        writeln!(trace, "{}: {}", if drained { "drained" } else { "cold" }, rules(started_engine)).unwrap();
+        writeln!(
+            trace,
+            "{}: {}",
+            if drained { "dispatch to a drained engine" } else { "more dispatches than slow start allows" },
+            rules(started_engine)
+        )
+        .unwrap();
     }
     let ended = |status: &str, clean| Event::GatewayEnded { run: GATEWAY, status: status.to_string(), clean };
     let started = || (0, Event::GatewayStarted { run: GATEWAY });
     let stopping = || (1, Event::GatewayStopping { run: GATEWAY });
     let line = "ERROR invariant Answered violated".to_string();
     for (what, events) in [
-        ("crash", vec![started(), (5, ended("signal: 6 (SIGABRT)", false))]),
-        ("stopped", vec![started(), stopping(), (5, ended("exit status: 0", true))]),
-        ("had to be killed", vec![started(), stopping(), (5, ended("signal: 9 (SIGKILL)", false))]),
-        ("never ready", vec![started()]),
+        ("gateway crashed", vec![started(), (5, ended("signal: 6 (SIGABRT)", false))]),
+        ("gateway stopped cleanly", vec![started(), stopping(), (5, ended("exit status: 0", true))]),
+        ("gateway did not stop", vec![started(), stopping(), (5, ended("signal: 9 (SIGKILL)", false))]),
+        ("gateway never ready", vec![started()]),
         (
-            "complains",
+            "gateway logged an error",
             vec![
                 started(),
                 (4, Event::GatewayReady { run: GATEWAY }),
@@ -299,20 +306,24 @@
     let fault = Fault::IdleFlood { gateways: vec![0], connections: 100, for_ms: 500 };
     flooded.faults.push(schedule::ScheduledFault { at_ms: 900, fault });
     let closed = request(LOOKUP, at(1040, RequestEnd::Closed { reset: false }));
-    writeln!(trace, "shut in a flood: {}", rules(Play { schedule: Some(flooded), ..play(closed, vec![]) }))
-        .unwrap();
+    writeln!(
+        trace,
+        "new connection closed without an answer during a flood of idle connections: {}",
+        rules(Play { schedule: Some(flooded), ..play(closed, vec![]) })
+    )
+    .unwrap();
     assert_eq!(schedule().classes[LOAD].retry_safety, RetrySafety::RunOnce);
     expect![[r"
-        keyed late: KeyedOutsideWindow
-        budget: Budget
-        cold: ColdEngine
-        drained: Drain
-        crash: Crash FailedStart
-        stopped: 
-        had to be killed: DidNotStop
-        never ready: FailedStart
-        complains: Complaint
-        shut in a flood: 
+        keyed retried after the deduplication window: KeyedOutsideWindow
+        more retries than the budget allows: Budget
+        more dispatches than slow start allows: ColdEngine
+        dispatch to a drained engine: Drain
+        gateway crashed: Crash FailedStart
+        gateway stopped cleanly: 
+        gateway did not stop: DidNotStop
+        gateway never ready: FailedStart
+        gateway logged an error: Complaint
+        new connection closed without an answer during a flood of idle connections: 
     "]]
     .assert_eq(&trace);
 }
@@ -337,23 +348,23 @@
     let sent = vec![dispatch(LOOKUP, 0, 1810, Some((1850, DispatchEnd::Stopped)))];
 
     let trace = describe([
-        ("early in a stop", stopped(closed(1650, 1950), vec![])),
-        ("late in a stop, at once", stopped(closed(1800, 1810), vec![])),
-        ("late in a stop, after a silence", stopped(closed(1800, 2050), vec![])),
-        ("late in a stop, but sent", stopped(closed(1800, 1850), sent)),
-        ("broken connection", broken(closed(1000, 1800))),
-        ("broken connection, its end past the client's wait", broken(closed(1000, 2200))),
-        ("after the calls have failed", broken(closed(2600, 2900))),
+        ("sent early in the shutdown, closed after a delay", stopped(closed(1650, 1950), vec![])),
+        ("sent late in the shutdown, closed without delay", stopped(closed(1800, 1810), vec![])),
+        ("sent late in the shutdown, closed after a delay", stopped(closed(1800, 2050), vec![])),
+        ("sent late in the shutdown, closed after its dispatch", stopped(closed(1800, 1850), sent)),
+        ("sent while calls fail, closed within the timeout", broken(closed(1000, 1800))),
+        ("sent while calls fail, closed after the timeout", broken(closed(1000, 2200))),
+        ("sent after the call failures ended, closed", broken(closed(2600, 2900))),
     ]);
 
     expect![[r"
-        early in a stop: Lost
-        late in a stop, at once: 
-        late in a stop, after a silence: Lost
-        late in a stop, but sent: Lost
-        broken connection: 
-        broken connection, its end past the client's wait: Lost
-        after the calls have failed: Lost
+        sent early in the shutdown, closed after a delay: Lost
+        sent late in the shutdown, closed without delay: 
+        sent late in the shutdown, closed after a delay: Lost
+        sent late in the shutdown, closed after its dispatch: Lost
+        sent while calls fail, closed within the timeout: 
+        sent while calls fail, closed after the timeout: Lost
+        sent after the call failures ended, closed: Lost
     "]]
     .assert_eq(&trace);
 }
