--- a/src/candidates/walk.rs
+++ b/src/candidates/walk.rs
@@ -1,4 +1,4 @@
-//! Walks the engines in order and collects those that a job may be sent to.
+//! Walks the engines in the hashed order of a job's table group and collects those that the job may be sent to.
 
 use super::REPLICATION_FACTOR;
 use super::capacity::CapacityTest;
@@ -15,11 +15,11 @@
 
 /// Number of preferred engines with capacity at which the walk ends; selection compares two.
 const PAIR_SIZE: usize = 2;
-/// Number of eligible engines that a new job's walk visits in a large gateway fleet with load reports, besides one for
-/// each engine that serves its table group.
+/// Maximum number of eligible engines that a new job's walk visits, in addition to the number of engines that serve its
+/// table group. The walk is limited only in a large gateway fleet with load reports.
 const MIN_WALK_DEPTH: f64 = 2.0;
-/// Number of eligible engines by which the walk becomes longer while a job waits through its slack, the time that it
-/// can wait and still meet its latency objective.
+/// Number of eligible engines by which that maximum grows while a job waits through its slack, the time that it can
+/// wait and still meet its latency objective.
 const WALK_DEPTH_OVER_SLACK: f64 = 6.0;
 /// Number of jobs of other table groups that are assumed to have been seen when a group's share of the traffic is
 /// estimated: with few jobs seen, the share is close to 0.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -35,7 +35,7 @@
         endpoints: Vec<Endpoint>,
     ) -> Actions {
         self.state.now = now;
-        endpoints::update(&mut self.state, scope, endpoints);
+        endpoints::apply_update(&mut self.state, scope, endpoints);
         self.take_actions()
     }
 
@@ -43,7 +43,7 @@
     /// again later.
     pub fn endpoint_list_unavailable(&mut self, now: Timestamp) -> Actions {
         self.state.now = now;
-        endpoints::unavailable(&mut self.state);
+        endpoints::handle_list_unavailable(&mut self.state);
         self.take_actions()
     }
 
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -12,8 +12,9 @@
 /// Maximum random addition to the backoff, as a multiple of [`MIN_POLL_BACKOFF`].
 const POLL_BACKOFF_JITTER: f64 = 3.0;
 
-/// Applies an update of the endpoint list.
-pub fn update(state: &mut ControllerState, scope: ListScope, endpoints: Vec<Endpoint>) {
+/// Applies an update of the endpoint list to the pool and tries to place the waiting jobs. If the list is complete,
+/// engines that are not in it are marked as gone.
+pub fn apply_update(state: &mut ControllerState, scope: ListScope, endpoints: Vec<Endpoint>) {
     let listed: BTreeSet<EngineId> = endpoints.iter().map(|endpoint| endpoint.engine).collect();
     for endpoint in endpoints {
         if state.pool.update_endpoint(&state.settings, endpoint, state.now) {
@@ -29,7 +30,7 @@
 
 /// Handles a failed request for the endpoint list: the last list remains in use, and if the list is polled, it is
 /// requested again after a backoff.
-pub fn unavailable(state: &mut ControllerState) {
+pub fn handle_list_unavailable(state: &mut ControllerState) {
     if state.settings.polls_endpoint_list {
         let backoff = MIN_POLL_BACKOFF.mul_f64(1.0 + POLL_BACKOFF_JITTER * state.random.next_f64());
         state.schedule_in(backoff, Timer::PollEndpointList);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -112,7 +112,8 @@
 pub struct DispatchResult {
     /// How the dispatch or health check ended.
     pub status: DispatchStatus,
-    /// Time from the first byte written to the last byte read.
+    /// Of a dispatch: the time from its handover to the engine's connections, including any wait for one, to its end.
+    /// Of a health check: the time from its write to its answer; zero if it was not answered.
     pub elapsed: TimeDelta,
     /// Whether the client already has the job's final answer, from this result or from earlier.
     pub job_finished: bool,
--- a/src/settings/typed.rs
+++ b/src/settings/typed.rs
@@ -126,10 +126,11 @@
     pub deduplication_scope: DeduplicationScope,
     /// How long engines remember an idempotency key.
     pub deduplication_window: TimeDelta,
-    /// The latency objective of a job without work.
+    /// Fixed part of a job's latency objective: the objective is this plus `objective_stretch` times the job's run
+    /// time.
     pub latency_objective: TimeDelta,
-    /// How much the objective grows with a job's work: the time that the job takes on its threads, times this factor,
-    /// is added.
+    /// Factor on a job's estimated run time (its work divided by its threads) in its latency objective, which is
+    /// `latency_objective` plus the product.
     pub objective_stretch: f64,
     /// Maximum time that clients wait for an answer.
     pub client_timeout: TimeDelta,
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,10 +1,11 @@
 //! Slow start: decides how much work a gateway may send to an engine that has recently started.
 //!
-//! The work that all gateways send to a warming engine within one window must stay below a budget: a configured
-//! multiple of the work that the engine can do in that time. Each gateway uses an equal share of the budget. If an
-//! equal share of the engine is less than one thread, the time since the engine's start is divided into slots of one
-//! window each, and only some gateways, the holders of a slot, may send during it. The holders follow from the
-//! engine's name, the slot's number and the gateway's ordinal, so that all gateways agree without communication.
+//! The work that all gateways send to a warming engine within any window of a configured length must stay below a
+//! budget: a configured multiple of the work that the engine can do in that time. Each gateway uses an equal share of
+//! the budget. If an equal share of the engine is less than one thread, the time since the engine's start is divided
+//! into slots of one window each, and only some gateways, the holders of a slot, may send during it. The holders follow
+//! from the engine's name, the slot's number and the gateway's ordinal, so that all gateways agree without
+//! communication.
 
 use crate::engine::Engine;
 use crate::estimators::mix64;
--- a/src/stuck_jobs.rs
+++ b/src/stuck_jobs.rs
@@ -1,5 +1,6 @@
-//! Decides which dispatches in flight are cancelled: those of stuck jobs that would meet their objective if dispatched
-//! again, and those of late jobs that prolong an overload.
+//! Handles dispatches that take too long: cancels those of stuck jobs that would meet their objective if dispatched
+//! again, sheds late jobs that prolong an overload, ejects engines that send nothing although progress is overdue, and
+//! counts the age of overdue dispatches towards the slowdown.
 
 use crate::concurrency::OVERLOAD_SLOWDOWN;
 use crate::interface::{EngineId, JobId};
@@ -12,7 +13,7 @@
 
 /// Number of progress intervals without an update after which progress is overdue.
 const MAX_SILENT_INTERVALS: f64 = 2.0;
-/// Additional time without any message from an engine before it is ejected.
+/// Time without any message, in addition to [`MAX_SILENT_INTERVALS`], after which an engine is ejected.
 const SILENCE_MARGIN: TimeDelta = TimeDelta::from_millis(500);
 /// A dispatch is cancelled only if its remaining time exceeds this multiple of the time that a new dispatch is
 /// expected to take.
